--- a/adapter/codec.cpp
+++ b/adapter/codec.cpp
@@ -9,7 +9,7 @@
 
 #include "settings.hpp"
 
-namespace cedarplank::adapter {
+namespace heronvane::dispatch::adapter {
 namespace {
 
 using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
@@ -299,4 +299,4 @@
   return false;
 }
 
-}  // namespace cedarplank::adapter
+}  // namespace heronvane::dispatch::adapter
--- a/adapter/codec.hpp
+++ b/adapter/codec.hpp
@@ -7,10 +7,10 @@
 #include <string>
 #include <vector>
 
-#include "cedarplank/dispatcher.hpp"
 #include "fields.hpp"
+#include "heronvane/dispatch/dispatcher.hpp"
 
-namespace cedarplank::adapter {
+namespace heronvane::dispatch::adapter {
 
 class Codec {
  public:
@@ -28,4 +28,4 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace cedarplank::adapter
+}  // namespace heronvane::dispatch::adapter
--- a/adapter/fields.hpp
+++ b/adapter/fields.hpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <utility>
 
-namespace cedarplank::adapter {
+namespace heronvane::dispatch::adapter {
 
 // What is wrong with a message, and where in it.
 class WireError : public std::runtime_error {
@@ -110,4 +110,4 @@
   malformed(path, ("unknown word '" + text + "'").c_str());
 }
 
-}  // namespace cedarplank::adapter
+}  // namespace heronvane::dispatch::adapter
--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -7,7 +7,7 @@
 int main() {
   std::ios::sync_with_stdio(false);
   std::cin.tie(nullptr);
-  cedarplank::adapter::Codec codec;
+  heronvane::dispatch::adapter::Codec codec;
   std::string line, reply;
   for (std::size_t number = 1; std::getline(std::cin, line); number++) {
     try {
--- a/adapter/settings.cpp
+++ b/adapter/settings.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace cedarplank::adapter {
+namespace heronvane::dispatch::adapter {
 namespace {
 
 Names names_of(const Value& object, const char* name, const std::string& path) {
@@ -117,4 +117,4 @@
   return s;
 }
 
-}  // namespace cedarplank::adapter
+}  // namespace heronvane::dispatch::adapter
--- a/adapter/settings.hpp
+++ b/adapter/settings.hpp
@@ -4,10 +4,10 @@
 #include <string>
 #include <unordered_map>
 
-#include "cedarplank/dispatcher.hpp"
 #include "fields.hpp"
+#include "heronvane/dispatch/dispatcher.hpp"
 
-namespace cedarplank::adapter {
+namespace heronvane::dispatch::adapter {
 
 using Names = std::unordered_map<std::string, int>;
 
@@ -22,4 +22,4 @@
 // Throws WireError, naming the field, on what can't be read.
 Settings read_settings(const Value& v, const std::string& path, Tables& tables);
 
-}  // namespace cedarplank::adapter
+}  // namespace heronvane::dispatch::adapter
--- a/bench/faults/soak.sh
+++ b/bench/faults/soak.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
 # The soak of mixed faults: soak.sh BUILD OUT FIRST LAST plays the seeds from FIRST to LAST, JOBS (8) at a time, on the
-# relay, the lab and the fault library of BUILD (configured with -DCEDARPLANK_TESTS=ON), and prints a line for each. The
+# relay, the lab and the fault library of BUILD (configured with -DHERONVANE_TESTS=ON), and prints a line for each. The
 # status is 1 where a run did not pass.
 set -euo pipefail
 build=$(cd "$1" && pwd) out=$2 first=$3 last=$4
--- a/bench/scale/module_bench.cpp
+++ b/bench/scale/module_bench.cpp
@@ -15,10 +15,10 @@
 #include <string>
 #include <vector>
 
-#include "cedarplank/dispatcher.hpp"
 #include "core/directory.hpp"
+#include "heronvane/dispatch/dispatcher.hpp"
 
-using namespace cedarplank;
+using namespace heronvane::dispatch;
 
 namespace {
 
--- a/fleet/agent.cpp
+++ b/fleet/agent.cpp
@@ -22,7 +22,7 @@
 
 namespace heronvane::fleet {
 
-namespace wire = cedarplank::adapter;
+namespace wire = heronvane::dispatch::adapter;
 using boost::system::error_code;
 
 namespace {
--- a/fleet/api.cpp
+++ b/fleet/api.cpp
@@ -9,7 +9,7 @@
 
 namespace heronvane::fleet {
 
-namespace wire = cedarplank::adapter;
+namespace wire = heronvane::dispatch::adapter;
 using rapidjson::Value;
 
 namespace {
--- a/fuzz/list_checks.hpp
+++ b/fuzz/list_checks.hpp
@@ -11,9 +11,9 @@
 
 namespace heronvane {
 
-inline const cedarplank::adapter::Tables& list_names() {
-  static const cedarplank::adapter::Tables names = [] {
-    cedarplank::adapter::Tables t;
+inline const heronvane::dispatch::adapter::Tables& list_names() {
+  static const heronvane::dispatch::adapter::Tables names = [] {
+    heronvane::dispatch::adapter::Tables t;
     t.zones = {{"a", 0}, {"b", 1}}, t.kinds = {{"small", 0}};
     return t;
   }();
@@ -28,7 +28,7 @@
     while (!reader.step(slice)) {
     }
     return reader.take();
-  } catch (const cedarplank::adapter::WireError& e) {
+  } catch (const heronvane::dispatch::adapter::WireError& e) {
     if (why != nullptr) *why = e.what();
     return std::nullopt;
   }
@@ -40,7 +40,7 @@
   if (v.HasParseError()) return std::nullopt;
   try {
     return read_members(v, "members", list_names());
-  } catch (const cedarplank::adapter::WireError&) {
+  } catch (const heronvane::dispatch::adapter::WireError&) {
     return std::nullopt;
   }
 }
--- a/include/cedarplank/dispatcher.hpp
+++ b/include/heronvane/dispatch/dispatcher.hpp
@@ -1,4 +1,4 @@
-// cedarplank: the decisions of a dispatcher of notifications to outside receivers.
+// The decisions of a relay that delivers requests to endpoints of outside destinations.
 //
 // A relay feeds one Dispatcher the events it sees and carries out the actions that come back, one
 // handle() a round. The dispatcher never blocks, does no input or output, reads no clock and keeps
@@ -16,7 +16,7 @@
 #include <variant>
 #include <vector>
 
-namespace cedarplank {
+namespace heronvane::dispatch {
 
 using Time = std::int64_t;
 using MessageId = std::uint64_t;
@@ -296,4 +296,4 @@
   std::unique_ptr<State> state_;
 };
 
-}  // namespace cedarplank
+}  // namespace heronvane::dispatch
--- a/relay/answer.cpp
+++ b/relay/answer.cpp
@@ -89,8 +89,8 @@
 }
 
 // "x0=0.4,x1=25"
-cedarplank::Report AnswerReader::report() const {
-  cedarplank::Report report;
+heronvane::dispatch::Report AnswerReader::report() const {
+  heronvane::dispatch::Report report;
   const auto text = parser_->get()["X-Load"];
   for (std::size_t at = 0; at < text.size();) {
     const auto end = std::min(text.find(',', at), text.size());
--- a/relay/answer.hpp
+++ b/relay/answer.hpp
@@ -7,8 +7,8 @@
 #include <optional>
 #include <string>
 
-#include "cedarplank/dispatcher.hpp"
 #include "clock.hpp"
+#include "heronvane/dispatch/dispatcher.hpp"
 
 namespace heronvane {
 
@@ -39,7 +39,7 @@
   bool line_busy() const { return parser_->get()["X-Line-Busy"] == "1"; }
   const std::string& body() const { return parser_->get().body(); }
   Time told_wait() const;  // 0: none
-  cedarplank::Report report() const;
+  heronvane::dispatch::Report report() const;
 
  private:
   using Parser = boost::beast::http::response_parser<boost::beast::http::string_body>;
--- a/relay/backs/kept_connections.hpp
+++ b/relay/backs/kept_connections.hpp
@@ -11,15 +11,15 @@
 #include <unordered_map>
 #include <vector>
 
-#include "cedarplank/dispatcher.hpp"
+#include "heronvane/dispatch/dispatcher.hpp"
 
 namespace heronvane {
 
 template <class Connection>
 class KeptConnections {
  public:
-  using EndpointId = cedarplank::EndpointId;
-  using Time = cedarplank::Time;
+  using EndpointId = heronvane::dispatch::EndpointId;
+  using Time = heronvane::dispatch::Time;
 
   // `now` never goes back.
   void put(const EndpointId& endpoint, std::shared_ptr<Connection> connection, Time now) {
--- a/relay/calls.cpp
+++ b/relay/calls.cpp
@@ -96,7 +96,7 @@
   Time answer_due = 0;  // for the rest of an answer that has begun; 0: none has
   bool sound = false;   // the connection may be used again
   Time told_wait = 0;
-  cedarplank::Report report;
+  heronvane::dispatch::Report report;
 
   // One message is delivered by the answer's first line, several by the whole of it.
   bool delivered() const { return messages.size() == 1 && answer.says_ok(); }
@@ -384,7 +384,7 @@
   const bool given_up =
       outcome == Outcome::reset || outcome == Outcome::timeout || outcome == Outcome::cancelled;
   if (given_up && call->delivered()) outcome = Outcome::served, closed = true;
-  cedarplank::event::AttemptEnded e;
+  heronvane::dispatch::event::AttemptEnded e;
   e.id = call->messages[part].id;
   e.attempt = call->messages[part].attempt;
   e.endpoint = call->endpoint;
--- a/relay/calls.hpp
+++ b/relay/calls.hpp
@@ -14,16 +14,16 @@
 #include <vector>
 
 #include "backs/kept_connections.hpp"
-#include "cedarplank/dispatcher.hpp"
 #include "clock.hpp"
 #include "core/alarm.hpp"
+#include "heronvane/dispatch/dispatcher.hpp"
 #include "log.hpp"
 
 namespace heronvane {
 
-using cedarplank::EndpointId;
-using cedarplank::MessageId;
-using cedarplank::Outcome;
+using heronvane::dispatch::EndpointId;
+using heronvane::dispatch::MessageId;
+using heronvane::dispatch::Outcome;
 
 struct Outgoing {
   MessageId id = 0;
@@ -45,7 +45,7 @@
 
 class Calls {
  public:
-  using Ended = std::function<void(const cedarplank::event::AttemptEnded&)>;
+  using Ended = std::function<void(const heronvane::dispatch::event::AttemptEnded&)>;
 
   // Asked right before a call begins; where it says no the call ends as not sent.
   using MayBegin = std::function<bool()>;
--- a/relay/clock.hpp
+++ b/relay/clock.hpp
@@ -3,11 +3,11 @@
 
 #include <chrono>
 
-#include "cedarplank/dispatcher.hpp"
+#include "heronvane/dispatch/dispatcher.hpp"
 
 namespace heronvane {
 
-using cedarplank::Time;
+using heronvane::dispatch::Time;
 
 inline Time steady_now() {
   return std::chrono::duration_cast<std::chrono::microseconds>(
--- a/relay/config.cpp
+++ b/relay/config.cpp
@@ -12,7 +12,7 @@
 
 namespace heronvane {
 
-using namespace cedarplank::adapter;
+using namespace heronvane::dispatch::adapter;
 
 namespace {
 
@@ -77,7 +77,7 @@
       c.peers.push_back(udp(as_text(p, path + ".peers"), path + ".peers"));
   const Value& settings = need(v, "settings", path);
   c.settings = read_settings(settings, path + ".settings", c.names);
-  cedarplank::validate(c.settings);
+  heronvane::dispatch::validate(c.settings);
   // However many calls may be out, each needs a descriptor.
   c.settings.slots = std::min(c.settings.slots, static_cast<int>(c.endpoint_connections));
   if (const Value* report = find(settings, "Report"))
--- a/relay/config.hpp
+++ b/relay/config.hpp
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "cedarplank/dispatcher.hpp"
 #include "command_line.hpp"
+#include "heronvane/dispatch/dispatcher.hpp"
 #include "members.hpp"
 #include "operator_settings.hpp"
 #include "settings.hpp"
@@ -25,8 +25,8 @@
   std::uint64_t disk_bytes = 0;  // that the state folder may hold
   std::optional<boost::asio::ip::udp::endpoint> peer_listen, peers_all;
   std::vector<boost::asio::ip::udp::endpoint> peers;  // by rank
-  cedarplank::Settings settings;
-  cedarplank::adapter::Tables names;
+  heronvane::dispatch::Settings settings;
+  heronvane::dispatch::adapter::Tables names;
   bool reports_in_answers = false;
   std::int64_t generation = 0;  // of the agent's desired state that it was written for; 0: none
   MemberList known;
--- a/relay/core/directory.cpp
+++ b/relay/core/directory.cpp
@@ -4,10 +4,10 @@
 
 namespace heronvane {
 
-using cedarplank::DestinationId;
-using cedarplank::Endpoint;
-using cedarplank::EndpointId;
-using cedarplank::Listing;
+using heronvane::dispatch::DestinationId;
+using heronvane::dispatch::Endpoint;
+using heronvane::dispatch::EndpointId;
+using heronvane::dispatch::Listing;
 
 namespace {
 
--- a/relay/core/directory.hpp
+++ b/relay/core/directory.hpp
@@ -11,7 +11,7 @@
 #include <unordered_set>
 #include <vector>
 
-#include "cedarplank/dispatcher.hpp"
+#include "heronvane/dispatch/dispatcher.hpp"
 #include "members.hpp"
 
 namespace heronvane {
@@ -21,44 +21,46 @@
   // What a list changed, each endpoint once: those that are new, that differ, and (as gone) that left. Those
   // of them that are no longer active stand in `unfit` too.
   struct Changes {
-    std::vector<cedarplank::Endpoint> endpoints;
-    std::vector<cedarplank::EndpointId> unfit;
+    std::vector<heronvane::dispatch::Endpoint> endpoints;
+    std::vector<heronvane::dispatch::EndpointId> unfit;
   };
 
   // Takes a list, or changes, or a part of one. Of a whole list (`snapshot`) what it does not name is gone,
   // and told `left` before it is forgotten: with its last part, unless another whole list has begun
   // meanwhile. Addresses are not kept here: `located` hears of each that is named.
-  using Left = std::function<void(const cedarplank::EndpointId&)>;
+  using Left = std::function<void(const heronvane::dispatch::EndpointId&)>;
   using Located = std::function<void(const Member&)>;
   Changes take(const MemberList& list, const Left& left, const Located& located);
 
   // Null where it is not listed; valid until the next list.
-  const cedarplank::Endpoint* find(const cedarplank::EndpointId& id) const;
+  const heronvane::dispatch::Endpoint* find(const heronvane::dispatch::EndpointId& id) const;
   // The endpoints of a destination, in no order; empty where it has none.
-  const std::vector<cedarplank::EndpointId>& of(cedarplank::DestinationId destination) const;
+  const std::vector<heronvane::dispatch::EndpointId>& of(
+      heronvane::dispatch::DestinationId destination) const;
   // All that are listed, in no order.
-  std::vector<cedarplank::Endpoint> all() const;
+  std::vector<heronvane::dispatch::Endpoint> all() const;
   // Whether any list has named that destination. Those without endpoints are forgotten once there are very
   // many of them.
-  bool knows(cedarplank::DestinationId destination) const { return named_.count(destination) > 0; }
-  void name(cedarplank::DestinationId destination) { named_.insert(destination); }
+  bool knows(heronvane::dispatch::DestinationId destination) const { return named_.count(destination) > 0; }
+  void name(heronvane::dispatch::DestinationId destination) { named_.insert(destination); }
   bool any_active() const { return active_ > 0; }
   std::size_t size() const { return endpoints_.size(); }
 
  private:
   struct Entry {
-    cedarplank::Endpoint endpoint;
+    heronvane::dispatch::Endpoint endpoint;
     std::uint64_t named = 0;  // the whole list since whose begin it was named last
   };
-  using Entries = std::unordered_map<cedarplank::EndpointId, Entry>;
+  using Entries = std::unordered_map<heronvane::dispatch::EndpointId, Entry>;
 
-  void put(const cedarplank::Endpoint& endpoint, Changes& changes);
+  void put(const heronvane::dispatch::Endpoint& endpoint, Changes& changes);
   Entries::iterator remove(Entries::iterator it, Changes& changes);
-  void leave(cedarplank::DestinationId destination, const cedarplank::EndpointId& id);
+  void leave(heronvane::dispatch::DestinationId destination, const heronvane::dispatch::EndpointId& id);
 
   Entries endpoints_;
-  std::unordered_map<cedarplank::DestinationId, std::vector<cedarplank::EndpointId>> by_destination_;
-  std::unordered_set<cedarplank::DestinationId> named_;
+  std::unordered_map<heronvane::dispatch::DestinationId, std::vector<heronvane::dispatch::EndpointId>>
+      by_destination_;
+  std::unordered_set<heronvane::dispatch::DestinationId> named_;
   std::size_t active_ = 0;
   std::uint64_t whole_ = 0;  // the whole list that began last
 };
--- a/relay/core/list_memory.cpp
+++ b/relay/core/list_memory.cpp
@@ -6,9 +6,9 @@
 
 namespace heronvane {
 
-using cedarplank::EndpointId;
-using cedarplank::Listing;
-using cedarplank::Time;
+using heronvane::dispatch::EndpointId;
+using heronvane::dispatch::Listing;
+using heronvane::dispatch::Time;
 
 namespace {
 
--- a/relay/core/list_memory.hpp
+++ b/relay/core/list_memory.hpp
@@ -13,17 +13,17 @@
 #include <set>
 #include <string>
 
-#include "cedarplank/dispatcher.hpp"
+#include "heronvane/dispatch/dispatcher.hpp"
 #include "members.hpp"
 
 namespace heronvane {
 
 // Of an endpoint that drains or is gone.
 struct Unfit {
-  cedarplank::Listing listing = cedarplank::Listing::draining;  // or gone
-  std::int64_t index = 0;                                       // of the list that told it
-  cedarplank::Time told = 0;                                    // lasting time
-  std::string discovery;                                        // the address that told it
+  heronvane::dispatch::Listing listing = heronvane::dispatch::Listing::draining;  // or gone
+  std::int64_t index = 0;                                                         // of the list that told it
+  heronvane::dispatch::Time told = 0;                                             // lasting time
+  std::string discovery;                                                          // the address that told it
 };
 // As kept in the store; nothing where the text is no such thing.
 std::string write_unfit(const Unfit& unfit);
@@ -36,27 +36,27 @@
 
   // Takes back from `facts` what earlier lives kept; what is older than an hour and not named by `known` is
   // dropped. `now` is lasting time, here and below.
-  ListMemory(const std::map<std::string, std::string>& facts, const MemberList& known, cedarplank::Time now,
-             Keep keep);
+  ListMemory(const std::map<std::string, std::string>& facts, const MemberList& known,
+             heronvane::dispatch::Time now, Keep keep);
 
   // The configuration's list as it holds: without those that are gone, with those that drain.
   MemberList known(MemberList list) const;
   // A list or changes as told by `discovery`, as they hold; what they tell is remembered.
-  MemberList told(MemberList list, const std::string& discovery, cedarplank::Time now);
+  MemberList told(MemberList list, const std::string& discovery, heronvane::dispatch::Time now);
   // A whole list with that index does not name the endpoint any more.
-  void gone(const cedarplank::EndpointId& endpoint, std::int64_t index, const std::string& discovery,
-            cedarplank::Time now);
+  void gone(const heronvane::dispatch::EndpointId& endpoint, std::int64_t index, const std::string& discovery,
+            heronvane::dispatch::Time now);
 
   std::size_t size() const { return unfit_.size(); }
 
  private:
-  void remember(const cedarplank::EndpointId& endpoint, Unfit unfit);
-  void forget(const cedarplank::EndpointId& endpoint);
+  void remember(const heronvane::dispatch::EndpointId& endpoint, Unfit unfit);
+  void forget(const heronvane::dispatch::EndpointId& endpoint);
   void make_room();
 
   Keep keep_;
-  std::set<cedarplank::EndpointId> known_;
-  std::map<cedarplank::EndpointId, Unfit> unfit_;
+  std::set<heronvane::dispatch::EndpointId> known_;
+  std::map<heronvane::dispatch::EndpointId, Unfit> unfit_;
 };
 
 }  // namespace heronvane
--- a/relay/core/list_reader.cpp
+++ b/relay/core/list_reader.cpp
@@ -7,7 +7,7 @@
 
 namespace heronvane {
 
-using namespace cedarplank::adapter;
+using namespace heronvane::dispatch::adapter;
 
 namespace {
 
--- a/relay/core/message.hpp
+++ b/relay/core/message.hpp
@@ -8,13 +8,13 @@
 #include <string>
 #include <vector>
 
-#include "cedarplank/dispatcher.hpp"
+#include "heronvane/dispatch/dispatcher.hpp"
 
 namespace heronvane {
 
-using cedarplank::MessageId;
-using cedarplank::Outcome;
-using cedarplank::Time;
+using heronvane::dispatch::MessageId;
+using heronvane::dispatch::Outcome;
+using heronvane::dispatch::Time;
 
 // The header that carries a message's key from its client to its destination, unchanged.
 inline constexpr char kIdempotencyKey[] = "Idempotency-Key";
--- a/relay/core/round_gap.hpp
+++ b/relay/core/round_gap.hpp
@@ -6,13 +6,13 @@
 
 #include <algorithm>
 
-#include "cedarplank/dispatcher.hpp"
+#include "heronvane/dispatch/dispatcher.hpp"
 
 namespace heronvane {
 
 class RoundGap {
  public:
-  using Time = cedarplank::Time;
+  using Time = heronvane::dispatch::Time;
   RoundGap(Time tick, bool early) : tick_(tick), early_(early) {}
 
   // After a round that took so long.
--- a/relay/core/status.cpp
+++ b/relay/core/status.cpp
@@ -10,8 +10,8 @@
 namespace heronvane {
 namespace {
 
-using cedarplank::Health;
-using cedarplank::Listing;
+using heronvane::dispatch::Health;
+using heronvane::dispatch::Listing;
 using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
 
 // Names come from lists and clients, and may hold any bytes: an answer that is no JSON would count as none.
@@ -143,7 +143,8 @@
   return {buffer.GetString(), buffer.GetSize()};
 }
 
-std::string message_json(MessageId number, const Held& held, const cedarplank::adapter::Names& zones) {
+std::string message_json(MessageId number, const Held& held,
+                         const heronvane::dispatch::adapter::Names& zones) {
   rapidjson::StringBuffer buffer;
   Writer w(buffer);
   const Message& m = held.message;
--- a/relay/core/status.hpp
+++ b/relay/core/status.hpp
@@ -5,18 +5,18 @@
 #include <string>
 #include <vector>
 
-#include "cedarplank/dispatcher.hpp"
 #include "core/drain.hpp"
 #include "core/held_gauge.hpp"
 #include "core/message.hpp"
+#include "heronvane/dispatch/dispatcher.hpp"
 #include "settings.hpp"
 
 namespace heronvane {
 
 struct Status {
   struct Target {
-    cedarplank::TargetMemory known;
-    cedarplank::Listing listing = cedarplank::Listing::active;
+    heronvane::dispatch::TargetMemory known;
+    heronvane::dispatch::Listing listing = heronvane::dispatch::Listing::active;
   };
   std::string name, run, version, trouble;
   std::int64_t pid = 0, generation = 0;
@@ -41,7 +41,8 @@
 
 // A message that is held, or was given up and its notice is owed; one that is over, of which no more is
 // known.
-std::string message_json(MessageId number, const Held& held, const cedarplank::adapter::Names& zones);
+std::string message_json(MessageId number, const Held& held,
+                         const heronvane::dispatch::adapter::Names& zones);
 std::string over_json(const std::string& id);
 
 }  // namespace heronvane
--- a/relay/core/target_memory.cpp
+++ b/relay/core/target_memory.cpp
@@ -7,10 +7,10 @@
 
 namespace heronvane {
 
-using cedarplank::EndpointId;
-using cedarplank::Health;
-using cedarplank::TargetMemory;
-using cedarplank::Time;
+using heronvane::dispatch::EndpointId;
+using heronvane::dispatch::Health;
+using heronvane::dispatch::TargetMemory;
+using heronvane::dispatch::Time;
 
 namespace {
 
@@ -61,8 +61,8 @@
   }
 }
 
-std::optional<cedarplank::event::TargetRecalled> RecalledTargets::take(const EndpointId& endpoint, Time now,
-                                                                       Time gap) {
+std::optional<heronvane::dispatch::event::TargetRecalled> RecalledTargets::take(const EndpointId& endpoint,
+                                                                                Time now, Time gap) {
   const auto it = targets_.find(endpoint);
   if (it == targets_.end()) return std::nullopt;
   LearnedTarget t = std::move(it->second);
@@ -76,7 +76,7 @@
   if (!which_.waits) t.memory.wait_left = 0;
   if (t.memory.wait_left > 0) t.memory.wait_left += gap;
   if (t.memory.blank()) return std::nullopt;
-  return cedarplank::event::TargetRecalled{t.memory, std::max<Time>(now - t.learned, 0)};
+  return heronvane::dispatch::event::TargetRecalled{t.memory, std::max<Time>(now - t.learned, 0)};
 }
 
 }  // namespace heronvane
--- a/relay/core/target_memory.hpp
+++ b/relay/core/target_memory.hpp
@@ -6,20 +6,21 @@
 #include <string>
 #include <vector>
 
-#include "cedarplank/dispatcher.hpp"
+#include "heronvane/dispatch/dispatcher.hpp"
 
 namespace heronvane {
 
 // The key under which the store keeps what was learned of that endpoint.
-std::string target_key(const cedarplank::EndpointId& endpoint);
+std::string target_key(const heronvane::dispatch::EndpointId& endpoint);
 
 // With the moment when it was learned, in lasting time; nothing where the text is no such thing.
-std::string write_target(const cedarplank::TargetMemory& memory, cedarplank::Time learned);
+std::string write_target(const heronvane::dispatch::TargetMemory& memory, heronvane::dispatch::Time learned);
 struct LearnedTarget {
-  cedarplank::TargetMemory memory;
-  cedarplank::Time learned = 0;
+  heronvane::dispatch::TargetMemory memory;
+  heronvane::dispatch::Time learned = 0;
 };
-std::optional<LearnedTarget> read_target(const cedarplank::EndpointId& endpoint, const std::string& text);
+std::optional<LearnedTarget> read_target(const heronvane::dispatch::EndpointId& endpoint,
+                                         const std::string& text);
 
 // What earlier lives learned and this one has not given back to the module yet.
 class RecalledTargets {
@@ -28,7 +29,8 @@
     bool health = true;  // health, ramp, delay and pace
     bool waits = true;   // told waits
   };
-  RecalledTargets(const std::map<std::string, std::string>& facts, Which which, cedarplank::Time now);
+  RecalledTargets(const std::map<std::string, std::string>& facts, Which which,
+                  heronvane::dispatch::Time now);
 
   // Keys of `facts` that tell nothing any more: of endpoints that were not seen for a week, mostly since they
   // went while no relay ran, or that can't be read.
@@ -36,14 +38,15 @@
 
   // What was learned of an endpoint that is listed now, as an event at `now`; once. `gap`: of the time since
   // then, what only the wall clock vouches for; no wait is shortened by it.
-  std::optional<cedarplank::event::TargetRecalled> take(const cedarplank::EndpointId& endpoint,
-                                                        cedarplank::Time now, cedarplank::Time gap);
+  std::optional<heronvane::dispatch::event::TargetRecalled> take(
+      const heronvane::dispatch::EndpointId& endpoint, heronvane::dispatch::Time now,
+      heronvane::dispatch::Time gap);
   std::size_t size() const { return targets_.size(); }
 
  private:
   Which which_;
   std::vector<std::string> outdated_;
-  std::map<cedarplank::EndpointId, LearnedTarget> targets_;
+  std::map<heronvane::dispatch::EndpointId, LearnedTarget> targets_;
 };
 
 }  // namespace heronvane
--- a/relay/intake.cpp
+++ b/relay/intake.cpp
@@ -330,8 +330,9 @@
   bool late_ = false;  // the request that is being read has had its time
 };
 
-Intake::Intake(net::io_context& io, tcp::acceptor listener, const cedarplank::Settings& settings,
-               const cedarplank::adapter::Tables& names, const IntakeLimits& limits, Take take, Ready ready)
+Intake::Intake(net::io_context& io, tcp::acceptor listener, const heronvane::dispatch::Settings& settings,
+               const heronvane::dispatch::adapter::Tables& names, const IntakeLimits& limits, Take take,
+               Ready ready)
     : io_(io),
       acceptor_(std::move(listener)),
       pause_(io),
--- a/relay/members.cpp
+++ b/relay/members.cpp
@@ -4,8 +4,8 @@
 
 namespace heronvane {
 
-using namespace cedarplank::adapter;
-using cedarplank::Listing;
+using namespace heronvane::dispatch::adapter;
+using heronvane::dispatch::Listing;
 
 boost::asio::ip::tcp::endpoint read_address(const std::string& text, const std::string& path) {
   const auto colon = text.rfind(':');
--- a/relay/members.hpp
+++ b/relay/members.hpp
@@ -5,13 +5,13 @@
 #include <string>
 #include <vector>
 
-#include "cedarplank/dispatcher.hpp"
+#include "heronvane/dispatch/dispatcher.hpp"
 #include "settings.hpp"
 
 namespace heronvane {
 
 struct Member {
-  cedarplank::Endpoint endpoint;
+  heronvane::dispatch::Endpoint endpoint;
   boost::asio::ip::tcp::endpoint address;
 };
 
@@ -25,8 +25,8 @@
 };
 
 // Throws WireError, naming the field, on what can't be read.
-MemberList read_members(const cedarplank::adapter::Value& v, const std::string& path,
-                        const cedarplank::adapter::Tables& names);
+MemberList read_members(const heronvane::dispatch::adapter::Value& v, const std::string& path,
+                        const heronvane::dispatch::adapter::Tables& names);
 
 // "127.0.0.1:8081"; throws WireError naming `path`.
 boost::asio::ip::tcp::endpoint read_address(const std::string& text, const std::string& path);
--- a/relay/platform.cpp
+++ b/relay/platform.cpp
@@ -87,8 +87,8 @@
 };
 
 Platform::Platform(net::io_context& io, const tcp::endpoint& address,
-                   const cedarplank::adapter::Tables& names, std::int64_t index, std::size_t most_list,
-                   Listed listed, Failed failed, Noticed noticed)
+                   const heronvane::dispatch::adapter::Tables& names, std::int64_t index,
+                   std::size_t most_list, Listed listed, Failed failed, Noticed noticed)
     : io_(io),
       address_(address),
       names_(names),
@@ -253,7 +253,7 @@
       }
       if (!slice(*query)) return net::post(io_, [this, query] { objects(query); });
     }
-  } catch (const cedarplank::adapter::WireError& e) {
+  } catch (const heronvane::dispatch::adapter::WireError& e) {
     log(std::string("discovery: ") + e.what());
     return end(query, "an entry that can't be read");
   }
@@ -274,7 +274,7 @@
   bool readable = true;
   try {
     if (!slice(*query)) return net::post(io_, [this, query] { whole(query); });
-  } catch (const cedarplank::adapter::WireError& e) {
+  } catch (const heronvane::dispatch::adapter::WireError& e) {
     log(std::string("discovery: ") + e.what());
     readable = false;
   }
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -10,10 +10,10 @@
 namespace heronvane {
 
 namespace net = boost::asio;
-namespace event = cedarplank::event;
-namespace action = cedarplank::action;
+namespace event = heronvane::dispatch::event;
+namespace action = heronvane::dispatch::action;
 using boost::system::error_code;
-using cedarplank::Listing;
+using heronvane::dispatch::Listing;
 
 namespace {
 
@@ -49,8 +49,8 @@
   options.memory_bytes = c.memory_bytes;
   options.remembers = [&c](const Message& m) {
     const auto cls = c.names.classes.find(m.message_class);
-    return cls == c.names.classes.end() ||
-           c.settings.classes[static_cast<std::size_t>(cls->second)].effect != cedarplank::Effect::safe;
+    return cls == c.names.classes.end() || c.settings.classes[static_cast<std::size_t>(cls->second)].effect !=
+                                               heronvane::dispatch::Effect::safe;
   };
   options.vital_facts = drain_facts();
   options.log = log;
@@ -59,7 +59,7 @@
   return options;
 }
 
-Time longest_deadline(const cedarplank::Settings& s) {
+Time longest_deadline(const heronvane::dispatch::Settings& s) {
   Time longest = 0;
   for (const auto& c : s.classes) longest = std::max(longest, c.deadline);
   return longest;
@@ -195,7 +195,7 @@
   a.id = id;
   a.destination = m.destination;
   a.message_class = config_.names.classes.at(m.message_class);
-  a.tenant = cedarplank::adapter::position(config_.names.tenants, m.tenant);
+  a.tenant = heronvane::dispatch::adapter::position(config_.names.tenants, m.tenant);
   a.time_left = m.deadline - store_.clock().now();
   a.repeat = m.repeat;
   return a;
@@ -309,7 +309,7 @@
 }
 
 // In parts: a module that is told of thousands at once would hold up clients.
-void Relay::tell_listed(const std::vector<cedarplank::Endpoint>& endpoints) {
+void Relay::tell_listed(const std::vector<heronvane::dispatch::Endpoint>& endpoints) {
   constexpr std::size_t kMost = 1'000;
   const bool others = !listed_later_.empty();
   for (std::size_t at = 0; at == 0 || at < endpoints.size(); at += kMost)
@@ -375,7 +375,7 @@
 }
 
 void Relay::decide(Plan& plan) {
-  std::vector<cedarplank::Action> actions;
+  std::vector<heronvane::dispatch::Action> actions;
   filling_.clear();
   const auto events = std::exchange(events_, {});
   dispatcher_.handle(last_round_, events, actions);
--- a/relay/relay.hpp
+++ b/relay/relay.hpp
@@ -15,7 +15,6 @@
 #include <vector>
 
 #include "calls.hpp"
-#include "cedarplank/dispatcher.hpp"
 #include "config.hpp"
 #include "core/alarm.hpp"
 #include "core/directory.hpp"
@@ -29,6 +28,7 @@
 #include "core/target_memory.hpp"
 #include "core/wake.hpp"
 #include "fronts/front.hpp"
+#include "heronvane/dispatch/dispatcher.hpp"
 #include "intake.hpp"
 #include "log.hpp"
 #include "peers.hpp"
@@ -71,11 +71,11 @@
 
   std::unique_ptr<Peers> hear_peers();
   std::unique_ptr<store::SyncThread> sync_thread();
-  void tell_listed(const std::vector<cedarplank::Endpoint>& endpoints);
+  void tell_listed(const std::vector<heronvane::dispatch::Endpoint>& endpoints);
   void tell_next_listed();
   bool keep(const std::string& key, const std::string& value);
   void arrive(Message message, Time left, Reply reply);
-  void ended(const cedarplank::event::AttemptEnded& e);
+  void ended(const heronvane::dispatch::event::AttemptEnded& e);
   void listed(MemberList list);
   template <class E>
   void happened(E event) {
@@ -100,7 +100,7 @@
   void over(MessageId id, bool was_taken_on = true);
   void refuse(const Reply& reply, const char* why);
   Reply shared(const std::string& id, Reply reply);
-  void send(Plan& plan, const cedarplank::action::Send& a);
+  void send(Plan& plan, const heronvane::dispatch::action::Send& a);
   void finish(Plan& plan, MessageId id, const Ending& ending);
   void set_timer(Time after, std::uint64_t token);
   void arm_timers();
@@ -114,7 +114,7 @@
   void without_copies();
   void recover();
   bool adopt(MessageId id, const Held& held);
-  void recall(const std::vector<cedarplank::Endpoint>& endpoints);
+  void recall(const std::vector<heronvane::dispatch::Endpoint>& endpoints);
   void remember_targets();
   void check_drained();
 
@@ -141,7 +141,7 @@
   bool copied() const { return !copies_ || (copies_->ready() && !copies_->is_short()); }
 
   bool ready() const;
-  cedarplank::event::Arrival arrival(MessageId id, const Message& m) const;
+  heronvane::dispatch::event::Arrival arrival(MessageId id, const Message& m) const;
 
   boost::asio::io_context& io_;
   const Config& config_;
@@ -161,7 +161,7 @@
   ListMemory list_memory_;
   MemberList known_;  // the configuration's list, as it holds
   RecalledTargets recalled_;
-  cedarplank::Dispatcher dispatcher_;
+  heronvane::dispatch::Dispatcher dispatcher_;
   Calls calls_;
   Platform platform_;
 
@@ -171,13 +171,14 @@
   std::map<MessageId, Reply> unanswered_;                // taken in this round
   // Ids that wait for their answer, with those that handed the same one in meanwhile.
   std::unordered_map<std::string, std::vector<Reply>> twins_;
-  RecentIds recent_;                                            // taken on and over; those that may run again
-  Tally refused_;                                               // told once a second, by reason
-  HeldGauge gauge_;                                             // kept where there is an admin socket
-  bool list_told_ = false;                                      // by discovery, in this life
-  std::deque<std::vector<cedarplank::Endpoint>> listed_later_;  // told by a list, not to the module yet
+  RecentIds recent_;        // taken on and over; those that may run again
+  Tally refused_;           // told once a second, by reason
+  HeldGauge gauge_;         // kept where there is an admin socket
+  bool list_told_ = false;  // by discovery, in this life
+  std::deque<std::vector<heronvane::dispatch::Endpoint>>
+      listed_later_;  // told by a list, not to the module yet
   std::vector<Arrived> arrived_;
-  std::vector<cedarplank::Event> events_;
+  std::vector<heronvane::dispatch::Event> events_;
   std::multimap<Time, std::uint64_t> timers_;
   Time last_round_ = 0, stop_at_ = 0;
   bool list_missed_ = false;  // the list changed meanwhile
--- a/relay/relay_admin.cpp
+++ b/relay/relay_admin.cpp
@@ -108,11 +108,11 @@
   s.counts = gauge_.counts(store_.clock().now());
   s.calls = calls_.out(), s.slots = static_cast<std::size_t>(config_.settings.slots);
   s.clients = intake_->clients();
-  std::vector<cedarplank::TargetMemory> known;
+  std::vector<heronvane::dispatch::TargetMemory> known;
   dispatcher_.targets(steady_now(), kMostTargets, known);
   for (auto& k : known) {
     const auto* const told = directory_.find(k.endpoint);
-    s.targets.push_back({std::move(k), told == nullptr ? cedarplank::Listing::gone : told->listing});
+    s.targets.push_back({std::move(k), told == nullptr ? heronvane::dispatch::Listing::gone : told->listing});
   }
   s.store_bytes = store_.bytes(), s.store_limit = store_.limit(), s.segments = store_.segments().size();
   s.memory_kb = memory_kb(), s.descriptors = open_descriptors();
--- a/relay/relay_copies.cpp
+++ b/relay/relay_copies.cpp
@@ -40,7 +40,7 @@
     if (held == nullptr) continue;
     for (std::size_t i = 0; i < held->attempts.size(); i++)
       if (!held->attempts[i].outcome) calls_.cancel(id, static_cast<int>(i));
-    if (!held->ending) happened(cedarplank::event::Withdrawn{id});
+    if (!held->ending) happened(heronvane::dispatch::event::Withdrawn{id});
     over(id, false);
   }
 }
@@ -58,9 +58,9 @@
       drop.push_back(id);
       const Held* const own = known == numbers_.end() ? nullptr : store_.find(known->second);
       const auto cls = config_.names.classes.find(held.message.message_class);
-      const bool unsafe =
-          cls == config_.names.classes.end() ||
-          config_.settings.classes[static_cast<std::size_t>(cls->second)].effect != cedarplank::Effect::safe;
+      const bool unsafe = cls == config_.names.classes.end() ||
+                          config_.settings.classes[static_cast<std::size_t>(cls->second)].effect !=
+                              heronvane::dispatch::Effect::safe;
       if (own != nullptr && unsafe && held.may_have_run() && !own->ending) in_doubt.push_back(known->second);
       continue;
     }
@@ -71,7 +71,7 @@
   for (const MessageId id : unknown) finish(plan, id, {});
   // It may have run over there: it must not run here.
   for (const MessageId id : in_doubt) {
-    happened(cedarplank::event::Withdrawn{id});
+    happened(heronvane::dispatch::event::Withdrawn{id});
     finish(plan, id, {});
   }
   for (const MessageId id : drop) store_.over(id, false);
--- a/relay/relay_lifecycle.cpp
+++ b/relay/relay_lifecycle.cpp
@@ -7,8 +7,8 @@
 
 namespace heronvane {
 
-namespace event = cedarplank::event;
-using cedarplank::Listing;
+namespace event = heronvane::dispatch::event;
+using heronvane::dispatch::Listing;
 
 namespace {
 
@@ -80,7 +80,7 @@
 
 // ---- What it learned. ----
 // What earlier lives learned of endpoints that are listed now is the module's again.
-void Relay::recall(const std::vector<cedarplank::Endpoint>& endpoints) {
+void Relay::recall(const std::vector<heronvane::dispatch::Endpoint>& endpoints) {
   if (recalled_.size() == 0 || unwritten_) return;
   const Time now = store_.clock().now(), gap = store_.clock().assumed_gap();
   for (const auto& e : endpoints)
--- a/relay/request.cpp
+++ b/relay/request.cpp
@@ -56,8 +56,8 @@
 
 }  // namespace
 
-Handed read_message(Request& request, const cedarplank::Settings& settings,
-                    const cedarplank::adapter::Tables& names) {
+Handed read_message(Request& request, const heronvane::dispatch::Settings& settings,
+                    const heronvane::dispatch::adapter::Tables& names) {
   Handed h;
   const auto refuse = [&h](unsigned status, const char* why) {
     h.refused = status, h.why = why;
--- a/relay/request.hpp
+++ b/relay/request.hpp
@@ -4,8 +4,8 @@
 #include <boost/beast/http/message.hpp>
 #include <boost/beast/http/string_body.hpp>
 
-#include "cedarplank/dispatcher.hpp"
 #include "core/message.hpp"
+#include "heronvane/dispatch/dispatcher.hpp"
 #include "settings.hpp"
 
 namespace heronvane {
@@ -20,7 +20,7 @@
   unsigned refused = 0;
   const char* why = "";
 };
-Handed read_message(Request& request, const cedarplank::Settings& settings,
-                    const cedarplank::adapter::Tables& names);
+Handed read_message(Request& request, const heronvane::dispatch::Settings& settings,
+                    const heronvane::dispatch::adapter::Tables& names);
 
 }  // namespace heronvane
--- a/src/dispatcher.cpp
+++ b/src/dispatcher.cpp
@@ -1,10 +1,10 @@
-// The decisions of cedarplank. Interface: include/cedarplank/dispatcher.hpp
+// The decisions of the dispatcher. Interface: include/heronvane/dispatch/dispatcher.hpp
 //
 // Read top to bottom: constants; what is kept of endpoints, targets and messages; learning from
 // outcomes (LIMD delay, pace, health); what outlasts the process; the list; the one gate that every send
 // passes; choosing what goes next; ends and timers. docs/design.md tells what comes from the design's source
 // and what is ours.
-#include "cedarplank/dispatcher.hpp"
+#include "heronvane/dispatch/dispatcher.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -25,7 +25,7 @@
 #include "waiting.hpp"
 #include "worth.hpp"
 
-namespace cedarplank {
+namespace heronvane::dispatch {
 namespace {
 
 // ---- Constants. Times in seconds, unless derived from settings where they are used. ----
@@ -1027,8 +1027,8 @@
     const KeyLine& k = keys.at(m.key);
     return k.line.front() != m.id ? kNever : m.sends == 0 ? k.rest_until : now;
   }
-#ifdef CEDARPLANK_FULL_WALK
-#include CEDARPLANK_FULL_WALK
+#ifdef HERONVANE_FULL_WALK
+#include HERONVANE_FULL_WALK
 #else
   void dispatch() {
     const bool slots_short = calls.size() >= static_cast<std::size_t>(set.slots);
@@ -1210,4 +1210,4 @@
   state_->handle(now, events, actions);
 }
 
-}  // namespace cedarplank
+}  // namespace heronvane::dispatch
--- a/src/rates.hpp
+++ b/src/rates.hpp
@@ -6,9 +6,9 @@
 #include <cmath>
 #include <limits>
 
-#include "cedarplank/dispatcher.hpp"
+#include "heronvane/dispatch/dispatcher.hpp"
 
-namespace cedarplank {
+namespace heronvane::dispatch {
 
 inline double seconds(Time t) { return static_cast<double>(t) * 1e-6; }
 
@@ -64,4 +64,4 @@
   double bent_ = kUnbounded;  // seconds until the rate is `most`
 };
 
-}  // namespace cedarplank
+}  // namespace heronvane::dispatch
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -2,9 +2,9 @@
 #include <stdexcept>
 #include <string>
 
-#include "cedarplank/dispatcher.hpp"
+#include "heronvane/dispatch/dispatcher.hpp"
 
-namespace cedarplank {
+namespace heronvane::dispatch {
 
 void validate(const Settings& s) {
   const auto need = [](bool ok, const char* what) {
@@ -33,4 +33,4 @@
   need(s.cold_from >= 0 && s.cold_from <= 1, "cold_from: must lie between 0 and 1");
 }
 
-}  // namespace cedarplank
+}  // namespace heronvane::dispatch
--- a/src/state.hpp
+++ b/src/state.hpp
@@ -10,11 +10,11 @@
 #include <string>
 #include <vector>
 
-#include "cedarplank/dispatcher.hpp"
+#include "heronvane/dispatch/dispatcher.hpp"
 #include "rates.hpp"
 #include "waiting.hpp"
 
-namespace cedarplank {
+namespace heronvane::dispatch {
 
 constexpr Time kNever = Waiting::kNever;
 constexpr double kRateMemory = 4;       // seconds: memory of served-rate estimates
@@ -128,4 +128,4 @@
   Time rest_until = 0;
 };
 
-}  // namespace cedarplank
+}  // namespace heronvane::dispatch
--- a/src/waiting.cpp
+++ b/src/waiting.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace cedarplank {
+namespace heronvane::dispatch {
 
 Waiting::Waiting(const std::vector<std::vector<Phase>>& groups) {
   for (const auto& phases : groups) {
@@ -178,4 +178,4 @@
   if (of->second.empty()) by_destination_.erase(of);
 }
 
-}  // namespace cedarplank
+}  // namespace heronvane::dispatch
--- a/src/waiting.hpp
+++ b/src/waiting.hpp
@@ -17,9 +17,9 @@
 #include <utility>
 #include <vector>
 
-#include "cedarplank/dispatcher.hpp"
+#include "heronvane/dispatch/dispatcher.hpp"
 
-namespace cedarplank {
+namespace heronvane::dispatch {
 
 // From so long past its aim on, messages of one group are urgent in this order: by id, or by their aims
 // (equal ones by id).
@@ -200,4 +200,4 @@
   std::size_t size_ = 0, lane_count_ = 0;
 };
 
-}  // namespace cedarplank
+}  // namespace heronvane::dispatch
--- a/src/worth.cpp
+++ b/src/worth.cpp
@@ -7,7 +7,7 @@
 
 #include "rates.hpp"
 
-namespace cedarplank {
+namespace heronvane::dispatch {
 namespace {
 
 constexpr Time kNever = std::numeric_limits<Time>::max() / 4;
@@ -56,4 +56,4 @@
   return phases;
 }
 
-}  // namespace cedarplank
+}  // namespace heronvane::dispatch
--- a/src/worth.hpp
+++ b/src/worth.hpp
@@ -3,10 +3,10 @@
 
 #include <vector>
 
-#include "cedarplank/dispatcher.hpp"
+#include "heronvane/dispatch/dispatcher.hpp"
 #include "waiting.hpp"
 
-namespace cedarplank {
+namespace heronvane::dispatch {
 
 // The share of its full worth that a message has so long past its aim (before it: below 0).
 double worth_left(const ClassSettings& c, Decay decay, Time past);
@@ -17,4 +17,4 @@
 // The first stretch begins before any time.
 std::vector<Phase> worth_phases(const ClassSettings& c, Decay decay, Time ahead);
 
-}  // namespace cedarplank
+}  // namespace heronvane::dispatch
--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -5,7 +5,7 @@
 
 #include "codec.hpp"
 
-namespace cedarplank::adapter {
+namespace heronvane::dispatch::adapter {
 namespace {
 
 const char* const kSetup =
@@ -155,4 +155,4 @@
 }
 
 }  // namespace
-}  // namespace cedarplank::adapter
+}  // namespace heronvane::dispatch::adapter
--- a/tests/answer_test.cpp
+++ b/tests/answer_test.cpp
@@ -100,9 +100,11 @@
   EXPECT_EQ(read("X-Load: x0=0.4,x1=25").report().limit_rate, 25);
   for (const std::string& bad : {std::string("nan"), std::string("inf"), std::string("-1"),
                                  std::string("4abc"), std::string(""), std::string("1e999")}) {
-    EXPECT_EQ(read("X-Load: x0=" + bad + ",x1=" + bad).report().limit_left, cedarplank::Report{}.limit_left)
+    EXPECT_EQ(read("X-Load: x0=" + bad + ",x1=" + bad).report().limit_left,
+              heronvane::dispatch::Report{}.limit_left)
         << bad;
-    EXPECT_EQ(read("X-Load: x0=" + bad + ",x1=" + bad).report().limit_rate, cedarplank::Report{}.limit_rate)
+    EXPECT_EQ(read("X-Load: x0=" + bad + ",x1=" + bad).report().limit_rate,
+              heronvane::dispatch::Report{}.limit_rate)
         << bad;
     EXPECT_EQ(read("X-Come-Back-Ms: " + bad).told_wait(), 0) << bad;
   }
--- a/tests/crossings/restart_test.cpp
+++ b/tests/crossings/restart_test.cpp
@@ -25,7 +25,7 @@
     members = member("s-1", endpoint.address());
   }
   // That life had learned this of s-1 just before its end.
-  void had_learned(cedarplank::TargetMemory memory) {
+  void had_learned(heronvane::dispatch::TargetMemory memory) {
     memory.endpoint = "s-1", memory.destination = 7;
     const auto disk = store::open_folder(folder + "/state");
     store::Options options;
@@ -46,7 +46,7 @@
 TEST_F(RestartTest, WhatIsUntriedIsTriedWhereLittleIsLetThrough) {
   constexpr std::size_t kMessages = 10;
   leave_untried(kMessages, kSafe, "6000m");
-  cedarplank::TargetMemory memory;
+  heronvane::dispatch::TargetMemory memory;
   memory.let_through = 0.02;
   had_learned(memory);
   start();
@@ -69,7 +69,7 @@
            "calls that fail");
   kill_relay();
   members = member("s-1", endpoint.address());
-  cedarplank::TargetMemory memory;
+  heronvane::dispatch::TargetMemory memory;
   memory.let_through = 0.02;
   had_learned(memory);
   // Refused: one that is served would speak for the others.
--- a/tests/directory_test.cpp
+++ b/tests/directory_test.cpp
@@ -10,9 +10,9 @@
 namespace heronvane {
 namespace {
 
-using cedarplank::Endpoint;
-using cedarplank::EndpointId;
-using cedarplank::Listing;
+using heronvane::dispatch::Endpoint;
+using heronvane::dispatch::EndpointId;
+using heronvane::dispatch::Listing;
 
 Member member(const std::string& id, std::int64_t destination, Listing listing = Listing::active) {
   Member m;
--- a/tests/dispatcher_test.cpp
+++ b/tests/dispatcher_test.cpp
@@ -6,7 +6,7 @@
 
 #include "harness.hpp"
 
-namespace cedarplank::testing {
+namespace heronvane::dispatch::testing {
 namespace {
 
 std::optional<Outcome> serve(const Sent&) { return Outcome::served; }
@@ -661,4 +661,4 @@
 }
 
 }  // namespace
-}  // namespace cedarplank::testing
+}  // namespace heronvane::dispatch::testing
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
-#include "cedarplank/dispatcher.hpp"
+#include "heronvane/dispatch/dispatcher.hpp"
 
-namespace cedarplank::testing {
+namespace heronvane::dispatch::testing {
 
 constexpr Time kMs = 1'000, kS = 1'000'000;
 
@@ -159,4 +159,4 @@
   MessageId last_id_ = 0;
 };
 
-}  // namespace cedarplank::testing
+}  // namespace heronvane::dispatch::testing
--- a/tests/kept_test.cpp
+++ b/tests/kept_test.cpp
@@ -8,8 +8,8 @@
 namespace heronvane {
 namespace {
 
-using cedarplank::Health;
-using cedarplank::Listing;
+using heronvane::dispatch::Health;
+using heronvane::dispatch::Listing;
 
 constexpr Time kNow = 1'700'000'000'000'000, kHour = 3'600'000'000;
 
@@ -125,7 +125,7 @@
 }
 
 TEST(TargetMemory, IsReadAsItWasWritten) {
-  cedarplank::TargetMemory m;
+  heronvane::dispatch::TargetMemory m;
   m.endpoint = "s 1", m.destination = -7, m.health = Health::ramp, m.health_age = 5, m.usual_rate = 0.125;
   m.budget = 0.5, m.fail_run = 3, m.fail_share = 0.25, m.doubt = true, m.bundle = 4, m.wait_left = 1'000'000;
   m.delay = 0.75, m.pace = 12.5, m.refusals = 2, m.refused_age = 9, m.let_through = 0.5;
@@ -139,7 +139,7 @@
 }
 
 TEST(TargetMemory, WaitsAreNotShortenedByAReboot) {
-  cedarplank::TargetMemory m;
+  heronvane::dispatch::TargetMemory m;
   m.endpoint = "a", m.wait_left = 10'000'000;
   const std::map<std::string, std::string> facts = {{target_key("a"), write_target(m, kNow)}};
   const Time later = kNow + 8'000'000;
@@ -155,7 +155,7 @@
 
 // Of endpoints that went while no relay ran nobody would ever drop it.
 TEST(TargetMemory, WhatWasNotSeenForAWeekIsOutdated) {
-  cedarplank::TargetMemory m;
+  heronvane::dispatch::TargetMemory m;
   m.health = Health::closed;
   const auto text = write_target(m, kNow);
   const std::map<std::string, std::string> facts = {{target_key("a"), text}, {target_key("b"), "what"}};
--- a/tests/memory_test.cpp
+++ b/tests/memory_test.cpp
@@ -7,7 +7,7 @@
 
 #include "harness.hpp"
 
-namespace cedarplank::testing {
+namespace heronvane::dispatch::testing {
 namespace {
 
 constexpr std::size_t kAll = 1'000;
@@ -605,4 +605,4 @@
 }
 
 }  // namespace
-}  // namespace cedarplank::testing
+}  // namespace heronvane::dispatch::testing
--- a/tests/policy/full_walk.cpp
+++ b/tests/policy/full_walk.cpp
@@ -1,12 +1,12 @@
 // The decisions once more under another name, with another dispatch().
 #define Dispatcher WalkingDispatcher
-#define CEDARPLANK_FULL_WALK "full_walk.inc"
+#define HERONVANE_FULL_WALK "full_walk.inc"
 #include "../../src/dispatcher.cpp"
 #undef Dispatcher
 
 #include "full_walk.hpp"
 
-namespace cedarplank::testing {
+namespace heronvane::dispatch::testing {
 
 struct FullWalk::Inside {
   WalkingDispatcher dispatcher;
@@ -20,4 +20,4 @@
   inside_->dispatcher.handle(now, events, actions);
 }
 
-}  // namespace cedarplank::testing
+}  // namespace heronvane::dispatch::testing
--- a/tests/policy/full_walk.hpp
+++ b/tests/policy/full_walk.hpp
@@ -4,9 +4,9 @@
 #include <memory>
 #include <vector>
 
-#include "cedarplank/dispatcher.hpp"
+#include "heronvane/dispatch/dispatcher.hpp"
 
-namespace cedarplank::testing {
+namespace heronvane::dispatch::testing {
 
 class FullWalk {
  public:
@@ -19,4 +19,4 @@
   std::unique_ptr<Inside> inside_;
 };
 
-}  // namespace cedarplank::testing
+}  // namespace heronvane::dispatch::testing
--- a/tests/policy/index_test.cpp
+++ b/tests/policy/index_test.cpp
@@ -11,7 +11,7 @@
 #include "full_walk.hpp"
 #include "random_stream.hpp"
 
-namespace cedarplank::testing {
+namespace heronvane::dispatch::testing {
 namespace {
 
 constexpr Time kFar = 1'000'000'000'000'000;
@@ -92,4 +92,4 @@
 }
 
 }  // namespace
-}  // namespace cedarplank::testing
+}  // namespace heronvane::dispatch::testing
--- a/tests/policy/random_stream.cpp
+++ b/tests/policy/random_stream.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace cedarplank::testing {
+namespace heronvane::dispatch::testing {
 namespace {
 
 constexpr Time kMs = 1'000, kS = 1'000'000;
@@ -205,4 +205,4 @@
   }
 }
 
-}  // namespace cedarplank::testing
+}  // namespace heronvane::dispatch::testing
--- a/tests/policy/random_stream.hpp
+++ b/tests/policy/random_stream.hpp
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "cedarplank/dispatcher.hpp"
+#include "heronvane/dispatch/dispatcher.hpp"
 
-namespace cedarplank::testing {
+namespace heronvane::dispatch::testing {
 
 // Settings, endpoints and how much comes hang on the seed.
 class RandomStream {
@@ -58,4 +58,4 @@
   std::size_t sends_ = 0;
 };
 
-}  // namespace cedarplank::testing
+}  // namespace heronvane::dispatch::testing
--- a/tests/policy/rates_test.cpp
+++ b/tests/policy/rates_test.cpp
@@ -5,7 +5,7 @@
 
 #include <random>
 
-namespace cedarplank::testing {
+namespace heronvane::dispatch::testing {
 namespace {
 
 TEST(Growth, IsTheIntegralOfItsRateAndUntilIsItsInverse) {
@@ -38,4 +38,4 @@
 }
 
 }  // namespace
-}  // namespace cedarplank::testing
+}  // namespace heronvane::dispatch::testing
--- a/tests/policy/worth_test.cpp
+++ b/tests/policy/worth_test.cpp
@@ -5,7 +5,7 @@
 
 #include <random>
 
-namespace cedarplank::testing {
+namespace heronvane::dispatch::testing {
 namespace {
 
 double urgency(const ClassSettings& c, Decay decay, Time past, Time ahead) {
@@ -57,4 +57,4 @@
 }
 
 }  // namespace
-}  // namespace cedarplank::testing
+}  // namespace heronvane::dispatch::testing
--- a/tests/recovered_test.cpp
+++ b/tests/recovered_test.cpp
@@ -1,7 +1,7 @@
 // Messages of an earlier life, against the module: what they may still do, and when they are tried.
 #include "harness.hpp"
 
-namespace cedarplank::testing {
+namespace heronvane::dispatch::testing {
 namespace {
 
 event::Recovered recovered(MessageId id, Class c, int attempts, bool may_have_run, Time left = 5 * kS) {
@@ -148,4 +148,4 @@
 }
 
 }  // namespace
-}  // namespace cedarplank::testing
+}  // namespace heronvane::dispatch::testing
--- a/tests/request_test.cpp
+++ b/tests/request_test.cpp
@@ -32,8 +32,8 @@
     handed = read_message(parser.get(), settings, names);
     return handed.refused > 0 ? handed.refused : 202;
   }
-  cedarplank::Settings settings;
-  cedarplank::adapter::Tables names;
+  heronvane::dispatch::Settings settings;
+  heronvane::dispatch::adapter::Tables names;
   Handed handed;
 };
 
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,7 +1,7 @@
 // The six rules, each with events that break it where its guard is taken out.
 #include "harness.hpp"
 
-namespace cedarplank::testing {
+namespace heronvane::dispatch::testing {
 namespace {
 
 TEST(Lost, HeldMessageEndsByItsDeadline) {
@@ -268,4 +268,4 @@
 }
 
 }  // namespace
-}  // namespace cedarplank::testing
+}  // namespace heronvane::dispatch::testing
--- a/tests/run.sh
+++ b/tests/run.sh
@@ -18,8 +18,8 @@
 
 for sanitize in OFF ON; do
   dir=build-test-$sanitize
-  cmake -B "$dir" -DCMAKE_BUILD_TYPE=Release -DCEDARPLANK_TESTS=ON -DCEDARPLANK_WERROR=ON \
-    -DCEDARPLANK_SANITIZE=$sanitize >/dev/null
+  cmake -B "$dir" -DCMAKE_BUILD_TYPE=Release -DHERONVANE_TESTS=ON -DHERONVANE_WERROR=ON \
+    -DHERONVANE_SANITIZE=$sanitize >/dev/null
   cmake --build "$dir" -j "$(nproc)"
   if ((${#known_red[@]})); then
     ctest --test-dir "$dir" -R "^($known_red_pattern)\$" -j "$(nproc)" || echo "known red tests failed, as listed"
