--- a/adapter/codec.cpp
+++ b/adapter/codec.cpp
@@ -129,7 +129,7 @@
 };
 
 struct Codec::Impl {
-  Time now = 0;
+  Microseconds now = 0;
   bool in_batch = false;
   std::map<std::string, Instance> instances;
   std::map<std::int64_t, std::vector<PoolEntry>> pools;
--- a/bench/amplification.cpp
+++ b/bench/amplification.cpp
@@ -33,10 +33,10 @@
     for (int i = 0; i < settings.repeats; i++) {
       const Scratch scratch(settings.folder, "amplification");
       WorkClock clock;
-      constexpr Time kTick = 1'000;
+      constexpr Microseconds kTick = 1'000;
       const auto sample = make_message(1, 0, c.body);
-      const auto ids = static_cast<Time>(c.ids * static_cast<double>(kLimit) /
-                                         static_cast<double>(store::over_bytes(sample.id)));
+      const auto ids = static_cast<Microseconds>(c.ids * static_cast<double>(kLimit) /
+                                                 static_cast<double>(store::over_bytes(sample.id)));
       store::Options options;
       options.limit_bytes = kLimit;
       options.attempts_max = c.attempts_max;
@@ -47,7 +47,7 @@
       const auto each = cost.messages + store::kAttemptBytes / 2;
       const auto wanted =
           static_cast<std::size_t>(c.held * static_cast<double>(kLimit) / static_cast<double>(each));
-      options.remember_window = std::max<Time>(ids - static_cast<Time>(wanted), 0) * kTick;
+      options.remember_window = std::max<Microseconds>(ids - static_cast<Microseconds>(wanted), 0) * kTick;
       const auto disk = store::open_folder(scratch.path().string());
       store::Store store(*disk, options);
       std::mt19937_64 random(static_cast<std::uint64_t>(i) + 1);
--- a/bench/compaction.cpp
+++ b/bench/compaction.cpp
@@ -14,7 +14,7 @@
 struct Case {
   std::uint64_t limit = 0;
   int attempts_max = 0;
-  Time window = 0;  // ids, times the clock's tick
+  Microseconds window = 0;  // ids, times the clock's tick
 };
 
 void measure(const Settings& settings, const Case& c) {
--- a/bench/scale/module_bench.cpp
+++ b/bench/scale/module_bench.cpp
@@ -22,7 +22,7 @@
 
 namespace {
 
-constexpr Time kMs = 1'000, kS = 1'000'000;
+constexpr Microseconds kMs = 1'000, kS = 1'000'000;
 constexpr std::size_t kMostGood = 1'000;
 
 Settings settings(std::size_t held) {
@@ -96,7 +96,7 @@
   Dispatcher dispatcher_;
   std::mt19937_64 random_{1};
   std::size_t dead_ = 0, good_ = 0;
-  Time now_ = kS;
+  Microseconds now_ = kS;
   MessageId last_ = 0;
   std::uint64_t served_ = 0;
   std::unordered_map<MessageId, int> attempts_;
@@ -170,7 +170,7 @@
   directory.take(all(destinations), nothing, nothing);
   dispatcher.handle(kS, {event::ListWhole{directory.all(), false}}, actions);
   std::size_t oldest = 0, newest = destinations;
-  Time now = 2 * kS;
+  Microseconds now = 2 * kS;
   MessageId id = 0;
   for (int minute = 0; minute < 60 * hours; minute++) {
     for (std::size_t i = 0; i < destinations / 100; i++, oldest++, newest++) {
--- a/bench/scale/relay_bench.cpp
+++ b/bench/scale/relay_bench.cpp
@@ -60,17 +60,17 @@
   const std::string tick = std::to_string(std::atoi(argv[7]) * 1'000);
 
   net::io_context io;
-  std::unordered_map<std::string, Time> sent;
+  std::unordered_map<std::string, Microseconds> sent;
   Latencies latencies(3'600'000'000);
   std::uint64_t arrived = 0, twice = 0;
-  Time measured_from = steady_time() + 3'600'000'000;
+  Microseconds measured_from = steady_time() + 3'600'000'000;
   std::vector<std::unique_ptr<Endpoint>> endpoints;
   EndpointOptions options;
   options.habits.median = 0, options.habits.spread = 0;
   options.arrived = [&](const std::string& id, bool) {
     const auto it = sent.find(id);
     if (it == sent.end()) return void(twice++);
-    const Time now = steady_time();
+    const Microseconds now = steady_time();
     if (now >= measured_from) arrived++, latencies.add(now, now - it->second);
     sent.erase(it);
   };
@@ -124,7 +124,7 @@
   clients.patience = 5'000'000;
   const auto run = [&](double for_seconds) {
     io.restart();
-    net::steady_timer stop(io, std::chrono::microseconds(static_cast<Time>(for_seconds * 1e6)));
+    net::steady_timer stop(io, std::chrono::microseconds(static_cast<Microseconds>(for_seconds * 1e6)));
     stop.async_wait([&](auto) { io.stop(); });
     io.run();
   };
@@ -145,7 +145,7 @@
   const double before = cpu_seconds(relay);
   run(seconds);
   const double used = cpu_seconds(relay) - before;
-  const Time now = steady_time();
+  const Microseconds now = steady_time();
   std::printf(
       "%.0f/s to %zu destinations, %zu held for a silent one: %.0f/s delivered, CPU %.1f us a message, "
       "p50 %.2f ms, p99 %.2f ms, twice %llu\n",
--- a/bench/sqlite_side.cpp
+++ b/bench/sqlite_side.cpp
@@ -75,7 +75,7 @@
   sqlite3_reset(statement.get());
 }
 
-void SqliteSide::take(MessageId number, const Message& m, Time sent) {
+void SqliteSide::take(MessageId number, const Message& m, Microseconds sent) {
   sqlite3_stmt* const s = take_.get();
   const auto n = static_cast<std::int64_t>(number);
   bind(s, 1, n), bind(s, 2, m.id), bind(s, 3, m.message_class), bind(s, 4, m.tenant);
--- a/bench/sqlite_side.hpp
+++ b/bench/sqlite_side.hpp
@@ -35,7 +35,7 @@
   // All that is held, and the ids that are remembered until when.
   struct Found {
     std::map<MessageId, Held> held;
-    std::unordered_map<std::string, Time> remembered;
+    std::unordered_map<std::string, Microseconds> remembered;
   };
   Found read();
 
@@ -50,20 +50,20 @@
   struct Open {
     MessageId number = 0;
     std::string id;
-    Time deadline = 0;
+    Microseconds deadline = 0;
   };
 
   void execute(const char* sql);
   Statement prepare(const char* sql);
   void step(const Statement& statement);
   void require(int result, int wanted);
-  void take(MessageId number, const Message& m, Time sent);
+  void take(MessageId number, const Message& m, Microseconds sent);
   void end(const Open& one);
   void forget();
 
   Rounds rounds_;
   Attempts attempts_;
-  Time now_ = 1'000'000;
+  Microseconds now_ = 1'000'000;
   std::unique_ptr<sqlite3, CloseDatabase> db_;
   Statement begin_, commit_, take_, sent_, outcome_, drop_attempts_, drop_, remember_, forget_;
   std::deque<std::vector<Open>> open_;
--- a/bench/store_side.hpp
+++ b/bench/store_side.hpp
@@ -16,10 +16,10 @@
 
 // How a side works: the same on both.
 struct Rounds {
-  std::size_t lag = 64;        // a message ends so many rounds after it was taken
-  std::size_t in_flight = 1;   // rounds that may wait for their sync
-  Time tick = 100;             // the clock's step for each message
-  Time window = 50'000 * 100;  // how long an id is remembered past its message's deadline
+  std::size_t lag = 64;                // a message ends so many rounds after it was taken
+  std::size_t in_flight = 1;           // rounds that may wait for their sync
+  Microseconds tick = 100;             // the clock's step for each message
+  Microseconds window = 50'000 * 100;  // how long an id is remembered past its message's deadline
 };
 
 // What came of a phase.
--- a/bench/work.cpp
+++ b/bench/work.cpp
@@ -8,7 +8,7 @@
 
 namespace heronvane::bench {
 
-Message make_message(std::uint64_t n, Time now, std::size_t body) {
+Message make_message(std::uint64_t n, Microseconds now, std::size_t body) {
   Message m;
   char id[17];
   std::snprintf(id, sizeof id, "%016llx", static_cast<unsigned long long>(n * 0x9e3779b97f4a7c15));
--- a/bench/work.hpp
+++ b/bench/work.hpp
@@ -25,7 +25,7 @@
 // Where the store's clock stands: it goes on with the work, so that ids are forgotten after the same number
 // of messages on a fast and on a slow side.
 struct WorkClock {
-  Time now = 1'000'000;
+  Microseconds now = 1'000'000;
   store::ReadClocks read() {
     return [this] { return store::ClockReading{now, 1'700'000'000'000'000 + now}; };
   }
@@ -33,7 +33,7 @@
 
 // An id of 16 characters, a body of `body` bytes; the deadline is `now`, so that its id is remembered for the
 // window from then on.
-Message make_message(std::uint64_t n, Time now, std::size_t body = 200);
+Message make_message(std::uint64_t n, Microseconds now, std::size_t body = 200);
 
 // Bytes that this process has handed to write() and its like (wchar of /proc/self/io).
 std::uint64_t process_wchar();
--- a/cli/demo_ledger.cpp
+++ b/cli/demo_ledger.cpp
@@ -4,7 +4,7 @@
 
 using standins::Heard;
 
-void Ledger::sent(Time now, const std::string& id, bool unsafe) {
+void Ledger::sent(Microseconds now, const std::string& id, bool unsafe) {
   Entry& e = entries_[id];
   e.sent = now, e.unsafe = unsafe;
 }
@@ -51,7 +51,7 @@
   totals_.twice++;
 }
 
-void Ledger::delivered(Time now, const std::string& id) {
+void Ledger::delivered(Microseconds now, const std::string& id) {
   const auto it = entries_.find(id);
   if (it == entries_.end() || it->second.delivered) return;
   Entry& e = it->second;
@@ -66,7 +66,7 @@
     totals_.open--;
 }
 
-void Ledger::forget(Time before) {
+void Ledger::forget(Microseconds before) {
   for (auto it = entries_.begin(); it != entries_.end();) {
     const Entry& e = it->second;
     const bool settled = e.said == Said::taken ? e.delivered || e.ended : e.said != Said::nothing;
--- a/cli/demo_ledger.hpp
+++ b/cli/demo_ledger.hpp
@@ -14,7 +14,7 @@
 
 class Ledger {
  public:
-  using Time = standins::Time;
+  using Microseconds = standins::Microseconds;
   struct Totals {
     std::uint64_t taken = 0, delivered = 0;
     std::uint64_t ended = 0;     // of those taken and not delivered: by a notice, once told by ended()
@@ -25,12 +25,12 @@
   };
 
   // One try to hand in, under its id, before its first byte; `unsafe`: it must not take effect twice.
-  void sent(Time now, const std::string& id, bool unsafe);
+  void sent(Microseconds now, const std::string& id, bool unsafe);
   void heard(const std::string& id, standins::Heard heard);
-  void ran(const std::string& id);                  // it took effect at an endpoint
-  void delivered(Time now, const std::string& id);  // a 200 was written
+  void ran(const std::string& id);                          // it took effect at an endpoint
+  void delivered(Microseconds now, const std::string& id);  // a 200 was written
   // Drops what can change no more: of ids sent before `before`, those delivered or never taken.
-  void forget(Time before);
+  void forget(Microseconds before);
   // Asks of each message that is open whether a notice ended it.
   void settle(const std::function<bool(const std::string& id)>& noticed);
 
@@ -41,7 +41,7 @@
  private:
   enum class Said { nothing, taken, refused, silence };
   struct Entry {
-    Time sent = 0;
+    Microseconds sent = 0;
     bool unsafe = false, delivered = false, ended = false, breach = false;
     Said said = Said::nothing;
     unsigned ran = 0;
--- a/cli/demo_world.cpp
+++ b/cli/demo_world.cpp
@@ -13,19 +13,19 @@
 
 namespace {
 
-constexpr DemoWorld::Time kSecond = 1'000'000;
-constexpr DemoWorld::Time kReplaceEach = 25 * kSecond;
+constexpr DemoWorld::Microseconds kSecond = 1'000'000;
+constexpr DemoWorld::Microseconds kReplaceEach = 25 * kSecond;
 // Longer than a list may take to be known everywhere, and its calls to come to an end.
-constexpr DemoWorld::Time kDrains = 6 * kSecond, kStands = 9 * kSecond;
-constexpr DemoWorld::Time kRateOver = 3 * kSecond;
-constexpr DemoWorld::Time kForgetAfter = 120 * kSecond;
-constexpr DemoWorld::Time kTellResetsEach = 10 * kSecond;
+constexpr DemoWorld::Microseconds kDrains = 6 * kSecond, kStands = 9 * kSecond;
+constexpr DemoWorld::Microseconds kRateOver = 3 * kSecond;
+constexpr DemoWorld::Microseconds kForgetAfter = 120 * kSecond;
+constexpr DemoWorld::Microseconds kTellResetsEach = 10 * kSecond;
 // Short enough that all that is held is over within the seconds that the end may take.
-constexpr DemoWorld::Time kDeadline = 1'500'000, kUnsafeDeadline = 2'500'000;
+constexpr DemoWorld::Microseconds kDeadline = 1'500'000, kUnsafeDeadline = 2'500'000;
 constexpr const char* kSafe = "load-status";
 constexpr const char* kUnsafe = "pay-and-order";
 
-double rate(std::uint64_t now, std::uint64_t before, DemoWorld::Time span) {
+double rate(std::uint64_t now, std::uint64_t before, DemoWorld::Microseconds span) {
   return span <= 0 || now < before ? 0 : static_cast<double>(now - before) * 1e6 / static_cast<double>(span);
 }
 
@@ -161,7 +161,7 @@
 }
 bool DemoWorld::clients_out() const { return counts().out > 0; }
 
-void DemoWorld::replace(std::size_t i, Time now) {
+void DemoWorld::replace(std::size_t i, Microseconds now) {
   const Row& old = rows_[i];
   add(old.partner, old.habits, old.ways, true);
   rows_[i].status = "draining";
@@ -171,7 +171,7 @@
   tell_("drained: " + rows_[i].endpoint->name() + " -> " + rows_.back().endpoint->name());
 }
 
-void DemoWorld::tick(Time now) {
+void DemoWorld::tick(Microseconds now) {
   for (auto& r : rows_) {
     const auto& name = r.endpoint->name();
     if (r.endpoint->silent() != r.silent) {
@@ -208,7 +208,7 @@
   mark(now);
 }
 
-void DemoWorld::mark(Time now) {
+void DemoWorld::mark(Microseconds now) {
   Mark m;
   m.at = now;
   for (std::size_t i = 0; i < relays_; i++) m.taken.push_back(clients_->relay(i).taken);
@@ -217,10 +217,10 @@
   while (marks_.size() > 1 && marks_[1].at <= now - kRateOver) marks_.pop_front();
 }
 
-void DemoWorld::fill(DemoView& view, const std::vector<Instance>& instances, Time now) {
+void DemoWorld::fill(DemoView& view, const std::vector<Instance>& instances, Microseconds now) {
   view.partners = partners_.size();
   const Mark* const before = marks_.empty() ? nullptr : &marks_.front();
-  const Time span = before == nullptr ? 0 : now - before->at;
+  const Microseconds span = before == nullptr ? 0 : now - before->at;
   for (std::size_t i = 0; i < view.relays.size() && i < relays_; i++) {
     const auto& r = clients_->relay(i);
     if (before != nullptr && i < before->taken.size())
--- a/cli/demo_world.hpp
+++ b/cli/demo_world.hpp
@@ -21,7 +21,7 @@
 
 class DemoWorld {
  public:
-  using Time = standins::Time;
+  using Microseconds = standins::Microseconds;
   using Tell = std::function<void(const std::string& what)>;
   // Endpoints serve at once. The list of partners is written to `partners_file`, whole or not at all.
   DemoWorld(boost::asio::io_context& io, std::string partners_file, Tell tell, std::uint64_t seed);
@@ -33,9 +33,9 @@
   void stop_clients();
   bool clients_out() const;  // a message is handed in and not answered yet
   // Each 250 ms or so: spells that began, endpoints due to be replaced.
-  void tick(Time now);
+  void tick(Microseconds now);
   // Fills endpoints and totals; relays' rates and latencies of those that stand there already.
-  void fill(DemoView& view, const std::vector<Instance>& instances, Time now);
+  void fill(DemoView& view, const std::vector<Instance>& instances, Microseconds now);
   std::size_t partners() const { return partners_.size(); }
   Ledger& ledger() { return ledger_; }
   standins::Clients::Counts counts() const;
@@ -52,28 +52,28 @@
     standins::Habits habits;
     std::string ways;
     bool silent = false, waits = false, replaced_by_turns = false;
-    std::string status = "ready";   // as the list tells it
-    Time gone_at = 0, ends_at = 0;  // of one that drains
+    std::string status = "ready";           // as the list tells it
+    Microseconds gone_at = 0, ends_at = 0;  // of one that drains
     std::uint64_t resets_told = 0;
-    Time told_at = 0;
+    Microseconds told_at = 0;
   };
   // Counts of the past seconds, for rates.
   struct Mark {
-    Time at = 0;
+    Microseconds at = 0;
     std::vector<std::uint64_t> taken;  // by relay
     std::vector<std::pair<std::string, standins::Endpoint::Counts>> endpoints;
   };
   void add(std::size_t partner, const standins::Habits& habits, std::string ways, bool replaced = false);
   void write_partners() const;
-  void replace(std::size_t row, Time now);
-  void mark(Time now);
+  void replace(std::size_t row, Microseconds now);
+  void mark(Microseconds now);
 
   boost::asio::io_context& io_;
   std::string partners_file_;
   Tell tell_;
   std::uint64_t seed_;
   unsigned named_ = 0;
-  Time replace_at_ = 0;
+  Microseconds replace_at_ = 0;
   std::vector<Partner> partners_;
   std::vector<Row> rows_;
   Ledger ledger_;
--- a/fleet/agent.cpp
+++ b/fleet/agent.cpp
@@ -39,7 +39,7 @@
   return names;
 }
 
-Time wall() {
+Microseconds wall() {
   return std::chrono::duration_cast<std::chrono::microseconds>(
              std::chrono::system_clock::now().time_since_epoch())
       .count();
@@ -145,7 +145,7 @@
 
 Agent::~Agent() { *alive_ = false; }
 
-Time Agent::now() const {
+Microseconds Agent::now() const {
   return started_ + std::chrono::duration_cast<std::chrono::microseconds>(std::chrono::steady_clock::now() -
                                                                           started_steady_)
                         .count();
--- a/fleet/agent.hpp
+++ b/fleet/agent.hpp
@@ -82,7 +82,7 @@
  private:
   struct Instance;
 
-  Time now() const;
+  Microseconds now() const;
   void happened(Event event);
   void pump();
   void perform(const action::Record& a);
@@ -118,7 +118,7 @@
   AgentOptions options_;
   DataFolder folder_;
   Database database_;
-  Time started_;
+  Microseconds started_;
   std::chrono::steady_clock::time_point started_steady_;
   PlatformHost platform_;
   std::string platform_of_;         // the fleet whose platform stands, as its text
--- a/fleet/agent_instance.hpp
+++ b/fleet/agent_instance.hpp
@@ -24,7 +24,7 @@
   bool had_state = false;
   std::string status;  // as last told
   std::string copies;  // of it, in short, as JSON; empty: none are kept
-  Time status_at = 0;
+  Microseconds status_at = 0;
 };
 
 }  // namespace heronvane::fleet
--- a/fleet/api.cpp
+++ b/fleet/api.cpp
@@ -20,7 +20,7 @@
 constexpr std::size_t kMostOperations = 1'000;
 constexpr std::size_t kMostMessageId = 1'024;
 
-std::int64_t ms(Time t) { return t / 1'000; }
+std::int64_t ms(Microseconds t) { return t / 1'000; }
 
 class BadRequest : public std::runtime_error {
  public:
--- a/fleet/api.hpp
+++ b/fleet/api.hpp
@@ -53,13 +53,13 @@
 struct AgentView {
   std::string name, version;
   int pid = 0;
-  Time started = 0;
+  Microseconds started = 0;
   std::optional<PlatformView> platform;
 };
 struct StatusView {
   std::string json;    // of the relay, whole
   std::string copies;  // of that, in short: {"phase","have","wanted","lag","epoch"}; empty: none are kept
-  Time age = 0;
+  Microseconds age = 0;
 };
 struct MessageView {
   std::vector<std::pair<std::string, std::string>> found;  // instance, the relay's JSON object
--- a/fleet/commands.cpp
+++ b/fleet/commands.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-bool Decider::State::take(Time now, const event::Command& command, Actions& actions) {
+bool Decider::State::take(Microseconds now, const event::Command& command, Actions& actions) {
   auto result = plan(kept, command, tuning.instances_most);
   if (auto* refusal = std::get_if<Verdict>(&result)) {
     tell(actions, command.request, std::move(*refusal));
@@ -30,7 +30,7 @@
   return true;
 }
 
-void Decider::State::accept(Time now, const event::Command& command, Plan made) {
+void Decider::State::accept(Microseconds now, const event::Command& command, Plan made) {
   Operation operation = std::move(made.operation);
   const OperationId id = ++working.last_operation;
   const Generation generation = ++working.generation;
@@ -79,13 +79,13 @@
   }
   edit(id) = std::move(operation);
   asker = command.request;
-  hooks.push_back([this, id, request = command.request](Time, Actions& actions) {
+  hooks.push_back([this, id, request = command.request](Microseconds, Actions& actions) {
     tell(actions, request, verdict::Accepted{kept.operations.at(id)});
   });
 }
 
 // What is begun is left to become what its rows desire; the operation judges it no more.
-void Decider::State::end_early(Time now, Operation& operation, OperationState state) {
+void Decider::State::end_early(Microseconds now, Operation& operation, OperationState state) {
   operation.state = state;
   operation.ended = now;
   for (Step& step : operation.steps) {
@@ -101,7 +101,7 @@
   }
 }
 
-bool Decider::State::take(Time now, const event::Cancel& cancel, Actions& actions) {
+bool Decider::State::take(Microseconds now, const event::Cancel& cancel, Actions& actions) {
   auto at = kept.operations.find(cancel.operation);
   if (at == kept.operations.end()) {
     tell(actions, cancel.request, verdict::Unknown{std::to_string(cancel.operation)});
@@ -113,7 +113,7 @@
   }
   end_early(now, edit(cancel.operation), OperationState::cancelled);
   asker = cancel.request;
-  hooks.push_back([this, cancel](Time, Actions& done) {
+  hooks.push_back([this, cancel](Microseconds, Actions& done) {
     tell(done, cancel.request, verdict::Accepted{kept.operations.at(cancel.operation)});
   });
   return true;
--- a/fleet/converge.cpp
+++ b/fleet/converge.cpp
@@ -7,11 +7,11 @@
 
 namespace heronvane::fleet {
 
-bool Decider::State::stalled(Time now, const Seen& s) const {
+bool Decider::State::stalled(Microseconds now, const Seen& s) const {
   return s.missed && now - s.answered_at >= (s.status ? tuning.stalled_after : tuning.first_answer);
 }
 
-Phase Decider::State::phase(Time now, const InstanceRow& row, const Seen& s) const {
+Phase Decider::State::phase(Microseconds now, const InstanceRow& row, const Seen& s) const {
   if (row.live && !s.end) {
     if (s.pending) return Phase::starting;
     if (ending(row)) return Phase::stopping;
@@ -30,7 +30,7 @@
   return row.run.empty() ? Phase::absent : Phase::starting;
 }
 
-void Decider::State::note_crash(Time now, Seen& s) {
+void Decider::State::note_crash(Microseconds now, Seen& s) {
   if (s.ready_since != 0 && now - s.ready_since >= tuning.backoff_reset) {
     s.backoffs = 0;
     s.crashes.clear();
@@ -39,11 +39,12 @@
   s.crashes.push_back(now);
   while (now - s.crashes.front() >= tuning.loop_within) s.crashes.pop_front();
   if (static_cast<int>(s.crashes.size()) >= tuning.loop_crashes) s.looping = true;
-  Time delay = tuning.backoff_first;
+  Microseconds delay = tuning.backoff_first;
   for (int i = 0; i < s.backoffs && delay < tuning.backoff_most; ++i) delay *= 2;
   delay = std::min(delay, tuning.backoff_most);
   ++s.backoffs;
-  s.next_start = now + delay / 2 + static_cast<Time>(draw() % static_cast<std::uint64_t>(delay / 2 + 1));
+  s.next_start =
+      now + delay / 2 + static_cast<Microseconds>(draw() % static_cast<std::uint64_t>(delay / 2 + 1));
   ++s.step_crashes;
 }
 
@@ -55,7 +56,7 @@
   dirty_counts = true;
 }
 
-void Decider::State::absorb(Time now, const std::string& name) {
+void Decider::State::absorb(Microseconds now, const std::string& name) {
   const InstanceRow& is = working.instances.find(name)->second;
   Seen& s = seen[name];
   note_fence(s.fenced);
@@ -86,7 +87,7 @@
   const bool crash = !asked && !end.drained && !end.gone;
   if (crash || (end.gone && !end.drained)) ++row.restarts;
   if (crash) log(name + " ended: " + end.text);
-  hooks.push_back([this, name, crash](Time at, Actions&) {
+  hooks.push_back([this, name, crash](Microseconds at, Actions&) {
     Seen& noted = seen[name];
     if (crash) {
       noted.step_why = noted.end ? noted.end->text : "";
@@ -98,7 +99,7 @@
   (void)now;
 }
 
-void Decider::State::converge(Time now, const std::string& name) {
+void Decider::State::converge(Microseconds now, const std::string& name) {
   const InstanceRow& row = working.instances.find(name)->second;
   Seen& s = seen[name];
   if (s.pending || s.end || s.spawn_out || begun.contains(name)) return;
@@ -119,7 +120,7 @@
   }
   if (row.removing && row.ended_drained) {
     dirty_rows.insert(name);
-    hooks.push_back([name](Time, Actions& actions) { actions.push_back(action::Removed{name}); });
+    hooks.push_back([name](Microseconds, Actions& actions) { actions.push_back(action::Removed{name}); });
     const std::string gone = name;
     working.instances.erase(gone);
     return;
@@ -129,19 +130,21 @@
   if (!rests && now >= s.next_start) start(now, name);
 }
 
-bool Decider::State::watch(Time now, const InstanceRow& row, const Step* step) {
+bool Decider::State::watch(Microseconds now, const InstanceRow& row, const Step* step) {
   Seen& s = seen[row.name];
   if (!ending(row)) {
-    const Time patience = !s.status ? tuning.first_answer : step ? tuning.stalled_after : tuning.stalled_kill;
+    const Microseconds patience = !s.status ? tuning.first_answer
+                                  : step    ? tuning.stalled_after
+                                            : tuning.stalled_kill;
     const bool silent = s.missed && now - s.answered_at >= patience;
     if (!silent && !s.folder_gone) return true;
     edit(row.name).retire = row.run;
     log(row.name + (silent ? " has not answered: ended" : " has lost its folder: ended"));
-    hooks.push_back([this, name = row.name](Time, Actions&) { seen[name].watchdog = true; });
+    hooks.push_back([this, name = row.name](Microseconds, Actions&) { seen[name].watchdog = true; });
   }
   if (s.fenced > row.fence && !s.watchdog && step) return false;  // the step fails
   auto signal = [&](Signum which) {
-    hooks.push_back([this, name = row.name, run = row.run, which](Time at, Actions& actions) {
+    hooks.push_back([this, name = row.name, run = row.run, which](Microseconds at, Actions& actions) {
       Seen& noted = seen[name];
       (which == Signum::term ? noted.term_at : noted.kill_at) = at;
       actions.push_back(action::Signal{name, run, which});
@@ -163,7 +166,7 @@
   return false;
 }
 
-void Decider::State::keep_draining(Time now, const InstanceRow& row) {
+void Decider::State::keep_draining(Microseconds now, const InstanceRow& row) {
   Seen& s = seen[row.name];
   if (!s.status) return;
   if (s.status->draining) {
@@ -173,7 +176,7 @@
   }
 }
 
-void Decider::State::keep_running(Time now, const InstanceRow& row, const Step* step) {
+void Decider::State::keep_running(Microseconds now, const InstanceRow& row, const Step* step) {
   Seen& s = seen[row.name];
   if (!s.status || s.fenced > row.fence) return;
   const bool undrain = step && step->work == Step::Work::undrain && step->run_before == row.run;
@@ -184,29 +187,30 @@
   }
 }
 
-void Decider::State::ask(Time now, const InstanceRow& row, Call call) {
+void Decider::State::ask(Microseconds now, const InstanceRow& row, Call call) {
   Seen& s = seen[row.name];
   if (now < s.ask_next) return;
-  hooks.push_back([this, name = row.name, run = row.run, fence = row.fence, call](Time at, Actions& actions) {
-    Seen& noted = seen[name];
-    if (noted.ask_from == 0) noted.ask_from = at;
-    noted.ask_next = at + std::min(tuning.ask_again << std::min(noted.asks, 5), tuning.backoff_most);
-    ++noted.asks;
-    switch (call) {
-      case Call::drain:
-        actions.push_back(action::AskDrain{name, run, fence});
-        break;
-      case Call::undrain:
-        actions.push_back(action::AskUndrain{name, run, fence});
-        break;
-      case Call::fence:
-        actions.push_back(action::AskFence{name, run, fence});
-        break;
-    }
-  });
+  hooks.push_back(
+      [this, name = row.name, run = row.run, fence = row.fence, call](Microseconds at, Actions& actions) {
+        Seen& noted = seen[name];
+        if (noted.ask_from == 0) noted.ask_from = at;
+        noted.ask_next = at + std::min(tuning.ask_again << std::min(noted.asks, 5), tuning.backoff_most);
+        ++noted.asks;
+        switch (call) {
+          case Call::drain:
+            actions.push_back(action::AskDrain{name, run, fence});
+            break;
+          case Call::undrain:
+            actions.push_back(action::AskUndrain{name, run, fence});
+            break;
+          case Call::fence:
+            actions.push_back(action::AskFence{name, run, fence});
+            break;
+        }
+      });
 }
 
-void Decider::State::start(Time now, const std::string& name) {
+void Decider::State::start(Microseconds now, const std::string& name) {
   InstanceRow& row = edit(name);
   row.run = draw_run(now);
   row.live = true;
@@ -219,7 +223,7 @@
   }
   action::Spawn spawn{name, row.run, std::nullopt};
   if (row.desired == Desired::running && row.drain_kept) spawn.undrain = row.fence;
-  hooks.push_back([this, spawn, config = row.config](Time at, Actions& actions) {
+  hooks.push_back([this, spawn, config = row.config](Microseconds at, Actions& actions) {
     Seen& s = seen[spawn.name];
     s.new_run(at);
     s.spawn_out = true;
--- a/fleet/database.cpp
+++ b/fleet/database.cpp
@@ -156,7 +156,7 @@
   run("COMMIT");
 }
 
-std::string Database::save(Time now, const action::Record& record,
+std::string Database::save(Microseconds now, const action::Record& record,
                            const std::map<std::string, ProcessId>& processes) {
   try {
     run("BEGIN IMMEDIATE");
@@ -172,7 +172,7 @@
   }
 }
 
-void Database::write(Time now, const action::Record& record,
+void Database::write(Microseconds now, const action::Record& record,
                      const std::map<std::string, ProcessId>& processes) {
   Statement(db_.get(), "UPDATE state SET generation=?, last_operation=?")
       .bind(record.generation, record.last_operation)
@@ -189,7 +189,7 @@
   }
 }
 
-void Database::write_operation(Time now, const Operation& o) {
+void Database::write_operation(Microseconds now, const Operation& o) {
   const std::string about = "operation " + std::to_string(o.id);
   std::map<std::int64_t, std::int64_t> before;  // states of its steps
   std::optional<std::int64_t> state;
@@ -228,7 +228,7 @@
   }
 }
 
-void Database::write_instance(Time now, const InstanceRow& row,
+void Database::write_instance(Microseconds now, const InstanceRow& row,
                               const std::map<std::string, ProcessId>& processes) {
   {
     Statement s(db_.get(), "SELECT run, live, last_exit FROM instances WHERE name=?");
@@ -249,7 +249,7 @@
       .next();
 }
 
-void Database::note(Time now, const std::string& about, const std::string& text) {
+void Database::note(Microseconds now, const std::string& about, const std::string& text) {
   Statement(db_.get(), "INSERT INTO history(at, about, text) VALUES(?,?,?)").bind(now, about, text).next();
 }
 
--- a/fleet/database.hpp
+++ b/fleet/database.hpp
@@ -33,7 +33,7 @@
 };
 
 struct HistoryLine {
-  Time at = 0;
+  Microseconds at = 0;
   std::string about;  // "operation 7", "instance n0"
   std::string text;
 };
@@ -51,7 +51,8 @@
 
   // Writes all of it or nothing. `processes`: by name, of rows whose run stands, who they are. Empty: it
   // lasts; else why not.
-  std::string save(Time now, const action::Record& record, const std::map<std::string, ProcessId>& processes);
+  std::string save(Microseconds now, const action::Record& record,
+                   const std::map<std::string, ProcessId>& processes);
 
   // Throws DatabaseError, and what `read` throws.
   Restored restore(const ReadFleet& read);
@@ -75,10 +76,12 @@
 
   void run(const char* sql);
   void migrate();
-  void write(Time now, const action::Record& record, const std::map<std::string, ProcessId>& processes);
-  void write_operation(Time now, const Operation& o);
-  void write_instance(Time now, const InstanceRow& row, const std::map<std::string, ProcessId>& processes);
-  void note(Time now, const std::string& about, const std::string& text);
+  void write(Microseconds now, const action::Record& record,
+             const std::map<std::string, ProcessId>& processes);
+  void write_operation(Microseconds now, const Operation& o);
+  void write_instance(Microseconds now, const InstanceRow& row,
+                      const std::map<std::string, ProcessId>& processes);
+  void note(Microseconds now, const std::string& about, const std::string& text);
   void prune();
 
   DatabaseOptions options_;
--- a/fleet/decider.cpp
+++ b/fleet/decider.cpp
@@ -7,7 +7,7 @@
 
 namespace heronvane::fleet {
 
-void Seen::new_run(Time now) {
+void Seen::new_run(Microseconds now) {
   pid = 0;
   started = answered_at = now;
   status.reset();
@@ -58,7 +58,7 @@
 }
 
 // The time goes in: a seed that was used before draws no run again.
-std::string Decider::State::draw_run(Time now) {
+std::string Decider::State::draw_run(Microseconds now) {
   random ^= static_cast<std::uint64_t>(now);
   std::uint64_t value = draw();
   std::string run(16, '0');
@@ -80,10 +80,11 @@
 }
 
 void Decider::State::log(std::string text) {
-  hooks.push_back([text = std::move(text)](Time, Actions& actions) { actions.push_back(action::Log{text}); });
+  hooks.push_back(
+      [text = std::move(text)](Microseconds, Actions& actions) { actions.push_back(action::Log{text}); });
 }
 
-void Decider::State::handle(Time now, const Event& event, Actions& actions) {
+void Decider::State::handle(Microseconds now, const Event& event, Actions& actions) {
   wake(now, actions);
   for (std::string& text : mended) actions.push_back(action::Log{std::move(text)});
   mended.clear();
@@ -92,11 +93,11 @@
 }
 
 // A timer that comes late tells that the machine slept, or this agent: instances had no chance to answer.
-void Decider::State::wake(Time now, Actions& actions) {
+void Decider::State::wake(Microseconds now, Actions& actions) {
   if (timer_at == 0 || now <= timer_at + tuning.late) return;
-  const Time slept = now - timer_at;
+  const Microseconds slept = now - timer_at;
   for (auto& [name, s] : seen) {
-    for (Time* at : {&s.started, &s.answered_at, &s.term_at, &s.kill_at, &s.ask_from, &s.step_from}) {
+    for (Microseconds* at : {&s.started, &s.answered_at, &s.term_at, &s.kill_at, &s.ask_from, &s.step_from}) {
       if (*at != 0) *at += slept;
     }
   }
@@ -104,18 +105,18 @@
   actions.push_back(action::Log{"awake after " + std::to_string(slept / 1'000'000) + " s"});
 }
 
-void Decider::State::drive_instance(Time now, const std::string& name, Actions& actions) {
+void Decider::State::drive_instance(Microseconds now, const std::string& name, Actions& actions) {
   woken.insert(name);
   drive(now, actions);
 }
 
-void Decider::State::drive_all(Time now, Actions& actions) {
+void Decider::State::drive_all(Microseconds now, Actions& actions) {
   woken_all = true;
   drive(now, actions);
 }
 
 // One round of decisions, where no record is out. What it decides is one transaction.
-void Decider::State::drive(Time now, Actions& actions) {
+void Decider::State::drive(Microseconds now, Actions& actions) {
   if (out) return;
   bool recording = false;
   while (!queue.empty() && !recording) {
@@ -195,7 +196,7 @@
   }
 }
 
-void Decider::State::commit(Time now, Actions& actions) {
+void Decider::State::commit(Microseconds now, Actions& actions) {
   out = false;
   record_from = 0;
   kept.generation = working.generation;
@@ -231,7 +232,7 @@
   forget();
 }
 
-void Decider::State::revert(Time now, const std::string& why, Actions& actions) {
+void Decider::State::revert(Microseconds now, const std::string& why, Actions& actions) {
   out = false;
   working.generation = kept.generation;
   working.last_operation = kept.last_operation;
@@ -278,7 +279,7 @@
   }
 }
 
-void Decider::State::note_phase(Time now, const std::string& name) {
+void Decider::State::note_phase(Microseconds now, const std::string& name) {
   auto at = kept.instances.find(name);
   if (at == kept.instances.end()) return;
   Seen& s = seen[name];
@@ -288,10 +289,10 @@
   s.phase_since = now;
 }
 
-void Decider::State::set_timer(Time now, Actions& actions) {
+void Decider::State::set_timer(Microseconds now, Actions& actions) {
   const bool busy = out || !queue.empty() || record_from != 0 || !kept.instances.empty();
   if (!busy || (timer_at > now && timer_at <= now + tuning.tick)) return;
-  Time at = now + tuning.tick;
+  Microseconds at = now + tuning.tick;
   for (const auto& [name, s] : seen) {
     note_phase(now, name);
     if (s.next_start > now) at = std::min(at, s.next_start);
@@ -309,7 +310,7 @@
   return s.end ? nullptr : &s;
 }
 
-void Decider::State::ended(Time now, const std::string& name, Seen::End end, Actions& actions) {
+void Decider::State::ended(Microseconds now, const std::string& name, Seen::End end, Actions& actions) {
   Seen& s = seen[name];
   s.pending = s.spawn_out = false;
   s.end = std::move(end);
@@ -317,7 +318,7 @@
   drive_instance(now, name, actions);
 }
 
-void Decider::State::on(Time now, const event::Command& e, Actions& actions) {
+void Decider::State::on(Microseconds now, const event::Command& e, Actions& actions) {
   if (queue.size() >= tuning.commands_waiting) {
     actions.push_back(action::Tell{e.request, verdict::Busy{}});
     return;
@@ -326,7 +327,7 @@
   drive(now, actions);
 }
 
-void Decider::State::on(Time now, const event::Cancel& e, Actions& actions) {
+void Decider::State::on(Microseconds now, const event::Cancel& e, Actions& actions) {
   if (queue.size() >= tuning.commands_waiting) {
     actions.push_back(action::Tell{e.request, verdict::Busy{}});
     return;
@@ -335,19 +336,19 @@
   drive(now, actions);
 }
 
-void Decider::State::on(Time now, const event::Recorded& e, Actions& actions) {
+void Decider::State::on(Microseconds now, const event::Recorded& e, Actions& actions) {
   if (!out || e.record != last_record) return;
   commit(now, actions);
   drive(now, actions);
 }
 
-void Decider::State::on(Time now, const event::RecordFailed& e, Actions& actions) {
+void Decider::State::on(Microseconds now, const event::RecordFailed& e, Actions& actions) {
   if (!out || e.record != last_record) return;
   revert(now, e.why, actions);
   if (!queue.empty()) drive(now, actions);  // each is tried, and told
 }
 
-void Decider::State::on(Time now, const event::Spawned& e, Actions& actions) {
+void Decider::State::on(Microseconds now, const event::Spawned& e, Actions& actions) {
   Seen* s = process(e.name, e.run);
   if (!s) return;
   s->spawn_out = false;
@@ -355,11 +356,11 @@
   drive_instance(now, e.name, actions);
 }
 
-void Decider::State::on(Time now, const event::SpawnFailed& e, Actions& actions) {
+void Decider::State::on(Microseconds now, const event::SpawnFailed& e, Actions& actions) {
   if (process(e.name, e.run)) ended(now, e.name, {false, "not started: " + e.why, std::nullopt}, actions);
 }
 
-void Decider::State::on(Time now, const event::Exited& e, Actions& actions) {
+void Decider::State::on(Microseconds now, const event::Exited& e, Actions& actions) {
   if (!process(e.name, e.run)) return;
   std::string text =
       e.signal != 0 ? "signal " + std::to_string(e.signal) : "status " + std::to_string(e.status);
@@ -368,11 +369,11 @@
   ended(now, e.name, {false, std::move(text), drained ? e.drained : std::nullopt}, actions);
 }
 
-void Decider::State::on(Time now, const event::NotFound& e, Actions& actions) {
+void Decider::State::on(Microseconds now, const event::NotFound& e, Actions& actions) {
   if (process(e.name, e.run)) ended(now, e.name, {true, e.drained ? "drained" : "gone", e.drained}, actions);
 }
 
-void Decider::State::on(Time now, const event::Adopted& e, Actions& actions) {
+void Decider::State::on(Microseconds now, const event::Adopted& e, Actions& actions) {
   Seen* s = process(e.name, e.run);
   if (!s || !s->pending) return;
   s->new_run(now);
@@ -381,7 +382,7 @@
   drive_instance(now, e.name, actions);
 }
 
-void Decider::State::on(Time now, const event::StatusSeen& e, Actions& actions) {
+void Decider::State::on(Microseconds now, const event::StatusSeen& e, Actions& actions) {
   Seen* s = process(e.name, e.run);
   if (!s || s->pending) return;
   s->status = e;
@@ -398,7 +399,7 @@
   drive_instance(now, e.name, actions);
 }
 
-void Decider::State::on(Time now, const event::StatusMissed& e, Actions& actions) {
+void Decider::State::on(Microseconds now, const event::StatusMissed& e, Actions& actions) {
   Seen* s = process(e.name, e.run);
   if (!s || s->pending) return;
   s->missed = true;
@@ -406,7 +407,7 @@
   drive_instance(now, e.name, actions);
 }
 
-void Decider::State::on(Time now, const event::Answered& e, Actions& actions) {
+void Decider::State::on(Microseconds now, const event::Answered& e, Actions& actions) {
   Seen* s = process(e.name, e.run);
   if (!s || s->pending) return;
   if (e.call == Call::fence && e.result != event::Answered::Result::fenced) s->fence_answered = true;
@@ -418,14 +419,14 @@
   drive_instance(now, e.name, actions);
 }
 
-void Decider::State::on(Time now, const event::FolderGone& e, Actions& actions) {
+void Decider::State::on(Microseconds now, const event::FolderGone& e, Actions& actions) {
   auto at = kept.instances.find(e.name);
   if (at == kept.instances.end() || !at->second.live) return;
   seen[e.name].folder_gone = true;
   drive_instance(now, e.name, actions);
 }
 
-void Decider::State::on(Time now, const event::TimerDue&, Actions& actions) {
+void Decider::State::on(Microseconds now, const event::TimerDue&, Actions& actions) {
   if (now >= timer_at) timer_at = 0;
   drive_all(now, actions);
 }
@@ -438,7 +439,7 @@
 Decider::Decider(Decider&&) noexcept = default;
 Decider& Decider::operator=(Decider&&) noexcept = default;
 
-void Decider::handle(Time now, const Event& event, std::vector<Action>& actions) {
+void Decider::handle(Microseconds now, const Event& event, std::vector<Action>& actions) {
   state_->handle(now, event, actions);
 }
 
--- a/fleet/decider.hpp
+++ b/fleet/decider.hpp
@@ -25,7 +25,7 @@
 
 namespace heronvane::fleet {
 
-using Time = std::int64_t;
+using Microseconds = std::int64_t;
 using OperationId = std::uint64_t;  // also the fence that its admin calls carry; 0: none
 using RecordId = std::uint64_t;     // ascending while one Decider lives; begins at 1 again in the next
 using RequestId = std::uint64_t;    // the agent's own, given back in Tell
@@ -100,7 +100,7 @@
   std::string instance;
   StepState state = StepState::waiting;
   std::string what;  // for people
-  Time since = 0;
+  Microseconds since = 0;
   std::string run_before;  // the run that stood when it began to act
   // What an acting step does; of apply and rollback it differs by instance.
   enum class Work { start, stop, drain, undrain, restart, add, remove, rewrite } work = Work::start;
@@ -112,8 +112,8 @@
   OperationState state = OperationState::running;
   Generation generation = 0;  // that it made
   int max_unavailable = 0;    // 0: no bound
-  Time created = 0;
-  Time ended = 0;
+  Microseconds created = 0;
+  Microseconds ended = 0;
   std::string message;
   OperationId superseded_by = 0;
   std::vector<Step> steps;        // in the order in which they begin
@@ -237,7 +237,7 @@
   OperationId with = 0;
   Kind kind = Kind::up;
   std::string by;
-  Time since = 0;
+  Microseconds since = 0;
   std::vector<std::string> names;
 };
 struct Stale {
@@ -319,7 +319,7 @@
   std::string name;
 };
 struct SetTimer {
-  Time at = 0;
+  Microseconds at = 0;
 };  // in place of the earlier one
 struct Tell {
   RequestId request = 0;
@@ -340,21 +340,23 @@
 // ---- the decider ----
 
 struct Tuning {
-  Time backoff_first = 500'000;     // before a crashed instance starts again, doubling, with jitter
-  Time backoff_most = 30'000'000;   // (half to all of it)
-  Time backoff_reset = 60'000'000;  // ready for so long, the next crash is a first one
-  int loop_crashes = 5;             // so many crashes ...
-  Time loop_within = 60'000'000;    // ... in this time are told as looping
-  Time stalled_after = 3'000'000;   // no answer of its admin socket
-  Time stalled_kill = 10'000'000;   // then ended by SIGKILL; in an operation's step at stalled_after
-  Time first_answer = 30'000'000;   // of one that starts: reading its store may take long
-  Time ready_within = 30'000'000;   // a step fails where its instance is not ready by then
-  int step_crashes = 3;             // or crashed so often
-  Time term_grace = 5'000'000;      // from SIGTERM to SIGKILL
-  Time ask_again = 1'000'000;       // admin calls without effect are repeated
-  Time record_again = 1'000'000;    // decisions whose record failed are taken up again
-  Time tick = 500'000;    // a timer is asked for at least so often while a process or operation is there
-  Time late = 2'000'000;  // a timer later than this: the machine slept, and no one was silent meanwhile
+  Microseconds backoff_first = 500'000;     // before a crashed instance starts again, doubling, with jitter
+  Microseconds backoff_most = 30'000'000;   // (half to all of it)
+  Microseconds backoff_reset = 60'000'000;  // ready for so long, the next crash is a first one
+  int loop_crashes = 5;                     // so many crashes ...
+  Microseconds loop_within = 60'000'000;    // ... in this time are told as looping
+  Microseconds stalled_after = 3'000'000;   // no answer of its admin socket
+  Microseconds stalled_kill = 10'000'000;   // then ended by SIGKILL; in an operation's step at stalled_after
+  Microseconds first_answer = 30'000'000;   // of one that starts: reading its store may take long
+  Microseconds ready_within = 30'000'000;   // a step fails where its instance is not ready by then
+  int step_crashes = 3;                     // or crashed so often
+  Microseconds term_grace = 5'000'000;      // from SIGTERM to SIGKILL
+  Microseconds ask_again = 1'000'000;       // admin calls without effect are repeated
+  Microseconds record_again = 1'000'000;    // decisions whose record failed are taken up again
+  Microseconds tick =
+      500'000;  // a timer is asked for at least so often while a process or operation is there
+  Microseconds late =
+      2'000'000;  // a timer later than this: the machine slept, and no one was silent meanwhile
   std::size_t operations_kept = 200;  // that ended
   std::size_t commands_waiting = 64;
   std::size_t instances_most = 1000;
@@ -364,8 +366,8 @@
 struct InstanceView {
   const InstanceRow* row = nullptr;
   Phase phase = Phase::absent;
-  Time since = 0;       // in that phase
-  Time next_start = 0;  // backoff, looping: when it starts again; else 0
+  Microseconds since = 0;       // in that phase
+  Microseconds next_start = 0;  // backoff, looping: when it starts again; else 0
   bool ready = false;
   std::uint64_t held = 0;  // as last told
   std::int64_t oldest_ms = 0;
@@ -384,7 +386,7 @@
 
   // `now` never goes back. Actions are appended. The first call may come with any event; the agent sends
   // TimerDue once at its start. Events of unknown names or old runs change nothing.
-  void handle(Time now, const Event& event, std::vector<Action>& actions);
+  void handle(Microseconds now, const Event& event, std::vector<Action>& actions);
 
   // Views of what is recorded, valid until the next handle().
   Generation generation() const;
--- a/fleet/state.hpp
+++ b/fleet/state.hpp
@@ -23,17 +23,17 @@
   bool pending = false;    // after the agent's start: neither Adopted nor NotFound has come
   bool spawn_out = false;  // Spawn is out
   int pid = 0;
-  Time started = 0;
+  Microseconds started = 0;
   std::optional<event::StatusSeen> status;
-  bool fresh = false;    // that came since the step began
-  bool missed = false;   // the last question had no answer
-  Time answered_at = 0;  // or the start
-  Time ready_since = 0;
-  Time term_at = 0, kill_at = 0;
+  bool fresh = false;            // that came since the step began
+  bool missed = false;           // the last question had no answer
+  Microseconds answered_at = 0;  // or the start
+  Microseconds ready_since = 0;
+  Microseconds term_at = 0, kill_at = 0;
   bool watchdog = false;  // it ends because of its state, not by an operator
   bool folder_gone = false;
-  bool fence_answered = false;      // AskFence of this step: with ok or in vain
-  Time ask_from = 0, ask_next = 0;  // admin calls: the first, and when the next may go out
+  bool fence_answered = false;              // AskFence of this step: with ok or in vain
+  Microseconds ask_from = 0, ask_next = 0;  // admin calls: the first, and when the next may go out
   int asks = 0;
   std::string ask_why;
 
@@ -47,23 +47,23 @@
 
   // Over its processes.
   OperationId fenced = 0;  // calls lower than this are refused
-  std::deque<Time> crashes;
+  std::deque<Microseconds> crashes;
   int backoffs = 0;
-  Time next_start = 0;
+  Microseconds next_start = 0;
   bool looping = false;
-  Time step_from = 0;  // since then the step's limits are reckoned
+  Microseconds step_from = 0;  // since then the step's limits are reckoned
   bool step_started = false;
   int step_crashes = 0;
   std::string step_why;
   Phase phase = Phase::absent;
-  Time phase_since = 0;
+  Microseconds phase_since = 0;
 
-  void new_run(Time now);  // forgets what was the earlier process's
+  void new_run(Microseconds now);  // forgets what was the earlier process's
 };
 
 struct Decider::State {
   using Actions = std::vector<Action>;
-  using Hook = std::function<void(Time, Actions&)>;
+  using Hook = std::function<void(Microseconds, Actions&)>;
   using Queued = std::variant<event::Command, event::Cancel>;
 
   State(Restored restored, std::uint64_t seed, Tuning tuning);
@@ -85,8 +85,8 @@
   bool dirty_counts = false;
   std::vector<Hook> hooks;  // run once it stands
   std::optional<RequestId> asker;
-  Time record_from = 0;         // after a failed one
-  std::set<std::string> begun;  // steps begun in this round: they act once that stands
+  Microseconds record_from = 0;  // after a failed one
+  std::set<std::string> begun;   // steps begun in this round: they act once that stands
 
   // What is to be looked at in the next round; all where something may be due anywhere.
   bool woken_all = true;
@@ -95,72 +95,73 @@
   // Steps not ended of running operations, as recorded: one of an instance at most.
   std::map<std::string, std::pair<OperationId, std::size_t>, std::less<>> open_steps;
 
-  Time timer_at = 0;
+  Microseconds timer_at = 0;
 
-  void handle(Time now, const Event& event, Actions& actions);
-  void wake(Time now, Actions& actions);
-  void drive(Time now, Actions& actions);
+  void handle(Microseconds now, const Event& event, Actions& actions);
+  void wake(Microseconds now, Actions& actions);
+  void drive(Microseconds now, Actions& actions);
   void record(Actions& actions);
-  void drive_instance(Time now, const std::string& name, Actions& actions);
-  void drive_all(Time now, Actions& actions);
+  void drive_instance(Microseconds now, const std::string& name, Actions& actions);
+  void drive_all(Microseconds now, Actions& actions);
   void note_open_steps(const Operation& operation);
-  void commit(Time now, Actions& actions);
-  void revert(Time now, const std::string& why, Actions& actions);
-  void set_timer(Time now, Actions& actions);
+  void commit(Microseconds now, Actions& actions);
+  void revert(Microseconds now, const std::string& why, Actions& actions);
+  void set_timer(Microseconds now, Actions& actions);
   InstanceView view(const InstanceRow& row) const;
-  void note_phase(Time now, const std::string& name);
+  void note_phase(Microseconds now, const std::string& name);
   void forget();
   InstanceRow& edit(const std::string& name);
   Operation& edit(OperationId id);
   void log(std::string text);
   std::uint64_t draw();
-  std::string draw_run(Time now);
-
-  void on(Time now, const event::Command& e, Actions& actions);
-  void on(Time now, const event::Cancel& e, Actions& actions);
-  void on(Time now, const event::Recorded& e, Actions& actions);
-  void on(Time now, const event::RecordFailed& e, Actions& actions);
-  void on(Time now, const event::Spawned& e, Actions& actions);
-  void on(Time now, const event::SpawnFailed& e, Actions& actions);
-  void on(Time now, const event::Exited& e, Actions& actions);
-  void on(Time now, const event::StatusSeen& e, Actions& actions);
-  void on(Time now, const event::StatusMissed& e, Actions& actions);
-  void on(Time now, const event::Answered& e, Actions& actions);
-  void on(Time now, const event::Adopted& e, Actions& actions);
-  void on(Time now, const event::NotFound& e, Actions& actions);
-  void on(Time now, const event::FolderGone& e, Actions& actions);
-  void on(Time now, const event::TimerDue& e, Actions& actions);
-  void ended(Time now, const std::string& name, Seen::End end, Actions& actions);
+  std::string draw_run(Microseconds now);
+
+  void on(Microseconds now, const event::Command& e, Actions& actions);
+  void on(Microseconds now, const event::Cancel& e, Actions& actions);
+  void on(Microseconds now, const event::Recorded& e, Actions& actions);
+  void on(Microseconds now, const event::RecordFailed& e, Actions& actions);
+  void on(Microseconds now, const event::Spawned& e, Actions& actions);
+  void on(Microseconds now, const event::SpawnFailed& e, Actions& actions);
+  void on(Microseconds now, const event::Exited& e, Actions& actions);
+  void on(Microseconds now, const event::StatusSeen& e, Actions& actions);
+  void on(Microseconds now, const event::StatusMissed& e, Actions& actions);
+  void on(Microseconds now, const event::Answered& e, Actions& actions);
+  void on(Microseconds now, const event::Adopted& e, Actions& actions);
+  void on(Microseconds now, const event::NotFound& e, Actions& actions);
+  void on(Microseconds now, const event::FolderGone& e, Actions& actions);
+  void on(Microseconds now, const event::TimerDue& e, Actions& actions);
+  void ended(Microseconds now, const std::string& name, Seen::End end, Actions& actions);
   Seen* process(const std::string& name, const std::string& run);  // nullptr: not the run of the row
 
   // commands.cpp
-  bool take(Time now, const event::Command& command, Actions& actions);  // true: there is something to record
-  bool take(Time now, const event::Cancel& cancel, Actions& actions);
-  void accept(Time now, const event::Command& command, Plan made);
-  void end_early(Time now, Operation& operation, OperationState state);
+  bool take(Microseconds now, const event::Command& command,
+            Actions& actions);  // true: there is something to record
+  bool take(Microseconds now, const event::Cancel& cancel, Actions& actions);
+  void accept(Microseconds now, const event::Command& command, Plan made);
+  void end_early(Microseconds now, Operation& operation, OperationState state);
 
   // converge.cpp
-  void absorb(Time now, const std::string& name);
-  void converge(Time now, const std::string& name);
-  bool watch(Time now, const InstanceRow& row, const Step* step);  // false: it shall end
-  void keep_draining(Time now, const InstanceRow& row);
-  void keep_running(Time now, const InstanceRow& row, const Step* step);
-  void start(Time now, const std::string& name);
-  void ask(Time now, const InstanceRow& row, Call call);
-  void note_crash(Time now, Seen& s);
+  void absorb(Microseconds now, const std::string& name);
+  void converge(Microseconds now, const std::string& name);
+  bool watch(Microseconds now, const InstanceRow& row, const Step* step);  // false: it shall end
+  void keep_draining(Microseconds now, const InstanceRow& row);
+  void keep_running(Microseconds now, const InstanceRow& row, const Step* step);
+  void start(Microseconds now, const std::string& name);
+  void ask(Microseconds now, const InstanceRow& row, Call call);
+  void note_crash(Microseconds now, Seen& s);
   void note_fence(OperationId fence);
-  bool stalled(Time now, const Seen& s) const;
-  Phase phase(Time now, const InstanceRow& row, const Seen& s) const;
+  bool stalled(Microseconds now, const Seen& s) const;
+  Phase phase(Microseconds now, const InstanceRow& row, const Seen& s) const;
 
   // steps.cpp
-  void drive_operation(Time now, OperationId id);
-  void judge(Time now, OperationId id, std::size_t index);
-  void begin(Time now, OperationId id, std::size_t index);
-  bool reached(Time now, const InstanceRow& row, const Step& step) const;
-  void begin_what_may(Time now, OperationId id);
-  void finish_step(Time now, OperationId id, std::size_t index, StepState state, std::string what);
+  void drive_operation(Microseconds now, OperationId id);
+  void judge(Microseconds now, OperationId id, std::size_t index);
+  void begin(Microseconds now, OperationId id, std::size_t index);
+  bool reached(Microseconds now, const InstanceRow& row, const Step& step) const;
+  void begin_what_may(Microseconds now, OperationId id);
+  void finish_step(Microseconds now, OperationId id, std::size_t index, StepState state, std::string what);
   const Step* acting(const std::string& name) const;  // the step that acts on it, or nullptr
-  bool available(Time now, const InstanceRow& row) const;
+  bool available(Microseconds now, const InstanceRow& row) const;
 };
 
 inline bool ending(const InstanceRow& row) {
--- a/fleet/steps.cpp
+++ b/fleet/steps.cpp
@@ -15,13 +15,13 @@
 
 bool drains(Work work) { return work == Work::drain || work == Work::remove; }
 
-std::string seconds(Time time) { return std::to_string(time / 1'000'000) + " s"; }
+std::string seconds(Microseconds time) { return std::to_string(time / 1'000'000) + " s"; }
 
 constexpr std::string_view waits = "waits: more instances are down than max_unavailable";
 
 }  // namespace
 
-bool Decider::State::available(Time now, const InstanceRow& row) const {
+bool Decider::State::available(Microseconds now, const InstanceRow& row) const {
   auto at = seen.find(row.name);
   if (at == seen.end()) return false;
   const Seen& s = at->second;
@@ -37,7 +37,7 @@
   return operation.state == OperationState::running && step.state == StepState::acting ? &step : nullptr;
 }
 
-void Decider::State::drive_operation(Time now, OperationId id) {
+void Decider::State::drive_operation(Microseconds now, OperationId id) {
   const Operation& operation = working.operations.at(id);
   for (std::size_t i = 0; i < operation.steps.size(); ++i) {
     if (operation.steps[i].state == StepState::acting) judge(now, id, i);
@@ -66,7 +66,7 @@
   }
 }
 
-void Decider::State::finish_step(Time now, OperationId id, std::size_t index, StepState state,
+void Decider::State::finish_step(Microseconds now, OperationId id, std::size_t index, StepState state,
                                  std::string what) {
   Step& step = edit(id).steps[index];
   step.state = state;
@@ -74,7 +74,7 @@
   step.since = now;
 }
 
-void Decider::State::begin_what_may(Time now, OperationId id) {
+void Decider::State::begin_what_may(Microseconds now, OperationId id) {
   const Operation& operation = working.operations.at(id);
   std::set<std::string_view> acts_here;
   int taking = 0;
@@ -123,7 +123,7 @@
   }
 }
 
-void Decider::State::begin(Time now, OperationId id, std::size_t index) {
+void Decider::State::begin(Microseconds now, OperationId id, std::size_t index) {
   Step& step = edit(id).steps[index];
   const std::string name = step.instance;
   InstanceRow& row = edit(name);
@@ -181,7 +181,7 @@
       break;
   }
   begun.insert(name);
-  hooks.push_back([this, name](Time at, Actions&) {
+  hooks.push_back([this, name](Microseconds at, Actions&) {
     Seen& s = seen[name];
     s.crashes.clear();
     s.backoffs = s.step_crashes = s.asks = 0;
@@ -194,7 +194,7 @@
   });
 }
 
-bool Decider::State::reached(Time now, const InstanceRow& row, const Step& step) const {
+bool Decider::State::reached(Microseconds now, const InstanceRow& row, const Step& step) const {
   const Seen& s = seen.find(row.name)->second;
   switch (step.work) {
     case Work::start:
@@ -219,7 +219,7 @@
   return false;
 }
 
-void Decider::State::judge(Time now, OperationId id, std::size_t index) {
+void Decider::State::judge(Microseconds now, OperationId id, std::size_t index) {
   const Step& step = working.operations.at(id).steps[index];
   const Work work = step.work;
   auto at = working.instances.find(step.instance);
--- a/include/heronvane/dispatch/dispatcher.hpp
+++ b/include/heronvane/dispatch/dispatcher.hpp
@@ -18,7 +18,7 @@
 
 namespace heronvane::dispatch {
 
-using Time = std::int64_t;
+using Microseconds = std::int64_t;
 using MessageId = std::uint64_t;
 using EndpointId = std::string;
 using DestinationId = std::int64_t;
@@ -29,14 +29,14 @@
 enum class WeightKind { none, nominal, rough };  // what Endpoint::weight holds
 
 struct ClassSettings {
-  double worth = 1;           // full worth of a message
-  double late_worth = 0;      // share of it that is left at the deadline
-  Time aim = 1'000'000;       // delivered within this time, it earns the full worth
-  Time deadline = 5'000'000;  // how long it may be delivered at all
+  double worth = 1;                   // full worth of a message
+  double late_worth = 0;              // share of it that is left at the deadline
+  Microseconds aim = 1'000'000;       // delivered within this time, it earns the full worth
+  Microseconds deadline = 5'000'000;  // how long it may be delivered at all
   Effect effect = Effect::safe;
   KeyGroup group = KeyGroup::all;
-  Time key_window = 0;   // keyed: how long a destination remembers the key
-  bool ordered = false;  // messages with the same order key go one at a time
+  Microseconds key_window = 0;  // keyed: how long a destination remembers the key
+  bool ordered = false;         // messages with the same order key go one at a time
 };
 
 struct KindSettings {         // a kind of destination
@@ -66,19 +66,19 @@
   bool cancelling = false;
   bool probes = false;
   bool peers = false;
-  bool subscribe = false;  // list changes come only to those that subscribed
-  Time tick = 1'000;       // least time between rounds
-  Time connect_timeout = 1'000'000;
-  Time connection_idle = 10'000'000;  // idle connections close by themselves after this
-  Time retry_after_max = 0;           // longest advised absence that a client obeys
-  Time answer_slack = 0;              // final answers are accepted so long past the deadline
-  Time drain_grace = 0;
-  Time must_ask_in = 0;           // 0: no such rule
-  Time settle_after_doubt = 0;    // rest of an order key after an attempt in doubt
-  double fall_multiple = 2;       // times present capacity that topples a cold destination
-  Time overload_for = 1'000'000;  // when kept up for so long
-  double cold_from = 0.2;         // share of capacity right after an outage
-  Time cold = 10'000'000;         // warm after this at the latest
+  bool subscribe = false;     // list changes come only to those that subscribed
+  Microseconds tick = 1'000;  // least time between rounds
+  Microseconds connect_timeout = 1'000'000;
+  Microseconds connection_idle = 10'000'000;  // idle connections close by themselves after this
+  Microseconds retry_after_max = 0;           // longest advised absence that a client obeys
+  Microseconds answer_slack = 0;              // final answers are accepted so long past the deadline
+  Microseconds drain_grace = 0;
+  Microseconds must_ask_in = 0;           // 0: no such rule
+  Microseconds settle_after_doubt = 0;    // rest of an order key after an attempt in doubt
+  double fall_multiple = 2;               // times present capacity that topples a cold destination
+  Microseconds overload_for = 1'000'000;  // when kept up for so long
+  double cold_from = 0.2;                 // share of capacity right after an outage
+  Microseconds cold = 10'000'000;         // warm after this at the latest
 };
 
 // Throws std::invalid_argument naming the setting that makes no sense.
@@ -103,7 +103,7 @@
   double weight = 1;
   // When it was added, as the list tells it: by the clock of who wrote the list, compared with nothing but
   // what another list tells. 0: long ago.
-  Time since = 0;
+  Microseconds since = 0;
 };
 
 enum class Health { open, closed, ramp };  // ramp: back after an outage, perhaps still cold
@@ -116,20 +116,20 @@
   DestinationId destination = 0;
   // The endpoint. What follows its health is meant only where it is not open.
   Health health = Health::open;
-  Time health_age = 0;    // in it, or closed anew, for so long
-  double usual_rate = 0;  // calls a second of this relay before the trouble
-  double budget = 0;      // calls allowed at once, 0 to 1
-  int fail_run = 0;       // failed calls since the last serve
-  double fail_share = 0;  // share of failing calls, 0 to 1
-  bool doubt = false;     // the last failed call may have run
-  int bundle = 0;         // messages trusted to one call; 0: unknown
+  Microseconds health_age = 0;  // in it, or closed anew, for so long
+  double usual_rate = 0;        // calls a second of this relay before the trouble
+  double budget = 0;            // calls allowed at once, 0 to 1
+  int fail_run = 0;             // failed calls since the last serve
+  double fail_share = 0;        // share of failing calls, 0 to 1
+  bool doubt = false;           // the last failed call may have run
+  int bundle = 0;               // messages trusted to one call; 0: unknown
   // The target.
-  Time wait_left = 0;      // of a told wait
-  double delay = 0;        // the LIMD delay in seconds, as aged; 0: none worth keeping
-  double pace = 0;         // calls a second of this relay; 0: unbounded
-  int refusals = 0;        // since the last serve
-  Time refused_age = 0;    // how long ago the first of them was
-  double let_through = 1;  // share of attempts let through after refusals, above 0
+  Microseconds wait_left = 0;    // of a told wait
+  double delay = 0;              // the LIMD delay in seconds, as aged; 0: none worth keeping
+  double pace = 0;               // calls a second of this relay; 0: unbounded
+  int refusals = 0;              // since the last serve
+  Microseconds refused_age = 0;  // how long ago the first of them was
+  double let_through = 1;        // share of attempts let through after refusals, above 0
 
   // Nothing is known that is worth keeping: a store can drop its record.
   bool blank() const {
@@ -151,7 +151,7 @@
   DestinationId destination = 0;
   int message_class = 0;
   int tenant = -1;  // -1: none
-  Time time_left = 0;
+  Microseconds time_left = 0;
   std::string order_key;  // empty: none
   bool repeat = false;    // the client hands it in again
 };
@@ -164,7 +164,7 @@
   bool tried = false;  // one of them may have reached an endpoint
   // Where one of them may have run (also one whose outcome was never seen): the first such, and how long ago.
   std::optional<int> may_have_run_zone;
-  Time may_have_run_ago = 0;
+  Microseconds may_have_run_ago = 0;
 };
 // What an earlier life of this relay had learned (Dispatcher::learned), `age` ago (at least 0). Comes after
 // the list that names its endpoint, best in the same round; ignored where the endpoint is not listed. Where
@@ -177,16 +177,16 @@
 //   was, for nobody looked after it; its next trial comes after a whole jittered delay.
 struct TargetRecalled {
   TargetMemory memory;
-  Time age = 0;
+  Microseconds age = 0;
 };
 struct AttemptEnded {
   MessageId id = 0;
   int attempt = 0;
   EndpointId endpoint;
   Outcome outcome = Outcome::served;
-  Time latency = 0;
-  bool closed = false;  // the message is over
-  Time told_wait = 0;   // nothing to that destination for so long, whatever the outcome
+  Microseconds latency = 0;
+  bool closed = false;         // the message is over
+  Microseconds told_wait = 0;  // nothing to that destination for so long, whatever the outcome
   Report report;
 };
 struct Withdrawn {
@@ -198,7 +198,7 @@
 struct ProbeEnded {
   EndpointId endpoint;
   Outcome outcome = Outcome::served;
-  Time latency = 0;
+  Microseconds latency = 0;
   Report report;
 };
 struct PeerNote {
@@ -216,14 +216,14 @@
 struct Send {
   MessageId id = 0;
   EndpointId endpoint;
-  Time timeout = 0;
+  Microseconds timeout = 0;
   // Its call may begin within this alone, for its destination forgets the message's key then: one whose
   // connection is not up by then ends as not sent. Nothing where it may begin whenever.
-  std::optional<Time> begin_within;
+  std::optional<Microseconds> begin_within;
 };
 struct Refuse {
   MessageId id = 0;
-  Time come_back = 0;
+  Microseconds come_back = 0;
 };  // final; handing it in again is harmless
 struct Fail {
   MessageId id = 0;
@@ -236,7 +236,7 @@
   EndpointId endpoint;
 };
 struct SetTimer {
-  Time after = 0;
+  Microseconds after = 0;
   std::uint64_t token = 0;
 };
 struct FetchList {};
@@ -269,7 +269,7 @@
 
   // One round: all events happen at `now` (which never goes back); the actions take effect at `now`,
   // in order. `actions` is appended to.
-  void handle(Time now, const std::vector<Event>& events, std::vector<Action>& actions);
+  void handle(Microseconds now, const std::vector<Event>& events, std::vector<Action>& actions);
 
   // What is worth keeping over a restart and has changed since it was last given, one entry an endpoint, at
   // most `most` entries; the rest come with the next call. `now` never goes back, here and in handle().
@@ -277,12 +277,12 @@
   // only when they are large. What is blank again, or left the list, is given once as blank; that the time
   // of a wait, a delay or a ramp is up comes so too. A change of a target is given for each of its
   // endpoints. Costs what has changed, not what is listed. Changes no decision.
-  std::vector<TargetMemory> learned(Time now, std::size_t most);
+  std::vector<TargetMemory> learned(Microseconds now, std::size_t most);
 
   // For an observer: what is known now of each endpoint that is listed, in the order of the destinations.
   // Those of which nothing is known (blank) are left out once `most` entries are in `known`; all others
   // once there are four times as many. Changes nothing.
-  void targets(Time now, std::size_t most, std::vector<TargetMemory>& known) const;
+  void targets(Microseconds now, std::size_t most, std::vector<TargetMemory>& known) const;
 
   // How many messages are ready to go and were not sent.
   std::size_t waiting() const;
--- a/lab/catalog.cpp
+++ b/lab/catalog.cpp
@@ -13,37 +13,37 @@
       endpoints_(plan.endpoints),
       destinations_(plan.destinations),
       zones_(std::move(zones)) {
-  const Time long_ago = -3'600'000'000;
+  const Microseconds long_ago = -3'600'000'000;
   for (Index e = 0; e < plan.endpoints_at_start; e++) log_.push_back({1, long_ago, e, Status::ready});
 }
 
-void Catalog::change(Time now, Index endpoint, Status status) {
+void Catalog::change(Microseconds now, Index endpoint, Status status) {
   log_.push_back({log_.empty() ? 1 : log_.back().index + 1, now, endpoint, status});
 }
 
-std::optional<Time> Catalog::admit(Time now) {
+std::optional<Microseconds> Catalog::admit(Microseconds now) {
   if (down_) return std::nullopt;
-  const Time begins = std::max(now, free_at_);
+  const Microseconds begins = std::max(now, free_at_);
   if (begins - now > options_.longest_wait) return std::nullopt;
-  free_at_ = begins + static_cast<Time>(1e6 / options_.calls_per_s);
+  free_at_ = begins + static_cast<Microseconds>(1e6 / options_.calls_per_s);
   return free_at_;
 }
 
-std::int64_t Catalog::told(Time now) const {
+std::int64_t Catalog::told(Microseconds now) const {
   std::int64_t index = 0;
   for (const auto& c : log_)
     if (c.at + options_.late <= now) index = c.index;
   return index;
 }
 
-std::vector<Catalog::Change> Catalog::changed(Time now, std::int64_t since) const {
+std::vector<Catalog::Change> Catalog::changed(Microseconds now, std::int64_t since) const {
   std::vector<Change> all;
   for (const auto& c : log_)
     if (c.index > since && c.at + options_.late <= now) all.push_back(c);
   return all;
 }
 
-std::string Catalog::whole(Time now, const AddressOf& address) const {
+std::string Catalog::whole(Microseconds now, const AddressOf& address) const {
   std::map<Index, Change> latest;
   for (const auto& c : changed(now, 0)) latest[c.endpoint] = c;
   std::vector<Change> entries;
@@ -52,7 +52,7 @@
   return text(told(now), true, entries, address);
 }
 
-std::string Catalog::changes(Time now, std::int64_t since, const AddressOf& address) const {
+std::string Catalog::changes(Microseconds now, std::int64_t since, const AddressOf& address) const {
   std::map<Index, Change> latest;
   for (const auto& c : changed(now, since)) latest[c.endpoint] = c;
   std::vector<Change> entries;
--- a/lab/catalog.hpp
+++ b/lab/catalog.hpp
@@ -17,7 +17,7 @@
   enum class Status { ready, draining, gone };
   struct Change {
     std::int64_t index = 0;
-    Time at = 0;
+    Microseconds at = 0;
     Index endpoint = 0;
     Status status = Status::ready;
   };
@@ -27,18 +27,18 @@
   // Lists the plan's endpoints at the start.
   Catalog(const PlatformOptions& options, const Plan& plan, std::vector<std::string> zones);
 
-  void change(Time now, Index endpoint, Status status);
+  void change(Microseconds now, Index endpoint, Status status);
   // When the answer to a call that comes now is ready; nothing: it is answered 503.
-  std::optional<Time> admit(Time now);
+  std::optional<Microseconds> admit(Microseconds now);
   void down(bool is) { down_ = is; }
   bool is_down() const { return down_; }
 
-  std::int64_t told(Time now) const;  // the version that is told now
+  std::int64_t told(Microseconds now) const;  // the version that is told now
   // The list as it is told now, or what changed after `since` in it. One line of JSON.
-  std::string whole(Time now, const AddressOf& address) const;
-  std::string changes(Time now, std::int64_t since, const AddressOf& address) const;
+  std::string whole(Microseconds now, const AddressOf& address) const;
+  std::string changes(Microseconds now, std::int64_t since, const AddressOf& address) const;
   // What came after `since`, as told now; in order.
-  std::vector<Change> changed(Time now, std::int64_t since) const;
+  std::vector<Change> changed(Microseconds now, std::int64_t since) const;
 
  private:
   std::string text(std::int64_t index, bool snapshot, const std::vector<Change>& entries,
@@ -49,7 +49,7 @@
   std::vector<PlannedDestination> destinations_;
   std::vector<std::string> zones_;
   std::vector<Change> log_;
-  Time free_at_ = 0;
+  Microseconds free_at_ = 0;
   bool down_ = false;
 };
 
--- a/lab/destination.cpp
+++ b/lab/destination.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr double kBurstFor = 0.25;  // seconds of the limit that may come at once
-constexpr Time kRefusalPause = 2'000;
+constexpr Microseconds kRefusalPause = 2'000;
 
 }  // namespace
 
@@ -23,43 +23,43 @@
   for (auto& lane : lanes_) lane.tokens = burst(lane, 0);
 }
 
-double Destination::warmth(Time now, const Lane& lane) const {
+double Destination::warmth(Microseconds now, const Lane& lane) const {
   if (!lane.returned) return 1;
-  const double passed = static_cast<double>(std::max<Time>(0, now - *lane.returned));
+  const double passed = static_cast<double>(std::max<Microseconds>(0, now - *lane.returned));
   return std::min(
       1.0, options_.cold_from + (1 - options_.cold_from) * passed / static_cast<double>(options_.cold));
 }
 
-double Destination::burst(const Lane& lane, Time now) const {
+double Destination::burst(const Lane& lane, Microseconds now) const {
   return std::max(1.0, limit_now() * warmth(now, lane) * kBurstFor);
 }
 
-Outage Destination::state(Time now, Index lane) {
+Outage Destination::state(Microseconds now, Index lane) {
   auto& l = lane_of(lane);
   settle(now, l);
   return l.fallen_until ? Outage::shut : l.outage();
 }
 
-double Destination::capacity(Time now, Index lane) const {
+double Destination::capacity(Microseconds now, Index lane) const {
   const auto& l = lane_of(lane);
   if (l.outage() != Outage::none || (l.fallen_until && now < *l.fallen_until)) return 0;
   return limit_now() * warmth(now, l);
 }
 
-double Destination::capacity(Time now) const {
+double Destination::capacity(Microseconds now) const {
   double sum = 0;
   for (Index lane = 0; lane < lanes_.size(); lane++) sum += capacity(now, lane);
   return sum;
 }
 
-void Destination::settle(Time now, Lane& lane) {
+void Destination::settle(Microseconds now, Lane& lane) {
   if (!lane.fallen_until || now < *lane.fallen_until) return;
   lane.returned = *lane.fallen_until;
   lane.fallen_until.reset();
   lane.recent.clear();
 }
 
-void Destination::outage(Time now, Outage kind, std::optional<Index> lane) {
+void Destination::outage(Microseconds now, Outage kind, std::optional<Index> lane) {
   for (Index i = 0; i < lanes_.size(); i++) {
     if (lane && *lane != i) continue;
     auto& l = lanes_[i];
@@ -70,7 +70,7 @@
   }
 }
 
-void Destination::over(Time now, Outage kind, std::optional<Index> lane) {
+void Destination::over(Microseconds now, Outage kind, std::optional<Index> lane) {
   for (Index i = 0; i < lanes_.size(); i++) {
     if (lane && *lane != i) continue;
     auto& l = lanes_[i];
@@ -86,7 +86,7 @@
 
 void Destination::saw_failure(Index relay, Index lane) { lane_of(lane).saw.insert(relay); }
 
-void Destination::pushed(Time now, Lane& lane, Index relay, double messages) {
+void Destination::pushed(Microseconds now, Lane& lane, Index relay, double messages) {
   if (!lane.returned || warmth(now, lane) >= 1) return lane.recent.clear();
   lane.recent.push_back({now, relay, messages});
   while (!lane.recent.empty() && lane.recent.front().at < now - options_.overload_for)
@@ -95,7 +95,8 @@
   // of it.
   if (now - *lane.returned < options_.overload_for) return;
   constexpr std::size_t kParts = 4;
-  const Time part = std::max<Time>(1, options_.overload_for / static_cast<Time>(kParts));
+  const Microseconds part =
+      std::max<Microseconds>(1, options_.overload_for / static_cast<Microseconds>(kParts));
   std::array<double, kParts> by_part{};
   double sent = 0, saw = 0, took = 0;
   for (const auto& s : lane.recent) {
@@ -103,7 +104,7 @@
     by_part[std::min(kParts - 1, static_cast<std::size_t>((now - s.at) / part))] += s.messages;
   }
   for (std::size_t i = 0; i < kParts; i++) {
-    const Time middle = now - part * static_cast<Time>(i) - part / 2;
+    const Microseconds middle = now - part * static_cast<Microseconds>(i) - part / 2;
     // Two messages a second at the least, so that a small one is not knocked over by single calls.
     const double could = std::max(limit_now() * warmth(middle, lane), 2.0) * static_cast<double>(part) / 1e6;
     if (by_part[i] <= options_.fall_multiple * could) return;
@@ -114,7 +115,7 @@
   lane.recent.clear();
 }
 
-standins::Fate Destination::call(Time now, Index lane, Index relay, std::size_t messages) {
+standins::Fate Destination::call(Microseconds now, Index lane, Index relay, std::size_t messages) {
   auto& l = lane_of(lane);
   settle(now, l);
   const auto count = static_cast<double>(messages);
@@ -149,9 +150,9 @@
   return standins::fate::Serve{draw_time()};
 }
 
-Time Destination::draw_time() {
+Microseconds Destination::draw_time() {
   boost::random::normal_distribution<double> normal(0, options_.spread);
-  return static_cast<Time>(static_cast<double>(options_.latency) * std::exp(normal(random_)));
+  return static_cast<Microseconds>(static_cast<double>(options_.latency) * std::exp(normal(random_)));
 }
 
 std::vector<Fall> Destination::take_falls() { return std::exchange(falls_, {}); }
--- a/lab/destination.hpp
+++ b/lab/destination.hpp
@@ -20,7 +20,7 @@
 // It fell over: what it was sent in OverloadFor, all messages, and those of relays that had seen a call fail
 // or be refused there during the outage before.
 struct Fall {
-  Time at = 0;
+  Microseconds at = 0;
   double sent = 0, by_those_who_saw = 0, took = 0;  // messages; `took`: what it could take in that time
 };
 
@@ -30,45 +30,46 @@
 
   // A call with so many messages comes to the `lane`-th of its endpoints (0 where routes are not apart) at
   // `now`, which never goes back.
-  standins::Fate call(Time now, Index lane, Index relay, std::size_t messages);
+  standins::Fate call(Microseconds now, Index lane, Index relay, std::size_t messages);
 
   // All lanes, or one. `down` is for the one who listens: nothing arrives here while it lasts.
-  void outage(Time now, Outage kind, std::optional<Index> lane);
+  void outage(Microseconds now, Outage kind, std::optional<Index> lane);
   // Ends one of that kind; with the last one that lasts it returns, cold.
-  void over(Time now, Outage kind, std::optional<Index> lane);
+  void over(Microseconds now, Outage kind, std::optional<Index> lane);
   void saw_failure(Index relay, Index lane);       // a relay met it while it was down
   void limit(double factor) { factor_ = factor; }  // of the usual
 
-  Outage state(Time now, Index lane);
-  double capacity(Time now, Index lane) const;  // messages a second that it takes now; 0 while it is out
-  double capacity(Time now) const;              // of all lanes together
+  Outage state(Microseconds now, Index lane);
+  double capacity(Microseconds now,
+                  Index lane) const;        // messages a second that it takes now; 0 while it is out
+  double capacity(Microseconds now) const;  // of all lanes together
   std::size_t lanes() const { return lanes_.size(); }
   std::vector<Fall> take_falls();  // those since the last call
 
  private:
   struct Sent {
-    Time at;
+    Microseconds at;
     Index relay;
     double messages;
   };
   struct Lane {
     std::vector<Outage> outages;  // that last, the latest at the end
     Outage outage() const { return outages.empty() ? Outage::none : outages.back(); }
-    std::optional<Time> returned;  // from an outage
-    std::optional<Time> fallen_until;
+    std::optional<Microseconds> returned;  // from an outage
+    std::optional<Microseconds> fallen_until;
     double tokens = 0;
-    Time filled = 0;
+    Microseconds filled = 0;
     std::set<Index> saw;      // relays that met the outage
     std::deque<Sent> recent;  // of the last OverloadFor, while it is cold
   };
   double limit_now() const { return planned_.limit_per_s * factor_; }
-  double warmth(Time now, const Lane& lane) const;
-  double burst(const Lane& lane, Time now) const;
-  Time draw_time();
-  void pushed(Time now, Lane& lane, Index relay, double messages);
+  double warmth(Microseconds now, const Lane& lane) const;
+  double burst(const Lane& lane, Microseconds now) const;
+  Microseconds draw_time();
+  void pushed(Microseconds now, Lane& lane, Index relay, double messages);
   Lane& lane_of(Index lane) { return lanes_[lane < lanes_.size() ? lane : 0]; }
   const Lane& lane_of(Index lane) const { return lanes_[lane < lanes_.size() ? lane : 0]; }
-  void settle(Time now, Lane& lane);
+  void settle(Microseconds now, Lane& lane);
 
   Destinations options_;
   PlannedDestination planned_;
--- a/lab/experiment.cpp
+++ b/lab/experiment.cpp
@@ -78,14 +78,14 @@
   std::string path_;
 };
 
-std::optional<Time> span_of(std::string_view text) {
+std::optional<Microseconds> span_of(std::string_view text) {
   double number = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
   if (error != std::errc() || !(number >= 0)) return std::nullopt;
   const std::string_view unit(end, static_cast<std::size_t>(text.data() + text.size() - end));
   const double times = unit == "us" ? 1 : unit == "ms" ? 1e3 : unit == "s" ? 1e6 : unit == "min" ? 6e7 : 0;
   if (times == 0 || number * times > 1e12) return std::nullopt;
-  return static_cast<Time>(std::llround(number * times));
+  return static_cast<Microseconds>(std::llround(number * times));
 }
 
 // One table: each field is read once, and one that nothing read is an error.
@@ -136,7 +136,7 @@
     if (!s) fail(v, named(field) + " must be text in quotes");
     into = *s;
   }
-  void span(const char* field, Time& into) {
+  void span(const char* field, Microseconds& into) {
     const auto* const v = find(field);
     if (v == nullptr) return;
     const auto s = v->value_exact<std::string>();
@@ -286,7 +286,7 @@
   if (takes_it("factor")) t.number("factor", f.amount, 0, 100);
   if (takes_it("bytes")) t.number("bytes", f.amount, 0, 1e9);
   if (takes_it("by")) {
-    Time by = 0;
+    Microseconds by = 0;
     t.span("by", by);
     f.amount = static_cast<double>(by);
   }
--- a/lab/experiment.hpp
+++ b/lab/experiment.hpp
@@ -9,7 +9,7 @@
 
 namespace heronvane::lab {
 
-using Time = std::int64_t;  // microseconds; within a run: since its clients began
+using Microseconds = std::int64_t;  // microseconds; within a run: since its clients began
 
 struct Range {
   double least = 0, most = 0;
@@ -21,7 +21,7 @@
   std::string name;
   double share = 1;  // weights, their sum is what counts
   double worth = 1, late_worth = 0;
-  Time aim = 1'000'000, deadline = 6'000'000;
+  Microseconds aim = 1'000'000, deadline = 6'000'000;
   Effect effect = Effect::safe;
 };
 
@@ -30,13 +30,13 @@
   std::vector<std::string> zones{"a"};
   int memory_mb = 64, sockets = 256, workers = 8, open_cap = 60;
   double disk_mb = 3;
-  Time tick = 5'000;
-  Time start_at_most = 20'000'000;  // until it is ready; longer is a failed start
-  bool notes = false;               // relays may send each other datagrams
-  std::string settings;             // the operator's file, as text; empty: none
-  int copies = -1;                  // holders of each relay's log; -1: no copies at all
-  std::string acks = "majority";    // or "all"
-  Time takeover_after = 1'500'000, replace_after = 3'000'000;
+  Microseconds tick = 5'000;
+  Microseconds start_at_most = 20'000'000;  // until it is ready; longer is a failed start
+  bool notes = false;                       // relays may send each other datagrams
+  std::string settings;                     // the operator's file, as text; empty: none
+  int copies = -1;                          // holders of each relay's log; -1: no copies at all
+  std::string acks = "majority";            // or "all"
+  Microseconds takeover_after = 1'500'000, replace_after = 3'000'000;
 };
 
 struct TrafficOptions {
@@ -48,30 +48,30 @@
 
 struct Destinations {
   int count = 4;
-  Range endpoints{1, 3};     // of each
-  Time latency = 20'000;     // median of a call's time, which is log-normal
-  double spread = 0.4;       // the logarithm's standard deviation
-  Range headroom{1.5, 2.5};  // limit over the messages that it gets on average
-  double least_per_s = 3;    // no limit is below
-  double routes_apart = 0;   // share of destinations whose endpoints have limits and outages of their own
-  double told_waits = 0;     // share of those that tell a wait where they refuse
-  Time wait = 500'000;       // so long
-  double shares = 1;         // unevenness of what they get, as `uneven`
-  int connections = 256;     // that an endpoint holds; more are turned away
-  int bundle_max = 1;        // messages in a call
-  double cold_from = 0.17;   // of its limit, when it comes back after an outage
-  Time cold = 9'200'000;     // until it is warm again
-  double fall_multiple = 2;  // sent more than so many times what it can take then,
-  Time overload_for = 2'000'000;  // for so long, it falls over
-  Time down_for = 8'000'000;      // and stays down
+  Range endpoints{1, 3};          // of each
+  Microseconds latency = 20'000;  // median of a call's time, which is log-normal
+  double spread = 0.4;            // the logarithm's standard deviation
+  Range headroom{1.5, 2.5};       // limit over the messages that it gets on average
+  double least_per_s = 3;         // no limit is below
+  double routes_apart = 0;      // share of destinations whose endpoints have limits and outages of their own
+  double told_waits = 0;        // share of those that tell a wait where they refuse
+  Microseconds wait = 500'000;  // so long
+  double shares = 1;            // unevenness of what they get, as `uneven`
+  int connections = 256;        // that an endpoint holds; more are turned away
+  int bundle_max = 1;           // messages in a call
+  double cold_from = 0.17;      // of its limit, when it comes back after an outage
+  Microseconds cold = 9'200'000;          // until it is warm again
+  double fall_multiple = 2;               // sent more than so many times what it can take then,
+  Microseconds overload_for = 2'000'000;  // for so long, it falls over
+  Microseconds down_for = 8'000'000;      // and stays down
   double refused_price =
       0;  // of its limit, that a refused message uses up: 0 none, 1 as much as one that is served
 };
 
 struct PlatformOptions {
-  double calls_per_s = 200;       // lists and watches that it begins in a second
-  Time longest_wait = 1'000'000;  // one that would wait longer is answered 503
-  Time late = 500'000;            // until a change is told
+  double calls_per_s = 200;               // lists and watches that it begins in a second
+  Microseconds longest_wait = 1'000'000;  // one that would wait longer is answered 503
+  Microseconds late = 500'000;            // until a change is told
 };
 
 // ---- Faults. ----
@@ -109,24 +109,24 @@
 
 struct Fault {
   FaultKind kind = FaultKind::kill;
-  Time at = 0;
+  Microseconds at = 0;
   Parties parties, others;
-  Time lasts = 0;
-  Time back = -1;  // -1: never
+  Microseconds lasts = 0;
+  Microseconds back = -1;  // -1: never
   double amount = 0;
   std::string how;
-  Time every = 0;   // repeated so often,
-  int times = 1;    // so many times in all
-  Time jitter = 0;  // each is moved by up to so much, from the seed
+  Microseconds every = 0;   // repeated so often,
+  int times = 1;            // so many times in all
+  Microseconds jitter = 0;  // each is moved by up to so much, from the seed
   int line = 0;
 };
 
 struct Expectations {
   bool judged = true;  // broken rules fail the experiment
   double lost_most = 0;
-  double served_least = 0;       // share of the worth offered
-  Time full_service_most = 0;    // after the last fault began; 0: any
-  double pushed_over_most = -1;  // -1: any
+  double served_least = 0;             // share of the worth offered
+  Microseconds full_service_most = 0;  // after the last fault began; 0: any
+  double pushed_over_most = -1;        // -1: any
 };
 
 struct Experiment {
@@ -136,9 +136,9 @@
   TrafficOptions traffic;
   Destinations destinations;
   PlatformOptions platform;
-  Time warm = 5'000'000;     // before the first that counts
-  Time length = 30'000'000;  // clients hand in for so long
-  Time settle = 30'000'000;  // what is owed is waited for at most so long after that
+  Microseconds warm = 5'000'000;     // before the first that counts
+  Microseconds length = 30'000'000;  // clients hand in for so long
+  Microseconds settle = 30'000'000;  // what is owed is waited for at most so long after that
   std::vector<Fault> faults;
   Expectations expect;
 };
--- a/lab/fabric.cpp
+++ b/lab/fabric.cpp
@@ -68,8 +68,8 @@
   void receive(const std::shared_ptr<Peer>& peer, std::optional<std::size_t> to);
   void forward(std::size_t from, std::size_t to, const std::string& bytes);
   double uniform() { return boost::random::uniform_real_distribution<double>(0, 1)(random_); }
-  Time lag_of(const LinkFaults& f) {
-    return f.delay + static_cast<Time>(static_cast<double>(f.spread) * uniform());
+  Microseconds lag_of(const LinkFaults& f) {
+    return f.delay + static_cast<Microseconds>(static_cast<double>(f.spread) * uniform());
   }
 
   net::io_context& io_;
@@ -175,7 +175,7 @@
       SteadyTime due = std::chrono::steady_clock::now() + microseconds(f.lag_of(faults));
       if (faults.rate > 0)
         free_at = std::max(free_at, due) +
-                  microseconds(static_cast<Time>(1e6 * static_cast<double>(n) / faults.rate)),
+                  microseconds(static_cast<Microseconds>(1e6 * static_cast<double>(n) / faults.rate)),
         due = free_at;
       // Bytes keep their order.
       if (!chunks.empty()) due = std::max(due, chunks.back().due);
@@ -410,7 +410,7 @@
   }
   const int copies = uniform() < f.repeat ? 2 : 1;
   for (int i = 0; i < copies; i++) {
-    const Time lag = lag_of(f);
+    const Microseconds lag = lag_of(f);
     const auto send = [self = shared_from_this(), from, to, bytes] {
       if (self->ended_) return;
       error_code ignored;  // one that can't be sent is lost
--- a/lab/fabric.hpp
+++ b/lab/fabric.hpp
@@ -23,7 +23,7 @@
 // What a link does to the bytes on it. "There": from the party that connects to the other.
 struct LinkFaults {
   bool hold_there = false, hold_back = false;  // nothing passes; connections stay open and silent
-  Time delay = 0, spread = 0;                  // each way: `delay` and up to `spread` more
+  Microseconds delay = 0, spread = 0;          // each way: `delay` and up to `spread` more
   double rate = 0;                             // bytes a second on each connection, each way; 0: any
   std::uint64_t tear_after = 0;                // a connection is reset after so many more bytes; 0: never
   double loss = 0, repeat = 0;                 // of datagrams, shares
--- a/lab/figures.cpp
+++ b/lab/figures.cpp
@@ -14,8 +14,8 @@
 // Durations from 10 us to 1,000 s, in bins 2% wide.
 class Durations {
  public:
-  void add(Time span) {
-    histogram_(static_cast<double>(std::max<Time>(span, 10)));
+  void add(Microseconds span) {
+    histogram_(static_cast<double>(std::max<Microseconds>(span, 10)));
     count_++;
   }
   // In milliseconds; the upper edge of its bin.
@@ -48,16 +48,16 @@
 
 // Worth of a message that is delivered so long after it was handed in (BRIEF: full in time, then half with
 // each further aim, some at least until the deadline).
-double worth_of(const MessageClass& c, Time took) {
+double worth_of(const MessageClass& c, Microseconds took) {
   if (took <= c.aim) return c.worth;
   if (took > c.deadline) return 0;
-  const double late =
-      std::pow(0.5, static_cast<double>(took - c.aim) / static_cast<double>(std::max<Time>(1, c.aim)));
+  const double late = std::pow(
+      0.5, static_cast<double>(took - c.aim) / static_cast<double>(std::max<Microseconds>(1, c.aim)));
   return c.worth * std::max(late, c.late_worth);
 }
 
 struct Message {
-  Time sent = 0, handed_in = 0;  // this try; the first
+  Microseconds sent = 0, handed_in = 0;  // this try; the first
   int message_class = -1;
   bool taken = false, over = false;
 };
@@ -69,19 +69,19 @@
   const auto steps = static_cast<std::size_t>(run.end / f.step + 1);
   const double per_s = 1e6 / static_cast<double>(f.step);
   f.points.resize(steps);
-  for (std::size_t i = 0; i < steps; i++) f.points[i].at = static_cast<Time>(i) * f.step;
+  for (std::size_t i = 0; i < steps; i++) f.points[i].at = static_cast<Microseconds>(i) * f.step;
   f.destinations.assign(plan.destinations.size(), std::vector<DestinationPoint>(steps));
-  const auto step_of = [&](Time at) {
-    return std::min(steps - 1, static_cast<std::size_t>(std::max<Time>(0, at) / f.step));
+  const auto step_of = [&](Microseconds at) {
+    return std::min(steps - 1, static_cast<std::size_t>(std::max<Microseconds>(0, at) / f.step));
   };
 
   // Faults: the first and the last one's begin.
-  std::optional<Time> first_fault, last_fault;
+  std::optional<Microseconds> first_fault, last_fault;
   for (const auto& s : plan.strikes) {
     if (!first_fault) first_fault = s.at;
     last_fault = s.at;
   }
-  const Time before_until = first_fault.value_or(x.length);
+  const Microseconds before_until = first_fault.value_or(x.length);
 
   std::unordered_map<std::string, Message> messages;
   Durations accept, whole;
--- a/lab/figures.hpp
+++ b/lab/figures.hpp
@@ -12,7 +12,7 @@
 
 // Of one step of time.
 struct Point {
-  Time at = 0;                                                 // its begin
+  Microseconds at = 0;                                         // its begin
   double offered = 0, taken = 0, refused = 0, unanswered = 0;  // messages a second
   double served_worth = 0;                                     // a second
   double held = 0;                                             // messages, at its end
@@ -25,7 +25,7 @@
 };
 
 struct Figures {
-  Time step = 500'000;
+  Microseconds step = 500'000;
   std::vector<Point> points;
   std::vector<std::vector<DestinationPoint>> destinations;  // by destination, by step
 
--- a/lab/history.hpp
+++ b/lab/history.hpp
@@ -53,12 +53,12 @@
 const char* word(Kind kind);
 
 struct Event {
-  Time at = 0;
+  Microseconds at = 0;
   Kind kind = Kind::sent;
   Index relay = kNobody, endpoint = kNobody, destination = kNobody;
   std::uint32_t call = 0;
   int message_class = -1;
-  Time until = 0;
+  Microseconds until = 0;
   double value = 0, part = 0;
   std::string id, key;
 };
--- a/lab/judge.cpp
+++ b/lab/judge.cpp
@@ -12,21 +12,21 @@
 namespace {
 
 struct Span {
-  Time from = 0, to = 0;
+  Microseconds from = 0, to = 0;
 };
 
 struct Call {
-  Time first_byte = 0, came = 0;
+  Microseconds first_byte = 0, came = 0;
   Index relay = kNobody, endpoint = kNobody;
   bool ran = false, turned_away = false;
-  std::optional<Time> answered, over;
+  std::optional<Microseconds> answered, over;
   bool may_have_run() const { return !turned_away; }
 };
 
 struct Story {
   std::vector<std::size_t> events;  // places in the history
   const Event* sent = nullptr;
-  std::optional<Time> taken, delivered, first_notice;
+  std::optional<Microseconds> taken, delivered, first_notice;
   Index relay = kNobody;         // that took it on
   Index delivered_to = kNobody;  // to whom its first delivery was written
   bool refused = false, silence = false, deferred = false, undeliverable = false;
@@ -41,7 +41,7 @@
 
 class Judge {
  public:
-  Judge(const History& history, const Plan& plan, const std::vector<MessageClass>& classes, Time end,
+  Judge(const History& history, const Plan& plan, const std::vector<MessageClass>& classes, Microseconds end,
         const JudgeOptions& options)
       : history_(history), plan_(plan), classes_(classes), end_(end), o_(options) {}
 
@@ -73,17 +73,17 @@
  private:
   // ---- When relays were away, disks lost, the lab late. ----
   void gather() {
-    std::vector<std::optional<Time>> since(plan_.relays.size());
+    std::vector<std::optional<Microseconds>> since(plan_.relays.size());
     std::vector<int> reasons(plan_.relays.size(), 0), disturbances(plan_.relays.size(), 0);
-    std::vector<Time> disturbed_since(plan_.relays.size(), 0);
-    Time lagged = 0;
+    std::vector<Microseconds> disturbed_since(plan_.relays.size(), 0);
+    Microseconds lagged = 0;
     for (const auto& e : history_) {
       const Index r = e.relay;
       switch (e.kind) {
         case Kind::lag:
           if (e.value < static_cast<double>(o_.lag_least)) break;
-          lags_.push_back({e.at - static_cast<Time>(e.value), e.at});
-          lagged += static_cast<Time>(e.value);
+          lags_.push_back({e.at - static_cast<Microseconds>(e.value), e.at});
+          lagged += static_cast<Microseconds>(e.value);
           break;
         case Kind::term:
         case Kind::down:
@@ -131,52 +131,53 @@
     verdict_.lagged = end_ > 0 ? static_cast<double>(lagged) / static_cast<double>(end_) : 0;
     verdict_.timed = verdict_.lagged <= o_.lag_share;
   }
-  bool within(const std::vector<std::vector<Span>>& all, Index relay, Time from, Time to) const {
+  bool within(const std::vector<std::vector<Span>>& all, Index relay, Microseconds from,
+              Microseconds to) const {
     if (relay >= all.size()) return false;
     return std::any_of(all[relay].begin(), all[relay].end(),
                        [&](const Span& s) { return s.from <= to && from <= s.to + o_.after_restart; });
   }
   // It was away at some moment of these.
-  bool away(Index relay, Time from, Time to) const { return within(away_, relay, from, to); }
+  bool away(Index relay, Microseconds from, Microseconds to) const { return within(away_, relay, from, to); }
   // What it sent then came late or not at all, or what was sent to it.
-  bool apart(Index relay, Time from, Time to) const {
+  bool apart(Index relay, Microseconds from, Microseconds to) const {
     if (relay == kNobody) return false;
     return away(relay, from, to) || within(disturbed_, relay, from, to);
   }
-  bool restarted(Index relay, Time from, Time to) const { return away(relay, from, to); }
+  bool restarted(Index relay, Microseconds from, Microseconds to) const { return away(relay, from, to); }
   // When the end of a message that was due then must have come, its relay being away now and then.
-  Time due(Index relay, Time taken, Time deadline) const {
-    Time at = deadline + o_.end_slack;
+  Microseconds due(Index relay, Microseconds taken, Microseconds deadline) const {
+    Microseconds at = deadline + o_.end_slack;
     if (relay >= away_.size()) return at;
     if (o_.taken_over_in > 0 && away(relay, taken, at))
-      for (const Time lost : losses_)
+      for (const Microseconds lost : losses_)
         if (taken <= lost && lost <= at) at = std::max(at, lost + o_.taken_over_in);
     for (const auto& s : away_[relay])
       if (s.from <= at && at <= s.to + o_.after_restart) {
-        const Time back = s.to + o_.after_restart;
+        const Microseconds back = s.to + o_.after_restart;
         // One that is gone for long is taken over, and no excuse any more.
         at = o_.taken_over_in > 0 ? std::max(at, std::min(back, s.from + o_.taken_over_in)) : back;
       }
     return at;
   }
-  bool lag_near(Time at) const {
+  bool lag_near(Microseconds at) const {
     return std::any_of(lags_.begin(), lags_.end(), [&](const Span& s) {
-      const Time before = 2 * (s.to - s.from);
+      const Microseconds before = 2 * (s.to - s.from);
       return s.from - before <= at && at <= s.to + before;
     });
   }
-  bool lost_disk(Index relay, Time taken) const {
+  bool lost_disk(Index relay, Microseconds taken) const {
     if (relay >= disks_.size()) return false;
     return std::any_of(disks_[relay].begin(), disks_[relay].end(),
                        [&](const Span& s) { return s.from <= taken && taken <= s.to; });
   }
-  bool rolled_back(Index relay, Time from, Time to) const {
+  bool rolled_back(Index relay, Microseconds from, Microseconds to) const {
     if (relay >= rollbacks_.size()) return false;
     return std::any_of(rollbacks_[relay].begin(), rollbacks_[relay].end(),
                        [&](const Span& s) { return s.to >= from && s.to <= to; });
   }
 
-  void found(Rule rule, Time at, const std::string& id, std::string text) {
+  void found(Rule rule, Microseconds at, const std::string& id, std::string text) {
     if (timed(rule) && lag_near(at)) {
       verdict_.tally.excused++;
       return;
@@ -297,7 +298,7 @@
       return found(Rule::strange, e.at, e.id, who + " for a message that no client handed in");
     if (e.endpoint < plan_.endpoints.size() && plan_.endpoints[e.endpoint].destination != s.sent->destination)
       found(Rule::strange, e.at, e.id, who + ", which is of another destination");
-    const Time first = e.until > 0 ? e.until : e.at;
+    const Microseconds first = e.until > 0 ? e.until : e.at;
     if (unsafe(s)) {
       for (const auto& [number, c] : s.calls) {
         if (number == e.call || !c.may_have_run()) continue;
@@ -319,13 +320,13 @@
     auto& c = s.calls[e.call];
     c.first_byte = first, c.came = e.at, c.relay = e.relay, c.endpoint = e.endpoint;
   }
-  void drain(const Event& e, Time first, const std::string& who) {
+  void drain(const Event& e, Microseconds first, const std::string& who) {
     const auto truth = drained_.find(e.endpoint);
     if (truth == drained_.end()) return;
-    std::optional<Time> told;
+    std::optional<Microseconds> told;
     if (const auto it = told_.find({e.relay, e.endpoint}); it != told_.end()) told = it->second;
     // It counts as told some time later, unless the relay could not be told.
-    const Time latest = truth->second + o_.told_at_most;
+    const Microseconds latest = truth->second + o_.told_at_most;
     if (!away(e.relay, truth->second, latest)) told = std::min(told.value_or(latest), latest);
     if (!told || first <= *told + o_.drain_grace + o_.slack) return;
     // While a link is disturbed bytes come later than they were sent.
@@ -333,7 +334,7 @@
     found(Rule::drained, first, e.id,
           who + " " + std::to_string((first - *told) / 1000) + " ms after it was told that it drains");
   }
-  void wait(const Event& e, Time first, const std::string& who) {
+  void wait(const Event& e, Microseconds first, const std::string& who) {
     const auto it = waits_.find({e.relay, e.destination, lane(e)});
     if (it == waits_.end()) return;
     for (const auto& w : it->second) {
@@ -365,7 +366,7 @@
     (deferred ? s.deferred : s.undeliverable) = true;
     if (s.delivered) {
       // Another relay, which took over, has it from the one that the answer was written to.
-      const Time from = *s.delivered - o_.answer_read;
+      const Microseconds from = *s.delivered - o_.answer_read;
       const bool knew = e.at - *s.delivered > o_.answer_read && !apart(e.relay, from, e.at) &&
                         !apart(s.delivered_to, from, e.at);
       t.crossed++;
@@ -401,18 +402,18 @@
         found(Rule::refused_yet_run, s.sent->at, id, "its client was refused, and it took effect");
     }
     if (!s.taken) return;
-    std::optional<Time> ended = s.delivered;
+    std::optional<Microseconds> ended = s.delivered;
     if (s.first_notice) ended = std::min(ended.value_or(*s.first_notice), *s.first_notice);
     if (!ended) {
       if (lost_disk(s.relay, *s.taken)) {
         t.lost_with_disk++;
         return;
       }
-      const Time owed = due(s.relay, *s.taken, s.sent->until);
+      const Microseconds owed = due(s.relay, *s.taken, s.sent->until);
       if (owed > end_) return;  // its relay never came back
       return found(Rule::lost, owed, id, relay(s.relay) + " took it on and never ended it");
     }
-    const Time owed = due(s.relay, *s.taken, s.sent->until);
+    const Microseconds owed = due(s.relay, *s.taken, s.sent->until);
     if (*ended > owed && *ended > *s.taken)
       found(Rule::late, *ended, id,
             "its end came " + std::to_string((*ended - s.sent->until) / 1000) + " ms after its time was up");
@@ -421,16 +422,16 @@
   const History& history_;
   const Plan& plan_;
   const std::vector<MessageClass>& classes_;
-  const Time end_;
+  const Microseconds end_;
   const JudgeOptions o_;
   Verdict verdict_;
   std::unordered_map<std::string, Story> stories_;
   std::vector<std::vector<Span>> away_, disturbed_, disks_, rollbacks_;  // by relay
   std::vector<Span> lags_;
-  std::vector<Time> losses_;  // when any relay went down or away, by time
+  std::vector<Microseconds> losses_;  // when any relay went down or away, by time
   std::set<Index> down_;
-  std::map<std::pair<Index, Index>, Time> told_;  // relay, endpoint
-  std::map<Index, Time> drained_;
+  std::map<std::pair<Index, Index>, Microseconds> told_;  // relay, endpoint
+  std::map<Index, Microseconds> drained_;
   std::map<std::tuple<Index, Index, Index>, std::vector<Span>> waits_;      // relay, destination, lane
   std::map<std::pair<Index, std::string>, std::vector<std::string>> keys_;  // in the order they were taken on
 };
@@ -521,8 +522,8 @@
   return text;
 }
 
-Verdict judge(const History& history, const Plan& plan, const std::vector<MessageClass>& classes, Time end,
-              const JudgeOptions& options) {
+Verdict judge(const History& history, const Plan& plan, const std::vector<MessageClass>& classes,
+              Microseconds end, const JudgeOptions& options) {
   return Judge(history, plan, classes, end, options).run();
 }
 
--- a/lab/judge.hpp
+++ b/lab/judge.hpp
@@ -32,7 +32,7 @@
 
 struct Finding {
   Rule rule = Rule::lost;
-  Time at = 0;
+  Microseconds at = 0;
   std::string id;                 // of the message; empty: of none
   std::string text;               // what broke it
   std::vector<std::string> path;  // all that happened to the message, in order
@@ -52,18 +52,18 @@
 };
 
 struct JudgeOptions {
-  Time drain_grace = 1'000'000, slack = 50'000, end_slack = 300'000;
-  Time after_restart = 1'500'000;  // from ready on, nothing is overdue for so long
+  Microseconds drain_grace = 1'000'000, slack = 50'000, end_slack = 300'000;
+  Microseconds after_restart = 1'500'000;  // from ready on, nothing is overdue for so long
   // Copies: what a machine that is lost owed is another's after so long; 0: there are none. Which one had a
   // message that has changed hands can't be seen from outside, so any loss near its time counts.
-  Time taken_over_in = 0;
-  Time told_at_most = 6'000'000;  // a change of the list counts as told so much later
-  Time wait_slack = 100'000;      // calls so soon after a wait was written are let through
-  Time answer_read = 500'000;     // a relay has read an answer that was written so long ago
-  Time call_ended = 100'000;      // an endpoint has seen the end of a call that was given up so long ago
+  Microseconds taken_over_in = 0;
+  Microseconds told_at_most = 6'000'000;  // a change of the list counts as told so much later
+  Microseconds wait_slack = 100'000;      // calls so soon after a wait was written are let through
+  Microseconds answer_read = 500'000;     // a relay has read an answer that was written so long ago
+  Microseconds call_ended = 100'000;  // an endpoint has seen the end of a call that was given up so long ago
   int attempts_most = 8;
   std::size_t findings_most = 200;  // kept; all are counted
-  Time lag_least = 20'000;          // the lab's lag from which on it excuses what hangs on times
+  Microseconds lag_least = 20'000;  // the lab's lag from which on it excuses what hangs on times
   double lag_share = 0.05;          // of the run; above, nothing that hangs on times is judged
 };
 
@@ -81,8 +81,8 @@
 };
 
 // `history` by time. `end`: when the run was over; what is owed then is lost.
-Verdict judge(const History& history, const Plan& plan, const std::vector<MessageClass>& classes, Time end,
-              const JudgeOptions& options = {});
+Verdict judge(const History& history, const Plan& plan, const std::vector<MessageClass>& classes,
+              Microseconds end, const JudgeOptions& options = {});
 // One line for people.
 std::string line(const Event& event, const Plan& plan);
 
--- a/lab/machine.cpp
+++ b/lab/machine.cpp
@@ -56,7 +56,7 @@
       self->begun(std::move(process));
     });
   }
-  void overlap(Time killed) {
+  void overlap(Microseconds killed) {
     if (!running_ || ended_ || successor_) return;
     launcher_.start(command(life_ + 1), [self = shared_from_this(), killed](Process process) {
       if (self->ended_) return process ? void(process.signal(SIGKILL)) : void();
@@ -64,7 +64,7 @@
       self->terminate(killed);
     });
   }
-  void terminate(Time killed) {
+  void terminate(Microseconds killed) {
     if (!running_) return;
     wanted_ = true;
     signal(SIGTERM);
@@ -184,8 +184,8 @@
   impl_->wanted_ = true;
   impl_->signal(SIGKILL);
 }
-void Machine::terminate(Time killed) { impl_->terminate(killed); }
-void Machine::overlap(Time killed) { impl_->overlap(killed); }
+void Machine::terminate(Microseconds killed) { impl_->terminate(killed); }
+void Machine::overlap(Microseconds killed) { impl_->overlap(killed); }
 void Machine::stop() { impl_->signal(SIGSTOP); }
 void Machine::go_on() { impl_->signal(SIGCONT); }
 bool Machine::running() const { return impl_->running_; }
--- a/lab/machine.hpp
+++ b/lab/machine.hpp
@@ -20,7 +20,7 @@
   boost::asio::ip::tcp::endpoint health;
   // The configuration of its next start, whose seed differs each time.
   std::function<std::string(unsigned life)> config;
-  Time start_at_most = 20'000'000;
+  Microseconds start_at_most = 20'000'000;
 };
 
 class Machine {
@@ -36,12 +36,12 @@
   Machine(const Machine&) = delete;
   Machine& operator=(const Machine&) = delete;
 
-  void start();                 // where no process runs, but for the next one of overlap()
-  void kill();                  // SIGKILL
-  void terminate(Time killed);  // SIGTERM; SIGKILL where it still runs so much later
+  void start();                         // where no process runs, but for the next one of overlap()
+  void kill();                          // SIGKILL
+  void terminate(Microseconds killed);  // SIGTERM; SIGKILL where it still runs so much later
   // Starts the next process beside the one that runs, which then gets SIGTERM, and SIGKILL where it still
   // runs so much later. The next start() takes the next process over; it is the machine's only then.
-  void overlap(Time killed);
+  void overlap(Microseconds killed);
   void stop();   // SIGSTOP
   void go_on();  // SIGCONT
   bool running() const;
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -60,10 +60,11 @@
  public:
   explicit Progress(bool quiet) : quiet_(quiet), terminal_(::isatty(STDERR_FILENO) == 1) {}
   ~Progress() { clear(); }
-  void at(Time now, Time whole, const std::string& text) {
+  void at(Microseconds now, Microseconds whole, const std::string& text) {
     if (quiet_ || !terminal_) return;
     constexpr int kCells = 24;
-    const int full = static_cast<int>(std::min<Time>(kCells, kCells * now / std::max<Time>(1, whole)));
+    const int full =
+        static_cast<int>(std::min<Microseconds>(kCells, kCells * now / std::max<Microseconds>(1, whole)));
     std::fprintf(stderr, "\r\033[K[%s%s] %3.0f s  %s",
                  std::string(static_cast<std::size_t>(full), '=').c_str(),
                  std::string(static_cast<std::size_t>(kCells - full), ' ').c_str(),
@@ -108,12 +109,12 @@
     o.program = program;
     o.folder = folder + "/machines";
     o.environment = options_.environment;
-    Time last = 0;
+    Microseconds last = 0;
     o.told = [&](const std::string& line) {
       log << "{\"at_us\":" << last << ",\"what\":\"" << line << "\"}" << std::endl;
       progress.line("  " + line);
     };
-    o.progress = [&](Time now, const std::string& text) {
+    o.progress = [&](Microseconds now, const std::string& text) {
       last = now;
       progress.at(now, x.length, text);
     };
--- a/lab/plan.cpp
+++ b/lab/plan.cpp
@@ -205,7 +205,7 @@
     for (int i = 0; i < f.times; i++) {
       Strike s;
       s.kind = f.kind, s.lasts = f.lasts, s.back = f.back, s.amount = f.amount, s.how = f.how;
-      s.at = f.at + f.every * i + static_cast<Time>(uniform(drawn, 0, static_cast<double>(f.jitter)));
+      s.at = f.at + f.every * i + static_cast<Microseconds>(uniform(drawn, 0, static_cast<double>(f.jitter)));
       s.strikes = sets.of(f.parties, drawn, f.line);
       s.others = sets.of(f.others, drawn, f.line);
       s.words = words_of(f, s);
--- a/lab/plan.hpp
+++ b/lab/plan.hpp
@@ -52,7 +52,7 @@
 // One fault as it comes: `strikes` and `others` hold parties by index.
 struct Strike {
   FaultKind kind = FaultKind::kill;
-  Time at = 0, lasts = 0, back = -1;
+  Microseconds at = 0, lasts = 0, back = -1;
   double amount = 0;
   std::string how;
   Set strikes, others;
--- a/lab/platform.cpp
+++ b/lab/platform.cpp
@@ -25,7 +25,7 @@
 
 constexpr auto kLook =
     std::chrono::milliseconds(20);  // how often changes are looked for that are due to be told
-constexpr Time kEmptyLine = 2'000'000;
+constexpr Microseconds kEmptyLine = 2'000'000;
 constexpr std::size_t kMostNotices = 4 << 20;
 
 }  // namespace
@@ -71,7 +71,7 @@
   // What has come due for a watch.
   void look() {
     if (!watches_ || writing_) return;
-    const Time now = platform_->hooks_.now();
+    const Microseconds now = platform_->hooks_.now();
     const auto told = platform_->catalog_.told(now);
     if (told > since_) return tell(platform_->catalog_.changes(now, since_, addresses()), now, since_);
     if (now - last_line_ >= kEmptyLine) chunk("\n"), last_line_ = now;
@@ -88,7 +88,7 @@
     if (relay_ == kNobody) return answer(403, "");
     if (r.method() == http::verb::post && target == "/v2/finals") return notices(r.body());
     if (r.method() != http::verb::get || target.rfind("/catalog/members", 0) != 0) return answer(404, "");
-    const Time now = platform_->hooks_.now();
+    const Microseconds now = platform_->hooks_.now();
     const auto ready = platform_->catalog_.admit(now);
     platform_->hooks_.list_call(relay_, !ready);
     if (!ready) return answer(503, "");
@@ -104,14 +104,14 @@
     });
   }
   void list() {
-    const Time now = platform_->hooks_.now();
+    const Microseconds now = platform_->hooks_.now();
     const auto text = platform_->catalog_.whole(now, addresses());
     told(now, 0);
     answer(200, text);
   }
   void begin_watch(std::int64_t since) {
     watches_ = true;
-    const Time now = platform_->hooks_.now();
+    const Microseconds now = platform_->hooks_.now();
     const bool whole = since <= 0 || since > platform_->catalog_.told(now);
     out_ = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
     if (whole)
@@ -124,13 +124,13 @@
       self->close();
     });
   }
-  void tell(const std::string& line, Time now, std::int64_t since) {
+  void tell(const std::string& line, Microseconds now, std::int64_t since) {
     told(now, since);
     since_ = platform_->catalog_.told(now);
     last_line_ = now;
     chunk(line + "\n");
   }
-  void told(Time now, std::int64_t since) {
+  void told(Microseconds now, std::int64_t since) {
     for (const auto& c : platform_->catalog_.changed(now, since))
       if (c.status != Catalog::Status::ready) platform_->hooks_.listed(relay_, c);
   }
@@ -182,7 +182,7 @@
   std::string out_, under_way_;
   bool keep_ = true, watches_ = false, writing_ = false;
   std::int64_t since_ = 0;
-  Time last_line_ = 0;
+  Microseconds last_line_ = 0;
 };
 
 void Platform::Impl::accept() {
--- a/lab/platform.hpp
+++ b/lab/platform.hpp
@@ -12,7 +12,7 @@
 namespace heronvane::lab {
 
 struct PlatformHooks {
-  std::function<Time()> now;
+  std::function<Microseconds()> now;
   // Who asks, by the address that it comes from; kNobody: a stranger, who is answered 403.
   std::function<Index(const boost::asio::ip::address& from)> relay;
   std::function<std::string(Index relay, Index endpoint)> address;
--- a/lab/report.hpp
+++ b/lab/report.hpp
@@ -21,7 +21,7 @@
   Fabric::Counts fabric;
   double relay_cpu_s = 0;
   std::uint64_t relay_memory = 0;
-  Time end = 0;
+  Microseconds end = 0;
   std::vector<std::string> failed;  // what was expected and did not come, in words; empty: passed
 };
 
--- a/lab/world.cpp
+++ b/lab/world.cpp
@@ -18,9 +18,9 @@
 
 namespace {
 
-constexpr Time kTick = 5'000;  // of the loop that measures its own lag
-constexpr Time kSample = 100'000;
-constexpr Time kReadyAtMost = 60'000'000;
+constexpr Microseconds kTick = 5'000;  // of the loop that measures its own lag
+constexpr Microseconds kSample = 100'000;
+constexpr Microseconds kReadyAtMost = 60'000'000;
 constexpr std::size_t kSpareDescriptors = 3000;  // for connections, beside the links' own
 
 void need_descriptors(std::size_t wanted) {
@@ -127,7 +127,7 @@
     o.bundle_max = static_cast<std::size_t>(experiment_.destinations.bundle_max);
     o.connections_most = static_cast<std::size_t>(experiment_.destinations.connections);
     o.decide = [this, e](const standins::Call& call) { return decide(e, call); };
-    o.followed = [this, e](const standins::Call& call, standins::Stage stage, Time until) {
+    o.followed = [this, e](const standins::Call& call, standins::Stage stage, Microseconds until) {
       followed(e, call, stage, until);
     };
     o.connected = [this, e](const net::ip::tcp::endpoint& from, bool crowded) {
@@ -177,7 +177,7 @@
                  back = in(s.others, from) && in(s.strikes, to);
       if (!there && !back) continue;
       if (s.kind == FaultKind::cut || (s.kind == FaultKind::cut_one && there)) f.hold_there = true;
-      if (s.kind == FaultKind::delay) f.delay = f.spread = static_cast<Time>(s.amount);
+      if (s.kind == FaultKind::delay) f.delay = f.spread = static_cast<Microseconds>(s.amount);
       if (s.kind == FaultKind::loss) f.loss = s.amount;
       if (s.kind == FaultKind::repeat) f.repeat = s.amount;
     }
@@ -255,7 +255,7 @@
   const auto text = [](const auto& e) {
     return "\"" + e.address().to_string() + ":" + std::to_string(e.port()) + "\"\n";
   };
-  const auto seconds = [](Time t) { return std::to_string(static_cast<double>(t) / 1e6) + "\n"; };
+  const auto seconds = [](Microseconds t) { return std::to_string(static_cast<double>(t) / 1e6) + "\n"; };
   std::string all = fleet.settings +
                     "\n[copies]\ncluster = \"lab\"\nholders = " + std::to_string(fleet.copies) +
                     "\nacks = \"" + fleet.acks + "\"\nlisten = " + text(addresses_->copies(relay)) +
@@ -364,7 +364,7 @@
 }
 
 // ---- What happens. ----
-Time World::now() const { return standins::steady_time() - zero_; }
+Microseconds World::now() const { return standins::steady_time() - zero_; }
 
 Event& World::note(Kind kind, Index relay, Index endpoint) {
   auto& e = history_.emplace_back();
@@ -398,7 +398,7 @@
   return fate;
 }
 
-void World::followed(Index endpoint, const standins::Call& call, standins::Stage stage, Time until) {
+void World::followed(Index endpoint, const standins::Call& call, standins::Stage stage, Microseconds until) {
   auto& number = call_numbers_[{endpoint, call.number}];
   if (number == 0) number = ++last_call_;
   const Index relay = relay_at(call.from.address());
@@ -471,8 +471,8 @@
 }
 
 // ---- The loop. ----
-bool World::wait_until(const std::function<bool()>& done, Time at_most) {
-  const Time until = standins::steady_time() + at_most;
+bool World::wait_until(const std::function<bool()>& done, Microseconds at_most) {
+  const Microseconds until = standins::steady_time() + at_most;
   while (!done()) {
     if (standins::steady_time() > until) return false;
     io_.restart();
@@ -482,8 +482,8 @@
 }
 
 void World::tick() {
-  const Time at = now();
-  const Time late = at - tick_due_;
+  const Microseconds at = now();
+  const Microseconds late = at - tick_due_;
   lags_ms_.push_back(static_cast<double>(late) / 1e3);
   if (late >= 10'000) note(Kind::lag).value = static_cast<double>(late);
   if (at - sampled_ >= kSample) {
@@ -532,7 +532,7 @@
   for (std::size_t i = 0; i < plan_.strikes.size(); i++) {
     const auto& s = plan_.strikes[i];
     if (s.kind == FaultKind::rollback)
-      after(std::max<Time>(0, s.at - static_cast<Time>(s.amount)), [this, i] {
+      after(std::max<Microseconds>(0, s.at - static_cast<Microseconds>(s.amount)), [this, i] {
         for (const Index r : plan_.strikes[i].strikes.relays)
           machines_[r]->copy_disk("disk-" + std::to_string(i));
       });
@@ -562,7 +562,7 @@
 
 bool World::owed() const { return !owed_.empty(); }
 
-void World::lost(Index relay, Time since) {
+void World::lost(Index relay, Microseconds since) {
   // Another one is to end it.
   if (experiment_.fleet.copies > 0) return;
   std::erase_if(owed_,
--- a/lab/world.hpp
+++ b/lab/world.hpp
@@ -27,16 +27,16 @@
 namespace heronvane::lab {
 
 struct RunOptions {
-  std::string program;                                         // the relay's
-  std::string folder;                                          // of the run; made, and left behind
-  std::vector<std::string> environment;                        // of the relays, NAME=value
-  std::function<void(const std::string& line)> told;           // notable events, for people; may be empty
-  std::function<void(Time now, const std::string&)> progress;  // a few times a second; may be empty
+  std::string program;                                // the relay's
+  std::string folder;                                 // of the run; made, and left behind
+  std::vector<std::string> environment;               // of the relays, NAME=value
+  std::function<void(const std::string& line)> told;  // notable events, for people; may be empty
+  std::function<void(Microseconds now, const std::string&)> progress;  // a few times a second; may be empty
 };
 
 // Ten times a second.
 struct Sample {
-  Time at = 0;
+  Microseconds at = 0;
   std::vector<double> capacity;  // of each destination, in messages a second
   std::uint64_t connections_open = 0;
   int relays_up = 0;
@@ -45,7 +45,7 @@
 struct RunResult {
   History history;  // by time
   std::vector<Sample> samples;
-  Time end = 0;
+  Microseconds end = 0;
   Fabric::Counts fabric;
   double relay_cpu_s = 0;          // of all relays that ran at the end, since their last starts
   std::uint64_t relay_memory = 0;  // the largest that one held at the end
@@ -81,11 +81,11 @@
   std::string operator_settings(Index relay) const;
   void configure(Index relay, const std::string& field, double value);  // from its next start on
   // ---- What happens. ----
-  Time now() const;
+  Microseconds now() const;
   Event& note(Kind kind, Index relay = kNobody, Index endpoint = kNobody);
   void tell(const std::string& line) const;
   Index relay_at(const boost::asio::ip::address& address) const;
-  void followed(Index endpoint, const standins::Call& call, standins::Stage stage, Time until);
+  void followed(Index endpoint, const standins::Call& call, standins::Stage stage, Microseconds until);
   standins::Fate decide(Index endpoint, const standins::Call& call);
   void heard(Index relay, const standins::Message& message, standins::Heard heard);
   void went_up(Index relay);
@@ -108,14 +108,14 @@
   void refresh_clients(Index relay);
   void refresh_endpoint(Index endpoint, Door door);
   LinkFaults faults_of(Party from, Party to, bool& refuse) const;
-  void after(Time span, std::function<void()> then);
-  void duty(Index relay, double share, Time until);
-  void start_later(Index relay, Time back);
+  void after(Microseconds span, std::function<void()> then);
+  void duty(Index relay, double share, Microseconds until);
+  void start_later(Index relay, Microseconds back);
   // ---- The loop. ----
-  bool wait_until(const std::function<bool()>& done, Time at_most);
+  bool wait_until(const std::function<bool()>& done, Microseconds at_most);
   void tick();
   bool owed() const;
-  void lost(Index relay, Time since);  // what it took on from then on went down with its disk
+  void lost(Index relay, Microseconds since);  // what it took on from then on went down with its disk
 
   boost::asio::io_context& io_;
   Launcher& launcher_;
@@ -144,7 +144,8 @@
   std::vector<bool> endpoint_down_;
   std::vector<int> endpoint_outages_;
   std::vector<Fleet> fleets_;  // by relay: what it is told
-  std::vector<Time> back_;     // by relay: so long after its process has ended it starts again; -1: never
+  std::vector<Microseconds>
+      back_;  // by relay: so long after its process has ended it starts again; -1: never
   std::vector<std::function<void()>> on_down_;  // by relay: done once its process has ended
   std::map<std::size_t, Strike> active_;        // strikes on links that last
   std::vector<Index> away_by_cut_, disturbed_;  // counts by relay
@@ -156,7 +157,7 @@
   std::vector<double> lags_ms_;
   struct Owed {
     Index relay;
-    Time taken;
+    Microseconds taken;
   };
   std::map<std::string, Owed> owed_;  // taken and not ended yet, by id; not what was lost with a disk
   std::map<std::string, std::pair<Index, int>> message_of_;  // destination, class
@@ -165,7 +166,7 @@
   std::uint32_t last_call_ = 0;
   std::vector<std::shared_ptr<boost::asio::steady_timer>> timers_;
   boost::asio::steady_timer ticker_;
-  Time zero_ = 0, tick_due_ = 0, sampled_ = -1;
+  Microseconds zero_ = 0, tick_due_ = 0, sampled_ = -1;
   bool running_ = false;
 };
 
--- a/lab/world_faults.cpp
+++ b/lab/world_faults.cpp
@@ -11,25 +11,26 @@
 
 namespace {
 
-constexpr Time kRestartKill = 3'700'000;  // from SIGTERM to SIGKILL
-constexpr Time kDoorAfterTerm = 300'000;  // new connections go on coming for so long after SIGTERM
-constexpr Time kBackAfterRestart = 600'000;
-constexpr Time kDrainFor = 5'000'000, kReplacedAfter = 2'000'000;
-constexpr Time kDutyCycle = 50'000;
+constexpr Microseconds kRestartKill = 3'700'000;  // from SIGTERM to SIGKILL
+constexpr Microseconds kDoorAfterTerm = 300'000;  // new connections go on coming for so long after SIGTERM
+constexpr Microseconds kBackAfterRestart = 600'000;
+constexpr Microseconds kDrainFor = 5'000'000, kReplacedAfter = 2'000'000;
+constexpr Microseconds kDutyCycle = 50'000;
 
 bool in(const std::vector<Index>& set, Index i) { return std::binary_search(set.begin(), set.end(), i); }
 
 }  // namespace
 
-void World::after(Time span, std::function<void()> then) {
-  const auto timer = std::make_shared<boost::asio::steady_timer>(io_, microseconds(std::max<Time>(0, span)));
+void World::after(Microseconds span, std::function<void()> then) {
+  const auto timer =
+      std::make_shared<boost::asio::steady_timer>(io_, microseconds(std::max<Microseconds>(0, span)));
   timers_.push_back(timer);
   timer->async_wait([this, then = std::move(then)](error_code bad) {
     if (!bad && running_) then();
   });
 }
 
-void World::start_later(Index r, Time back) {
+void World::start_later(Index r, Microseconds back) {
   if (back < 0) return;
   after(back, [this, r] { machines_[r]->start(); });
 }
@@ -52,7 +53,7 @@
       for (const Index r : s.strikes.relays) {
         if (!machines_[r]->running()) continue;
         back_[r] = s.back;
-        on_down_[r] = [this, r, number, earlier = s.at - static_cast<Time>(s.amount)] {
+        on_down_[r] = [this, r, number, earlier = s.at - static_cast<Microseconds>(s.amount)] {
           if (!machines_[r]->put_back("disk-" + std::to_string(number))) return;
           note(Kind::rolled_back, r).until = earlier;
           lost(r, earlier);
@@ -153,9 +154,9 @@
   }
 }
 
-void World::duty(Index r, double share, Time until) {
+void World::duty(Index r, double share, Microseconds until) {
   if (now() >= until || share <= 0) return machines_[r]->go_on();
-  const auto stopped = static_cast<Time>(share * static_cast<double>(kDutyCycle));
+  const auto stopped = static_cast<Microseconds>(share * static_cast<double>(kDutyCycle));
   machines_[r]->stop();
   after(stopped, [this, r, share, until, stopped] {
     machines_[r]->go_on();
@@ -220,7 +221,7 @@
 }
 
 void World::drain(const Strike& s, bool replace) {
-  const Time back = s.back >= 0 ? s.back : replace ? kReplacedAfter : kDrainFor;
+  const Microseconds back = s.back >= 0 ? s.back : replace ? kReplacedAfter : kDrainFor;
   for (const Index e : s.strikes.endpoints) {
     platform_->catalog().change(now(), e, Catalog::Status::draining);
     note(Kind::drained, kNobody, e);
@@ -318,7 +319,7 @@
         f.hold_back = f.hold_back || back;
         break;
       case FaultKind::delay:
-        f.delay += static_cast<Time>(s.amount), f.spread += static_cast<Time>(s.amount);
+        f.delay += static_cast<Microseconds>(s.amount), f.spread += static_cast<Microseconds>(s.amount);
         break;
       case FaultKind::rate:
         f.rate = s.amount;
--- a/relay/answer.cpp
+++ b/relay/answer.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-constexpr int kMostAhead = 16;                // 1xx answers before the one that counts
-constexpr Time kLongestWait = 3'600'000'000;  // that a mad answer can tell
+constexpr int kMostAhead = 16;                        // 1xx answers before the one that counts
+constexpr Microseconds kLongestWait = 3'600'000'000;  // that a mad answer can tell
 
 std::optional<double> finite_number(beast::string_view text) {
   double v = 0;
@@ -82,10 +82,10 @@
   return !bad && parser_->is_done() ? State::whole : State::broken;
 }
 
-Time AnswerReader::told_wait() const {
+Microseconds AnswerReader::told_wait() const {
   const auto ms = finite_number(parser_->get()["X-Come-Back-Ms"]);
   if (!ms || *ms <= 0) return 0;
-  return static_cast<Time>(std::min(*ms * 1000, static_cast<double>(kLongestWait)));
+  return static_cast<Microseconds>(std::min(*ms * 1000, static_cast<double>(kLongestWait)));
 }
 
 // "x0=0.4,x1=25"
--- a/relay/answer.hpp
+++ b/relay/answer.hpp
@@ -38,7 +38,7 @@
   unsigned status() const { return parser_->get().result_int(); }
   bool line_busy() const { return parser_->get()["X-Line-Busy"] == "1"; }
   const std::string& body() const { return parser_->get().body(); }
-  Time told_wait() const;  // 0: none
+  Microseconds told_wait() const;  // 0: none
   heronvane::dispatch::Report report() const;
 
  private:
--- a/relay/backs/kept_connections.hpp
+++ b/relay/backs/kept_connections.hpp
@@ -19,16 +19,16 @@
 class KeptConnections {
  public:
   using EndpointId = heronvane::dispatch::EndpointId;
-  using Time = heronvane::dispatch::Time;
+  using Microseconds = heronvane::dispatch::Microseconds;
 
   // `now` never goes back.
-  void put(const EndpointId& endpoint, std::shared_ptr<Connection> connection, Time now) {
+  void put(const EndpointId& endpoint, std::shared_ptr<Connection> connection, Microseconds now) {
     const auto place = by_endpoint_.try_emplace(endpoint).first;
     all_.push_back({&place->first, std::move(connection), now});
     place->second.push_back(std::prev(all_.end()));
   }
   // The freshest of an endpoint's that has not been used since `rested`; null where there is none.
-  std::shared_ptr<Connection> take(const EndpointId& endpoint, Time rested) {
+  std::shared_ptr<Connection> take(const EndpointId& endpoint, Microseconds rested) {
     const auto place = by_endpoint_.find(endpoint);
     if (place == by_endpoint_.end()) return nullptr;
     auto& kept = place->second;
@@ -43,7 +43,7 @@
     return nullptr;
   }
   // When the one of an endpoint's that is longest idle was used last; below 0 where there is none.
-  Time longest_idle_since(const EndpointId& endpoint) const {
+  Microseconds longest_idle_since(const EndpointId& endpoint) const {
     const auto place = by_endpoint_.find(endpoint);
     return place == by_endpoint_.end() ? -1 : place->second.front()->used;
   }
@@ -69,13 +69,13 @@
     return true;
   }
   // Those not used since `until`; how many there were.
-  std::size_t drop_idle_since(Time until) {
+  std::size_t drop_idle_since(Microseconds until) {
     std::size_t dropped = 0;
     for (; !all_.empty() && all_.front().used <= until; dropped++) remove(all_.begin());
     return dropped;
   }
   // When the one that is longest idle was used last; only where there is one.
-  Time oldest() const { return all_.front().used; }
+  Microseconds oldest() const { return all_.front().used; }
   std::size_t size() const { return all_.size(); }
   bool empty() const { return all_.empty(); }
 
@@ -83,7 +83,7 @@
   struct Kept {
     const EndpointId* endpoint;  // the key of its place
     std::shared_ptr<Connection> connection;
-    Time used = 0;
+    Microseconds used = 0;
   };
   using All = std::list<Kept>;  // longest idle first
 
--- a/relay/calls.cpp
+++ b/relay/calls.cpp
@@ -28,16 +28,16 @@
 
 // An answer that has begun comes whole within this, or is taken as broken. Guards against slots held until
 // the time-out by heads and bodies that never end.
-constexpr Time kAnswerTime = 400'000;
+constexpr Microseconds kAnswerTime = 400'000;
 // What an endpoint sent besides its answer comes right behind it; a connection rests so long before it is
 // used again, so that it does not pass for the answer to the next call.
-constexpr Time kRest = 5'000;
+constexpr Microseconds kRest = 5'000;
 // Part of the endpoint's idle time after which a kept connection is closed: the rest covers the way of the
 // answer that started its clock and of the request that would use it.
 constexpr double kKeptPart = 0.9;
-constexpr Time kNever = 3'600'000'000;
+constexpr Microseconds kNever = 3'600'000'000;
 
-std::chrono::microseconds span(Time t) { return std::chrono::microseconds(t); }
+std::chrono::microseconds span(Microseconds t) { return std::chrono::microseconds(t); }
 
 std::string base64(const std::string& bytes) {
   std::string text(beast::detail::base64::encoded_size(bytes.size()), '\0');
@@ -87,20 +87,20 @@
   std::vector<bool> over;  // its outcome was told
   std::size_t left = 0;
   Stage stage = Stage::connecting;
-  Time sent = steady_now();
+  Microseconds sent = steady_now();
   std::shared_ptr<Connection> connection;
   Alarm timer;
   Alarm read_pause;  // while the system has no memory for a read
   http::request<http::string_body> request;
   AnswerReader answer;
-  Time answer_due = 0;  // for the rest of an answer that has begun; 0: none has
-  bool sound = false;   // the connection may be used again
-  Time told_wait = 0;
+  Microseconds answer_due = 0;  // for the rest of an answer that has begun; 0: none has
+  bool sound = false;           // the connection may be used again
+  Microseconds told_wait = 0;
   heronvane::dispatch::Report report;
 
   // One message is delivered by the answer's first line, several by the whole of it.
   bool delivered() const { return messages.size() == 1 && answer.says_ok(); }
-  Time connect_due(const CallLimits& limits) const { return sent + limits.connect_timeout; }
+  Microseconds connect_due(const CallLimits& limits) const { return sent + limits.connect_timeout; }
 };
 
 Calls::Calls(net::io_context& io, const CallLimits& limits, Ended ended, MayBegin may_begin)
@@ -142,7 +142,7 @@
 void Calls::begin(const std::shared_ptr<Call>& call) {
   const auto found = places_.find(call->endpoint);
   if (found == places_.end()) return end_all(call, Outcome::not_sent);
-  const Time rested = steady_now() - kRest;
+  const Microseconds rested = steady_now() - kRest;
   while (const auto connection = kept_.take(call->endpoint, rested)) {
     error_code bad;
     connection->socket.cancel(bad);
@@ -157,14 +157,14 @@
     arm(call);
     return write(call);
   }
-  const Time since = kept_.longest_idle_since(call->endpoint);
+  const Microseconds since = kept_.longest_idle_since(call->endpoint);
   const bool room = out_ + kept_.size() < limits_.connections;
   if (since >= 0 && (limits_.wait_for_rest || !room)) return begin_at(call, since + kRest);
   connect(call, found->second);
 }
 
-void Calls::begin_at(const std::shared_ptr<Call>& call, Time when) {
-  call->timer.set(span(std::max<Time>(when - steady_now(), 0)), [this, call] { begin(call); });
+void Calls::begin_at(const std::shared_ptr<Call>& call, Microseconds when) {
+  call->timer.set(span(std::max<Microseconds>(when - steady_now(), 0)), [this, call] { begin(call); });
 }
 
 void Calls::connect(const std::shared_ptr<Call>& call, const tcp::endpoint& address) {
@@ -188,7 +188,7 @@
   if (!may_begin_()) return call->stage == Call::Stage::done ? void() : end_all(call, Outcome::not_sent);
   // Guards against an effect twice: the connection may have come up late, and the destination have forgotten
   // a key.
-  const Time now = steady_now();
+  const Microseconds now = steady_now();
   for (std::size_t i = 0; i < call->messages.size(); i++) {
     const Outgoing& m = call->messages[i];
     if (!call->over[i] && m.begin_by > 0 && now > m.begin_by) end(call, i, Outcome::not_sent);
@@ -198,7 +198,7 @@
   if (call->stage == Call::Stage::done) return;
   // Those that ended while the connection came up stay out of the call.
   std::vector<Outgoing> live;
-  Time longest = 0;
+  Microseconds longest = 0;
   for (std::size_t i = 0; i < call->messages.size(); i++) {
     if (call->over[i]) continue;
     // Its time runs since it was sent, also while its connection came up.
@@ -355,16 +355,16 @@
 // Waits for what comes first: the connection's time, or that of one of the messages.
 void Calls::arm(const std::shared_ptr<Call>& call) {
   if (call->stage == Call::Stage::done) return;
-  Time due = steady_now() + kNever;
+  Microseconds due = steady_now() + kNever;
   for (std::size_t i = 0; i < call->messages.size(); i++)
     if (!call->over[i]) due = std::min(due, call->sent + call->messages[i].timeout);
   if (call->stage == Call::Stage::connecting) due = std::min(due, call->connect_due(limits_));
   if (call->answer_due > 0) due = std::min(due, call->answer_due);
-  call->timer.set(span(std::max<Time>(due - steady_now(), 0)), [this, call] {
+  call->timer.set(span(std::max<Microseconds>(due - steady_now(), 0)), [this, call] {
     // An answer that is here counts, though it is read only now: its time was up in the same moment, or this
     // process stood still.
     if (call->stage == Call::Stage::waiting && take(call) == Taken::ended) return;
-    const Time now = steady_now();
+    const Microseconds now = steady_now();
     const bool connecting = call->stage == Call::Stage::connecting;
     if (connecting && now >= call->connect_due(limits_)) return end_all(call, Outcome::connect_failed);
     if (call->answer_due > 0 && now >= call->answer_due) return broken(call);
@@ -488,7 +488,8 @@
 
 // Closes kept connections before their end comes; sleeps until the next is due.
 void Calls::sweep() {
-  const Time now = steady_now(), most = static_cast<Time>(kKeptPart * static_cast<double>(limits_.idle));
+  const Microseconds now = steady_now(),
+                     most = static_cast<Microseconds>(kKeptPart * static_cast<double>(limits_.idle));
   connections_.aged += kept_.drop_idle_since(now - most);
   if (kept_.empty()) return;
   sweep_timer_.set(span(kept_.oldest() + most - now), [this] { sweep(); });
--- a/relay/calls.hpp
+++ b/relay/calls.hpp
@@ -28,16 +28,16 @@
 struct Outgoing {
   MessageId id = 0;
   int attempt = 0;
-  Time timeout = 0;
+  Microseconds timeout = 0;
   std::string wire_id, body;
   std::string idempotency_key;  // empty: none
-  Time begin_by = 0;            // its call may begin until then, as steady_now() tells it; 0: whenever
+  Microseconds begin_by = 0;    // its call may begin until then, as steady_now() tells it; 0: whenever
 };
 
 struct CallLimits {
   std::size_t slots = 1;  // calls out at once
-  Time connect_timeout = 0;
-  Time idle = 0;                // endpoints close connections that were idle for so long
+  Microseconds connect_timeout = 0;
+  Microseconds idle = 0;        // endpoints close connections that were idle for so long
   std::size_t connections = 1;  // of calls out and kept ones together
   bool reports = false;         // answers may hold load reports
   bool wait_for_rest = true;    // a call waits for a kept connection that rests, in place of opening one
@@ -87,7 +87,7 @@
   struct Call;
 
   void begin(const std::shared_ptr<Call>& call);
-  void begin_at(const std::shared_ptr<Call>& call, Time when);
+  void begin_at(const std::shared_ptr<Call>& call, Microseconds when);
   void connect(const std::shared_ptr<Call>& call, const boost::asio::ip::tcp::endpoint& address);
   void write(const std::shared_ptr<Call>& call);
   void read(const std::shared_ptr<Call>& call);
--- a/relay/clock.hpp
+++ b/relay/clock.hpp
@@ -7,14 +7,14 @@
 
 namespace heronvane {
 
-using heronvane::dispatch::Time;
+using heronvane::dispatch::Microseconds;
 
-inline Time steady_now() {
+inline Microseconds steady_now() {
   return std::chrono::duration_cast<std::chrono::microseconds>(
              std::chrono::steady_clock::now().time_since_epoch())
       .count();
 }
-inline Time wall_now() {
+inline Microseconds wall_now() {
   return std::chrono::duration_cast<std::chrono::microseconds>(
              std::chrono::system_clock::now().time_since_epoch())
       .count();
--- a/relay/copies/copies.cpp
+++ b/relay/copies/copies.cpp
@@ -19,10 +19,10 @@
 
 constexpr auto kTick = std::chrono::milliseconds(25), kLazy = std::chrono::milliseconds(3);
 constexpr std::size_t kMostEarly = 1 << 20;
-constexpr Time kConnectEach = 200'000;
-constexpr Time kAskEach = 500'000;         // that the owner lives; less where a take-over comes sooner
-constexpr Time kChooseAtMost = 3'000'000;  // then others than the first choice
-constexpr Time kFullPause = 500'000;
+constexpr Microseconds kConnectEach = 200'000;
+constexpr Microseconds kAskEach = 500'000;  // that the owner lives; less where a take-over comes sooner
+constexpr Microseconds kChooseAtMost = 3'000'000;  // then others than the first choice
+constexpr Microseconds kFullPause = 500'000;
 constexpr std::uint64_t kKeptPart = 16;    // of the memory, for entries that holders lack
 constexpr std::size_t kRows = 256 * 1024;  // in a part of a snapshot
 constexpr std::uint64_t kSincePart = 8;    // of the memory, for what is written while one goes on
@@ -169,7 +169,7 @@
 
 Copies::~Copies() { store_.copy_to(nullptr); }
 
-Time Copies::steady() const {
+Microseconds Copies::steady() const {
   return std::chrono::duration_cast<std::chrono::microseconds>(
              std::chrono::steady_clock::now().time_since_epoch())
       .count();
@@ -539,9 +539,9 @@
         claim(claim_->beaten_by().number);
       break;
     case Phase::owning: {
-      const Time each = options_.settings.takeover_after > 0
-                            ? std::min(kAskEach, options_.settings.takeover_after / 8)
-                            : kAskEach;
+      const Microseconds each = options_.settings.takeover_after > 0
+                                    ? std::min(kAskEach, options_.settings.takeover_after / 8)
+                                    : kAskEach;
       const bool ask = steady() - said_at_ >= each;
       if (ask) said_at_ = steady();
       for (const auto& h : owner_->holders()) {
@@ -562,7 +562,7 @@
 
 // Health is 503 meanwhile; nobody is to guess why.
 void Copies::say_who_is_awaited() {
-  constexpr Time kLong = 5'000'000;
+  constexpr Microseconds kLong = 5'000'000;
   if (steady() - awaited_at_ < kLong) return;
   awaited_at_ = steady();
   const auto names =
@@ -604,7 +604,7 @@
     const auto& view = views_[h.name];
     const bool there = connected(h);
     if (there && view.trouble.empty()) continue;
-    const Time since = there ? view.troubled_since : view.away_since;
+    const Microseconds since = there ? view.troubled_since : view.away_since;
     std::optional<Member> fresh;
     if (peer != nullptr && !there) {
       fresh = *peer;  // the same relay, without its disk
--- a/relay/copies/copies.hpp
+++ b/relay/copies/copies.hpp
@@ -87,12 +87,12 @@
     bool out = false;
   };
   struct HolderView {
-    Time away_since = 0;  // 0: connected
-    std::string trouble;  // why it takes nothing; empty: it does
-    Time troubled_since = 0;
-    Time retry_at = 0;  // after it was full
+    Microseconds away_since = 0;  // 0: connected
+    std::string trouble;          // why it takes nothing; empty: it does
+    Microseconds troubled_since = 0;
+    Microseconds retry_at = 0;  // after it was full
   };
-  Time steady() const;
+  Microseconds steady() const;
   void tick();
   void adopt_facts();
   void connect();
@@ -139,10 +139,10 @@
   Takeover takeover_;
   boost::asio::steady_timer timer_, lazy_;
   bool lazy_due_ = false;
-  Time connect_at_ = 0, awaited_at_ = 0;
+  Microseconds connect_at_ = 0, awaited_at_ = 0;
 
   Phase phase_ = Phase::choosing;
-  Time phase_since_ = 0;
+  Microseconds phase_since_ = 0;
   std::uint64_t used_epoch_ = 0;
   store::Sequence told_ = 0;  // how far it said that it is; at first, how far an earlier life got
   bool went_back_ = false;
@@ -152,16 +152,16 @@
   std::optional<Owner> owner_;
   Position start_ = 0;  // where the owner's epoch began
   std::optional<Claim> claim_;
-  Time said_at_ = 0, claim_again_at_ = 0;
+  Microseconds said_at_ = 0, claim_again_at_ = 0;
   std::uint64_t read_part_ = 0;
-  Time read_at_ = 0;
+  Microseconds read_at_ = 0;
   std::set<MessageId> read_;  // numbers in the state that is read
   bool early_lost_ = false;
   std::string early_;  // frames written while there is no owner
   struct Waiting {
     Position position;
     store::Sequence last;
-    Time since;
+    Microseconds since;
   };
   std::deque<Waiting> waiting_;  // entries that do not stand yet
   std::map<Member, Transfer> transfers_;
--- a/relay/copies/copies_claims.cpp
+++ b/relay/copies/copies_claims.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr Time kSayAgain = 150'000;     // words of a claim
-constexpr Time kReadAgain = 2'000'000;  // a state that is read, from its first part on
+constexpr Microseconds kSayAgain = 150'000;     // words of a claim
+constexpr Microseconds kReadAgain = 2'000'000;  // a state that is read, from its first part on
 
 }  // namespace
 
@@ -31,7 +31,7 @@
 }
 
 void Copies::say_claim() {
-  const Time now = steady();
+  const Microseconds now = steady();
   if (now - said_at_ < kSayAgain || !store_.trouble().empty()) return;
   said_at_ = now;
   for (const auto& letter : claim_->words()) {
@@ -101,7 +101,7 @@
       return lost_log();
     case Claim::State::beaten:
       // At another moment than the other one, which may try again, too.
-      claim_again_at_ = steady() + 200'000 + static_cast<Time>(self_.incarnation % 300'000);
+      claim_again_at_ = steady() + 200'000 + static_cast<Microseconds>(self_.incarnation % 300'000);
       return;
     case Claim::State::asking:
     case Claim::State::reading:
--- a/relay/copies/packet.cpp
+++ b/relay/copies/packet.cpp
@@ -327,7 +327,7 @@
       const Value* const v = find(d, key);
       return v == nullptr ? 0 : number(*v);
     };
-    const auto time = [&](const char* key, Time absent) {
+    const auto time = [&](const char* key, Microseconds absent) {
       const Value* const v = find(d, key);
       if (v == nullptr) return absent;
       if (!v->IsInt64()) throw Unreadable("no time");
@@ -348,7 +348,7 @@
 }
 
 std::string write_state(const Epoch& promised, Position last, const Epoch& last_epoch, const Config& c,
-                        const std::optional<Moved>& m, Time ahead, std::uint64_t disk) {
+                        const std::optional<Moved>& m, Microseconds ahead, std::uint64_t disk) {
   rapidjson::StringBuffer out;
   Json json(out);
   json.StartObject();
--- a/relay/copies/packet.hpp
+++ b/relay/copies/packet.hpp
@@ -58,10 +58,10 @@
   std::uint64_t part = 0;      // of a snapshot, or of a state that is read, from 0 on
   bool last = false;           // of the parts
   std::uint64_t numbered = 0;  // messages and remembered ids in the state that is read
-  Time now = 0;                // on the log's clock, its owner's lasting time; 0: not told
+  Microseconds now = 0;        // on the log's clock, its owner's lasting time; 0: not told
   Version version;             // heard
   bool replaced = false;
-  Time ago = -1;             // heard: so long; -1: the log is not kept here
+  Microseconds ago = -1;     // heard: so long; -1: the log is not kept here
   store::Salt salt = 0;      // of the frames in entries and body
   std::uint64_t disk = 0;    // bytes that the owner's own folder may take
   store::Sequence mark = 0;  // answers: as in Hello
@@ -75,13 +75,13 @@
 
 // Configs, epochs and the like as JSON, for what is kept on disk.
 std::string write_state(const Epoch& promised, Position last, const Epoch& last_epoch, const Config& config,
-                        const std::optional<Moved>& moved, Time ahead, std::uint64_t disk);
+                        const std::optional<Moved>& moved, Microseconds ahead, std::uint64_t disk);
 struct KeptState {
   Epoch promised, last_epoch;
   Position last = 0;
   Config config;
   std::optional<Moved> moved;
-  Time ahead = 0;  // the owner's clock before this one's
+  Microseconds ahead = 0;  // the owner's clock before this one's
   std::uint64_t disk = 0;
 };
 std::optional<KeptState> read_state(std::string_view json);
--- a/relay/copies/settings.hpp
+++ b/relay/copies/settings.hpp
@@ -20,11 +20,11 @@
   std::string listen;   // ip:port; empty: the address of the member that is this relay
   int holders = 2;      // 0 to 4
   bool all = false;     // acks: all holders; else a majority of the group, the owner among it
-  Time takeover_after =
+  Microseconds takeover_after =
       10'000'000;  // an owner not heard for so long is taken over; 0: only when an operator says so
-  Time replace_after = 10'000'000;  // a holder that is away for so long is replaced
-  Time short_after = 250'000;       // what waits for copies for so long is turned away
-  std::uint64_t disk_bytes = 0;     // that copies of others may take; 0: (2 * holders + 4) times disk_mb
+  Microseconds replace_after = 10'000'000;  // a holder that is away for so long is replaced
+  Microseconds short_after = 250'000;       // what waits for copies for so long is turned away
+  std::uint64_t disk_bytes = 0;  // that copies of others may take; 0: (2 * holders + 4) times disk_mb
   std::vector<Member> members;
 };
 
--- a/relay/copies/shelf.cpp
+++ b/relay/copies/shelf.cpp
@@ -198,8 +198,8 @@
   }
   if (writes) shelf->left = false;
   if (writes && packet.now != 0) {
-    const Time ahead = packet.now - options_.now();
-    constexpr Time kSame = 50'000;
+    const Microseconds ahead = packet.now - options_.now();
+    constexpr Microseconds kSame = 50'000;
     if (std::abs(ahead - shelf->ahead) > kSame) shelf->ahead = ahead;
   }
   switch (packet.kind) {
--- a/relay/copies/shelf.hpp
+++ b/relay/copies/shelf.hpp
@@ -26,9 +26,9 @@
   std::string folder;             // made where it is missing
   std::uint64_t limit_bytes = 0;  // of all logs together, by what their owners may fill
   store::Durability durability = store::Durability::process;
-  std::function<Time()> now;     // this relay's lasting time
-  std::function<Time()> steady;  // that a step of no clock moves, from any zero
-  store::SyncThread::Post post;  // Durability::machine only
+  std::function<Microseconds()> now;     // this relay's lasting time
+  std::function<Microseconds()> steady;  // that a step of no clock moves, from any zero
+  store::SyncThread::Post post;          // Durability::machine only
   std::function<void(const std::string&)> log = [](const std::string&) {};
 };
 
@@ -58,7 +58,7 @@
   struct View {
     LogId log;
     HolderState state;
-    Time heard = 0;  // steady time
+    Microseconds heard = 0;  // steady time
     std::size_t messages = 0;
     std::uint64_t bytes = 0;
     std::string trouble;
@@ -81,7 +81,7 @@
     std::uint64_t next_part = 0;
     bool left = false;  // others hold that log: only promises are here
     Holder holder;
-    Time heard = 0, ahead = 0;
+    Microseconds heard = 0, ahead = 0;
     std::uint64_t disk = 0;
     std::unique_ptr<RowWriter> reader;
     std::uint64_t reader_part = 0;
--- a/relay/copies/takeover.cpp
+++ b/relay/copies/takeover.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-constexpr Time kSayAgain = 150'000;        // words that were not answered
-constexpr Time kReadAgain = 2'000'000;     // a state that is read, from its first part on
-constexpr Time kClaimAtMost = 20'000'000;  // then anew, under a higher epoch
-constexpr Time kPause = 1'000'000;         // after one that was beaten
-constexpr Time kAskAgain = 250'000;        // other holders, when they heard an owner
-constexpr Time kAskSeldom = 2'000'000;     // where it has been silent here for long, and not to them
+constexpr Microseconds kSayAgain = 150'000;        // words that were not answered
+constexpr Microseconds kReadAgain = 2'000'000;     // a state that is read, from its first part on
+constexpr Microseconds kClaimAtMost = 20'000'000;  // then anew, under a higher epoch
+constexpr Microseconds kPause = 1'000'000;         // after one that was beaten
+constexpr Microseconds kAskAgain = 250'000;        // other holders, when they heard an owner
+constexpr Microseconds kAskSeldom = 2'000'000;     // where it has been silent here for long, and not to them
 
 std::string key_of(const LogId& log) { return kImportKey + log.name + "." + std::to_string(log.incarnation); }
 std::string name_of(const LogId& log) {
@@ -92,7 +92,7 @@
 }
 
 void Takeover::tick() {
-  const Time now = host_.steady();
+  const Microseconds now = host_.steady();
   if (!claim_) {
     if (now < again_at_) return;
     // What an earlier life began goes first, unless its owner has written on since.
@@ -127,7 +127,7 @@
 
 // An owner that neither this holder nor enough of the others have heard is gone.
 void Takeover::look_for_gone() {
-  const Time now = host_.steady();
+  const Microseconds now = host_.steady();
   if (host_.after <= 0) return;
   const Member self = host_.self();
   std::map<LogId, Doubt> doubts;
@@ -140,7 +140,7 @@
     const auto rank = std::find(holders.begin(), holders.end(), self) - holders.begin();
     if (rank == static_cast<std::ptrdiff_t>(holders.size())) continue;  // it holds that log no more
     // One after the other, so that few claim at a time.
-    const Time after = host_.after + rank * std::min<Time>(host_.after / 4, 1'000'000);
+    const Microseconds after = host_.after + rank * std::min<Microseconds>(host_.after / 4, 1'000'000);
     if (now - shelf.heard < after) continue;
     Doubt& doubt = doubts[shelf.log] = std::move(doubts_[shelf.log]);
     std::set<Member> silent{self};
--- a/relay/copies/takeover.hpp
+++ b/relay/copies/takeover.hpp
@@ -25,14 +25,14 @@
     std::function<Member()> self;
     std::function<LogId()> own_log;
     std::function<Acks()> acks;
-    std::function<Time()> steady;
+    std::function<Microseconds()> steady;
     std::function<std::uint64_t(std::uint64_t above)> next_epoch;  // kept before it is used
     // To a member, this relay's own shelves among them. False: not now.
     std::function<bool(const Member& to, const Packet& packet)> say;
     std::function<void()> settle;
     std::function<void(MessageId from, MessageId to)> taken_over;
     std::function<void(const std::string&)> log;
-    Time after = 0;  // an owner not heard for so long is gone; 0: only by hand
+    Microseconds after = 0;  // an owner not heard for so long is gone; 0: only by hand
   };
   explicit Takeover(Host host) : host_(std::move(host)) {}
 
@@ -53,8 +53,8 @@
 
  private:
   struct Doubt {  // an owner not heard: what other holders say
-    std::map<Member, Time> ago;
-    Time asked_at = -1;
+    std::map<Member, Microseconds> ago;
+    Microseconds asked_at = -1;
   };
   struct Chained {
     Import import;  // numbers as that log had them, then as they are here
@@ -79,10 +79,10 @@
   std::optional<Claim> claim_;
   LogId log_;  // that is claimed
   bool by_hand_ = false;
-  Time said_at_ = 0, read_at_ = 0, again_at_ = 0, began_at_ = 0;
+  Microseconds said_at_ = 0, read_at_ = 0, again_at_ = 0, began_at_ = 0;
   std::uint64_t part_ = 0;
   MessageId next_ = 0;           // number of the next message that is read
-  Time shift_ = 0;               // of its times
+  Microseconds shift_ = 0;       // of its times
   bool whole_ = false;           // all parts are here
   store::Sequence written_ = 0;  // with them
   std::vector<Chained> chained_;
--- a/relay/core/held_gauge.cpp
+++ b/relay/core/held_gauge.cpp
@@ -4,7 +4,7 @@
 
 namespace heronvane {
 
-void HeldGauge::taken(MessageId number, const std::string& message_class, Time when) {
+void HeldGauge::taken(MessageId number, const std::string& message_class, Microseconds when) {
   const auto of_class = by_class_.try_emplace(message_class).first;
   if (!held_.emplace(number, Entry{when / kStep, of_class}).second) return;
   of_class->second++;
@@ -20,15 +20,15 @@
   held_.erase(it);
 }
 
-HeldGauge::Counts HeldGauge::counts(Time now) const {
+HeldGauge::Counts HeldGauge::counts(Microseconds now) const {
   Counts c;
   c.by_class = by_class_;
   if (by_step_.empty()) return c;
-  c.oldest = std::max<Time>(0, now - by_step_.begin()->first * kStep);
+  c.oldest = std::max<Microseconds>(0, now - by_step_.begin()->first * kStep);
   // The newest first: what is older than the last bound is the rest, and is not looked at.
   std::size_t seen = 0;
   for (auto it = by_step_.rbegin(); it != by_step_.rend(); ++it) {
-    const Time age = now - it->first * kStep;
+    const Microseconds age = now - it->first * kStep;
     if (age > 30'000'000) break;
     (age <= 1'000'000 ? c.up_to_1s : age <= 5'000'000 ? c.up_to_5s : c.up_to_30s) += it->second;
     seen += it->second;
--- a/relay/core/held_gauge.hpp
+++ b/relay/core/held_gauge.hpp
@@ -13,27 +13,27 @@
 
 class HeldGauge {
  public:
-  static constexpr Time kStep = 50'000;  // ages are told to this
+  static constexpr Microseconds kStep = 50'000;  // ages are told to this
 
   struct Counts {
     std::map<std::string, std::size_t> by_class;
-    Time oldest = 0;  // the age of the one held longest; 0: none is
+    Microseconds oldest = 0;  // the age of the one held longest; 0: none is
     std::size_t up_to_1s = 0, up_to_5s = 0, up_to_30s = 0, more = 0;
   };
 
   // A message is held since `when`.
-  void taken(MessageId number, const std::string& message_class, Time when);
+  void taken(MessageId number, const std::string& message_class, Microseconds when);
   void over(MessageId number);
-  Counts counts(Time now) const;
+  Counts counts(Microseconds now) const;
 
  private:
   struct Entry {
-    Time step = 0;
+    Microseconds step = 0;
     std::map<std::string, std::size_t>::iterator of_class;
   };
   std::unordered_map<MessageId, Entry> held_;
   std::map<std::string, std::size_t> by_class_;
-  std::map<Time, std::size_t> by_step_;  // when they were taken on, in whole steps
+  std::map<Microseconds, std::size_t> by_step_;  // when they were taken on, in whole steps
 };
 
 }  // namespace heronvane
--- a/relay/core/list_memory.cpp
+++ b/relay/core/list_memory.cpp
@@ -8,14 +8,14 @@
 
 using heronvane::dispatch::EndpointId;
 using heronvane::dispatch::Listing;
-using heronvane::dispatch::Time;
+using heronvane::dispatch::Microseconds;
 
 namespace {
 
 const std::string kPrefix = "endpoint/";
 // Long past the lists that a restart may bring back. Lists that are older after that come from a discovery
 // that counts anew.
-constexpr Time kLongest = 3'600'000'000;
+constexpr Microseconds kLongest = 3'600'000'000;
 constexpr std::size_t kMost = 4096;  // the oldest that `known` does not name make room
 
 }  // namespace
@@ -36,8 +36,8 @@
   return u;
 }
 
-ListMemory::ListMemory(const std::map<std::string, std::string>& facts, const MemberList& known, Time now,
-                       Keep keep)
+ListMemory::ListMemory(const std::map<std::string, std::string>& facts, const MemberList& known,
+                       Microseconds now, Keep keep)
     : keep_(std::move(keep)) {
   for (const auto& m : known.members) known_.insert(m.endpoint.id);
   std::vector<std::string> dropped;
@@ -64,7 +64,7 @@
   return list;
 }
 
-MemberList ListMemory::told(MemberList list, const std::string& discovery, Time now) {
+MemberList ListMemory::told(MemberList list, const std::string& discovery, Microseconds now) {
   std::erase_if(list.members, [&](Member& m) {
     const auto it = unfit_.find(m.endpoint.id);
     const bool older = it != unfit_.end() && it->second.discovery == discovery &&
@@ -83,7 +83,7 @@
 }
 
 void ListMemory::gone(const EndpointId& endpoint, std::int64_t index, const std::string& discovery,
-                      Time now) {
+                      Microseconds now) {
   remember(endpoint, {Listing::gone, index, now, discovery});
 }
 
--- a/relay/core/list_memory.hpp
+++ b/relay/core/list_memory.hpp
@@ -22,7 +22,7 @@
 struct Unfit {
   heronvane::dispatch::Listing listing = heronvane::dispatch::Listing::draining;  // or gone
   std::int64_t index = 0;                                                         // of the list that told it
-  heronvane::dispatch::Time told = 0;                                             // lasting time
+  heronvane::dispatch::Microseconds told = 0;                                     // lasting time
   std::string discovery;                                                          // the address that told it
 };
 // As kept in the store; nothing where the text is no such thing.
@@ -37,15 +37,15 @@
   // Takes back from `facts` what earlier lives kept; what is older than an hour and not named by `known` is
   // dropped. `now` is lasting time, here and below.
   ListMemory(const std::map<std::string, std::string>& facts, const MemberList& known,
-             heronvane::dispatch::Time now, Keep keep);
+             heronvane::dispatch::Microseconds now, Keep keep);
 
   // The configuration's list as it holds: without those that are gone, with those that drain.
   MemberList known(MemberList list) const;
   // A list or changes as told by `discovery`, as they hold; what they tell is remembered.
-  MemberList told(MemberList list, const std::string& discovery, heronvane::dispatch::Time now);
+  MemberList told(MemberList list, const std::string& discovery, heronvane::dispatch::Microseconds now);
   // A whole list with that index does not name the endpoint any more.
   void gone(const heronvane::dispatch::EndpointId& endpoint, std::int64_t index, const std::string& discovery,
-            heronvane::dispatch::Time now);
+            heronvane::dispatch::Microseconds now);
 
   std::size_t size() const { return unfit_.size(); }
 
--- a/relay/core/message.hpp
+++ b/relay/core/message.hpp
@@ -13,8 +13,8 @@
 namespace heronvane {
 
 using heronvane::dispatch::MessageId;
+using heronvane::dispatch::Microseconds;
 using heronvane::dispatch::Outcome;
-using heronvane::dispatch::Time;
 
 // The header that carries a message's key from its client to its destination, unchanged.
 inline constexpr char kIdempotencyKey[] = "Idempotency-Key";
@@ -25,13 +25,13 @@
   std::string idempotency_key;
   std::string message_class, tenant;
   std::int64_t destination = 0;
-  Time deadline = 0;
+  Microseconds deadline = 0;
   bool repeat = false;  // the client hands it in again
   std::string body;
 };
 
 struct Attempt {
-  Time sent = 0;
+  Microseconds sent = 0;
   int zone = -1;                   // of its endpoint; -1: unknown
   std::optional<Outcome> outcome;  // none: not seen, so it may have run
   bool may_have_run() const {
@@ -45,8 +45,8 @@
 
 // A message that is given up: its notice is owed to the platform.
 struct Ending {
-  bool deferred = false;  // handing it in again is harmless
-  Time again = 0;         // after so long; a duration
+  bool deferred = false;   // handing it in again is harmless
+  Microseconds again = 0;  // after so long; a duration
 };
 
 struct Held {
--- a/relay/core/outbox.hpp
+++ b/relay/core/outbox.hpp
@@ -19,7 +19,7 @@
 
 struct Answer {
   unsigned status = 202;
-  Time retry_after = 0;               // 0: none
+  Microseconds retry_after = 0;       // 0: none
   std::string_view turned_down = {};  // why the message makes no sense, where it makes none; a literal
 };
 using Reply = std::function<void(const Answer&)>;
--- a/relay/core/round_gap.hpp
+++ b/relay/core/round_gap.hpp
@@ -12,23 +12,25 @@
 
 class RoundGap {
  public:
-  using Time = heronvane::dispatch::Time;
-  RoundGap(Time tick, bool early) : tick_(tick), early_(early) {}
+  using Microseconds = heronvane::dispatch::Microseconds;
+  RoundGap(Microseconds tick, bool early) : tick_(tick), early_(early) {}
 
   // After a round that took so long.
-  void ran(Time took) { mean_ += kGain * (static_cast<double>(std::max<Time>(took, 0)) - mean_); }
+  void ran(Microseconds took) {
+    mean_ += kGain * (static_cast<double>(std::max<Microseconds>(took, 0)) - mean_);
+  }
   // From one round to the next at least: for what may be sent at once, and for all else.
-  Time urgent() const {
+  Microseconds urgent() const {
     if (!early_) return tick_;
-    return std::clamp(static_cast<Time>(kTimes * mean_), std::min(kLeast, tick_), tick_);
+    return std::clamp(static_cast<Microseconds>(kTimes * mean_), std::min(kLeast, tick_), tick_);
   }
-  Time usual() const { return tick_; }
+  Microseconds usual() const { return tick_; }
 
  private:
   static constexpr double kGain = 0.1, kTimes = 6;  // weight of the newest; a seventh of the time in rounds
-  static constexpr Time kLeast = 800;               // microseconds
+  static constexpr Microseconds kLeast = 800;       // microseconds
 
-  Time tick_;
+  Microseconds tick_;
   bool early_;
   double mean_ = 0;
 };
--- a/relay/core/status.cpp
+++ b/relay/core/status.cpp
@@ -25,7 +25,7 @@
 void field(Writer& w, const char* key, std::int64_t v) { w.Key(key), w.Int64(v); }
 void field(Writer& w, const char* key, std::uint64_t v) { w.Key(key), w.Uint64(v); }
 
-std::int64_t ms(Time t) { return t / 1000; }
+std::int64_t ms(Microseconds t) { return t / 1000; }
 // JSON has no infinity; a thousandth is more than anybody reads.
 double shown(double v) { return std::isfinite(v) ? std::round(v * 1000) / 1000 : 0; }
 
--- a/relay/core/status.hpp
+++ b/relay/core/status.hpp
@@ -20,9 +20,9 @@
   };
   std::string name, run, version, trouble;
   std::int64_t pid = 0, generation = 0;
-  Time started = 0, uptime = 0;  // wall time
-  Time start_waited = 0;         // how long the start was waiting for something that passed
-  std::string start_waited_for;  // what for, the last of it; empty: it was not waiting
+  Microseconds started = 0, uptime = 0;  // wall time
+  Microseconds start_waited = 0;         // how long the start was waiting for something that passed
+  std::string start_waited_for;          // what for, the last of it; empty: it was not waiting
   bool ready = false, draining = false, stopping = false;
   Fence fence = 0;
   std::size_t held = 0, given_up = 0;
--- a/relay/core/target_memory.cpp
+++ b/relay/core/target_memory.cpp
@@ -9,20 +9,20 @@
 
 using heronvane::dispatch::EndpointId;
 using heronvane::dispatch::Health;
+using heronvane::dispatch::Microseconds;
 using heronvane::dispatch::TargetMemory;
-using heronvane::dispatch::Time;
 
 namespace {
 
 const std::string kPrefix = "target/";
 constexpr int kForm = 1;  // of the text
-constexpr Time kLongest = Time{7} * 86'400'000'000;
+constexpr Microseconds kLongest = Microseconds{7} * 86'400'000'000;
 
 }  // namespace
 
 std::string target_key(const EndpointId& endpoint) { return kPrefix + endpoint; }
 
-std::string write_target(const TargetMemory& m, Time learned) {
+std::string write_target(const TargetMemory& m, Microseconds learned) {
   std::ostringstream out;
   out.imbue(std::locale::classic());
   out.precision(9);
@@ -48,7 +48,8 @@
   return t;
 }
 
-RecalledTargets::RecalledTargets(const std::map<std::string, std::string>& facts, Which which, Time now)
+RecalledTargets::RecalledTargets(const std::map<std::string, std::string>& facts, Which which,
+                                 Microseconds now)
     : which_(which) {
   for (auto it = facts.lower_bound(kPrefix);
        it != facts.end() && it->first.compare(0, kPrefix.size(), kPrefix) == 0; ++it) {
@@ -62,13 +63,14 @@
 }
 
 std::optional<heronvane::dispatch::event::TargetRecalled> RecalledTargets::take(const EndpointId& endpoint,
-                                                                                Time now, Time gap) {
+                                                                                Microseconds now,
+                                                                                Microseconds gap) {
   const auto it = targets_.find(endpoint);
   if (it == targets_.end()) return std::nullopt;
   LearnedTarget t = std::move(it->second);
   targets_.erase(it);
   if (!which_.health) {
-    const Time wait = t.memory.wait_left;
+    const Microseconds wait = t.memory.wait_left;
     const auto destination = t.memory.destination;
     t.memory = {};
     t.memory.endpoint = endpoint, t.memory.destination = destination, t.memory.wait_left = wait;
@@ -76,7 +78,7 @@
   if (!which_.waits) t.memory.wait_left = 0;
   if (t.memory.wait_left > 0) t.memory.wait_left += gap;
   if (t.memory.blank()) return std::nullopt;
-  return heronvane::dispatch::event::TargetRecalled{t.memory, std::max<Time>(now - t.learned, 0)};
+  return heronvane::dispatch::event::TargetRecalled{t.memory, std::max<Microseconds>(now - t.learned, 0)};
 }
 
 }  // namespace heronvane
--- a/relay/core/target_memory.hpp
+++ b/relay/core/target_memory.hpp
@@ -14,10 +14,11 @@
 std::string target_key(const heronvane::dispatch::EndpointId& endpoint);
 
 // With the moment when it was learned, in lasting time; nothing where the text is no such thing.
-std::string write_target(const heronvane::dispatch::TargetMemory& memory, heronvane::dispatch::Time learned);
+std::string write_target(const heronvane::dispatch::TargetMemory& memory,
+                         heronvane::dispatch::Microseconds learned);
 struct LearnedTarget {
   heronvane::dispatch::TargetMemory memory;
-  heronvane::dispatch::Time learned = 0;
+  heronvane::dispatch::Microseconds learned = 0;
 };
 std::optional<LearnedTarget> read_target(const heronvane::dispatch::EndpointId& endpoint,
                                          const std::string& text);
@@ -30,7 +31,7 @@
     bool waits = true;   // told waits
   };
   RecalledTargets(const std::map<std::string, std::string>& facts, Which which,
-                  heronvane::dispatch::Time now);
+                  heronvane::dispatch::Microseconds now);
 
   // Keys of `facts` that tell nothing any more: of endpoints that were not seen for a week, mostly since they
   // went while no relay ran, or that can't be read.
@@ -39,8 +40,8 @@
   // What was learned of an endpoint that is listed now, as an event at `now`; once. `gap`: of the time since
   // then, what only the wall clock vouches for; no wait is shortened by it.
   std::optional<heronvane::dispatch::event::TargetRecalled> take(
-      const heronvane::dispatch::EndpointId& endpoint, heronvane::dispatch::Time now,
-      heronvane::dispatch::Time gap);
+      const heronvane::dispatch::EndpointId& endpoint, heronvane::dispatch::Microseconds now,
+      heronvane::dispatch::Microseconds gap);
   std::size_t size() const { return targets_.size(); }
 
  private:
--- a/relay/fronts/admin.cpp
+++ b/relay/fronts/admin.cpp
@@ -32,7 +32,7 @@
 constexpr auto kIdleTime = std::chrono::seconds(60);
 constexpr auto kAcceptPause = std::chrono::milliseconds(50);
 // After a request that took so long, none is answered for so many times that: a tenth of the loop at most.
-constexpr Time kRestTimes = 9;
+constexpr Microseconds kRestTimes = 9;
 constexpr std::size_t kMostPath = sizeof(sockaddr_un::sun_path) - 1;
 
 // What is made meanwhile is for its owner alone.
@@ -88,7 +88,7 @@
     error_code bad;
     return idle() && socket_.available(bad) == 0;
   }
-  Time since() const { return since_; }
+  Microseconds since() const { return since_; }
 
   void start() {
     since_ = steady_now();
@@ -174,7 +174,7 @@
   void handle() {
     stage_ = Stage::answering;
     timer_.cancel();
-    const Time now = steady_now();
+    const Microseconds now = steady_now();
     if (now < admin_.turn_at_) {
       return turn_.set(std::chrono::microseconds(admin_.turn_at_ - now),
                        [self = shared_from_this()] { self->handle(); });
@@ -184,7 +184,7 @@
     const auto asked = read_admin_request(std::string(request.method_string()), std::string(request.target()),
                                           request.body());
     admin_.handler_(asked, [self = shared_from_this()](AdminAnswer a) { self->answer(std::move(a)); });
-    const Time done = steady_now();
+    const Microseconds done = steady_now();
     admin_.turn_at_ = done + kRestTimes * (done - now);
   }
 
@@ -216,7 +216,7 @@
   std::optional<http::request_parser<http::string_body>> parser_;
   http::response<http::string_body> response_;
   Stage stage_ = Stage::idle;
-  Time since_ = 0;  // of being idle
+  Microseconds since_ = 0;  // of being idle
   bool closed_ = false, close_after_ = false;
 };
 
--- a/relay/fronts/admin.hpp
+++ b/relay/fronts/admin.hpp
@@ -45,7 +45,7 @@
   boost::asio::steady_timer pause_;
   Handler handler_;
   Tally tally_;
-  Time turn_at_ = 0;  // the next request is answered no sooner
+  Microseconds turn_at_ = 0;  // the next request is answered no sooner
   std::set<std::shared_ptr<Session>> sessions_;
 };
 
--- a/relay/intake.cpp
+++ b/relay/intake.cpp
@@ -30,7 +30,7 @@
 constexpr auto kRequestTime = std::chrono::milliseconds(2500);
 constexpr auto kAnswerTime = std::chrono::seconds(2);  // for an answer to go
 constexpr auto kIdleTime = std::chrono::seconds(60);   // between requests, while there is room
-constexpr Time kIdleLeast = 2'000'000;                 // and while it is short
+constexpr Microseconds kIdleLeast = 2'000'000;         // and while it is short
 // What a client sends after the last answer is read away for so long, and so much of it.
 constexpr auto kLingerTime = std::chrono::seconds(1);
 constexpr std::size_t kLingerBytes = 1 << 20;
@@ -42,10 +42,10 @@
 constexpr std::size_t kAcceptFailures = 16;  // that are borne while what waits is accepted at the end
 // Where three quarters of the connections are in use, room is short.
 constexpr std::size_t kShortOf = 4, kShort = 3;
-constexpr std::size_t kRoomTries = 4;         // connections looked at to make room for one
-constexpr Time kUnusedFirst = 3'600'000'000;  // ranks those without a whole request before the rest
-constexpr Time kNever = std::numeric_limits<Time>::max();
-constexpr Time kComeBack = 500'000;  // what was turned away for want of room may come again
+constexpr std::size_t kRoomTries = 4;                 // connections looked at to make room for one
+constexpr Microseconds kUnusedFirst = 3'600'000'000;  // ranks those without a whole request before the rest
+constexpr Microseconds kNever = std::numeric_limits<Microseconds>::max();
+constexpr Microseconds kComeBack = 500'000;  // what was turned away for want of room may come again
 constexpr auto kLastLook = std::chrono::milliseconds(20);  // until a read that is late is ended again
 
 // What an accept that failed tells of, in one of a few texts.
@@ -56,7 +56,7 @@
   return "the connection was lost before";
 }
 
-std::string seconds_text(Time t) {
+std::string seconds_text(Microseconds t) {
   char text[32];
   std::snprintf(text, sizeof text, "%.3f", static_cast<double>(t) * 1e-6);
   return text;
@@ -72,13 +72,13 @@
   bool idle() const { return stage_ == Stage::idle; }
   // Since when it could be closed for want of room, the earlier the sooner: those that were turned down
   // first, then those that never brought a whole request, then idle ones. kNever: its message would be lost.
-  Time spare_since() const {
+  Microseconds spare_since() const {
     if (stage_ == Stage::lingering) return -kNever;
     if (stage_ == Stage::answering) return kNever;
     return used_ ? since_ : since_ - kUnusedFirst;
   }
   // Idle for so long that it may be closed when room is short.
-  bool stale(Time now) const { return idle() && used_ && now >= since_ + kIdleLeast; }
+  bool stale(Microseconds now) const { return idle() && used_ && now >= since_ + kIdleLeast; }
 
   void start() {
     since_ = steady_now();
@@ -323,7 +323,7 @@
   std::optional<http::request_parser<http::string_body>> parser_;
   http::response<http::string_body> response_;
   Stage stage_ = Stage::idle;
-  Time since_ = 0;  // of being idle, or of reading
+  Microseconds since_ = 0;  // of being idle, or of reading
   std::size_t reserved_ = 0, lingered_ = 0;
   bool used_ = false;  // a whole request has come
   bool closed_ = false, close_after_ = false;
@@ -384,10 +384,10 @@
 // One that stands between requests may be closed, one with a request would lose its message.
 void Intake::make_room() {
   if (!short_of_room()) return;
-  const Time now = steady_now();
-  std::vector<std::pair<Time, std::shared_ptr<Session>>> spare;
+  const Microseconds now = steady_now();
+  std::vector<std::pair<Microseconds, std::shared_ptr<Session>>> spare;
   for (const auto& session : sessions_) {
-    const Time since = session->spare_since();
+    const Microseconds since = session->spare_since();
     if (since < kNever && (session->stale(now) || sessions_.size() >= limits_.clients))
       spare.emplace_back(since, session);
   }
--- a/relay/log.cpp
+++ b/relay/log.cpp
@@ -20,7 +20,7 @@
 constexpr auto kLookGap = std::chrono::seconds(1);
 
 std::string stamped(const std::string& line) {
-  const Time now = wall_now();
+  const Microseconds now = wall_now();
   char time[48];
   std::snprintf(time, sizeof time, "%lld.%06lld ", static_cast<long long>(now / 1'000'000),
                 static_cast<long long>(now % 1'000'000));
--- a/relay/operator_settings.cpp
+++ b/relay/operator_settings.cpp
@@ -35,12 +35,12 @@
       value = node->as_boolean()->get();
     }
   }
-  void seconds(const std::string& key, Time most, Time& value) {
+  void seconds(const std::string& key, Microseconds most, Microseconds& value) {
     if (const auto* node = known(key)) {
       const auto v = node->value<double>();
       if (!v || !std::isfinite(*v) || *v < 0 || *v * 1e6 > static_cast<double>(most))
         malformed(*node, key, "must be a number of seconds from 0 to " + std::to_string(most / 1'000'000));
-      value = static_cast<Time>(*v * 1e6);
+      value = static_cast<Microseconds>(*v * 1e6);
     }
   }
   template <class T>
--- a/relay/operator_settings.hpp
+++ b/relay/operator_settings.hpp
@@ -14,9 +14,9 @@
 struct OperatorSettings {
   struct Store {
     store::Durability durability = store::Durability::process;
-    bool keep_health = true;            // what was learned of endpoints: out, returning, their limits
-    bool keep_waits = false;            // waits that endpoints told; PROTOCOL lets a restart end them
-    Time remember_window = 10'000'000;  // ids of messages that are over, past their deadlines
+    bool keep_health = true;                    // what was learned of endpoints: out, returning, their limits
+    bool keep_waits = false;                    // waits that endpoints told; PROTOCOL lets a restart end them
+    Microseconds remember_window = 10'000'000;  // ids of messages that are over, past their deadlines
   } store;
   struct Admin {
     bool socket = false;  // FOLDER/admin.sock
@@ -24,9 +24,10 @@
   } admin;
   struct Relay {
     // True where a file is read that does not say:
-    bool wake = false;                // look at the list anew after a stop
-    bool early_rounds = false;        // what can be sent need not wait for the settings' tick
-    Time start_timeout = 60'000'000;  // a start that waits for what passes ends with status 1 after this
+    bool wake = false;          // look at the list anew after a stop
+    bool early_rounds = false;  // what can be sent need not wait for the settings' tick
+    Microseconds start_timeout =
+        60'000'000;  // a start that waits for what passes ends with status 1 after this
   } relay;
   copies::Settings copies;
 };
--- a/relay/recent.hpp
+++ b/relay/recent.hpp
@@ -12,8 +12,8 @@
 
 class RecentIds {
  public:
-  explicit RecentIds(Time kept) : kept_(kept) {}
-  void add(const std::string& id, Time now) {
+  explicit RecentIds(Microseconds kept) : kept_(kept) {}
+  void add(const std::string& id, Microseconds now) {
     while (!order_.empty() && (now >= order_.front().first || order_.size() >= kMost)) {
       ids_.erase(order_.front().second);
       order_.pop_front();
@@ -25,8 +25,8 @@
 
  private:
   static constexpr std::size_t kMost = 16'384;
-  Time kept_;
-  std::deque<std::pair<Time, std::string>> order_;  // soonest forgotten first
+  Microseconds kept_;
+  std::deque<std::pair<Microseconds, std::string>> order_;  // soonest forgotten first
   std::unordered_set<std::string> ids_;
 };
 
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -19,11 +19,13 @@
 
 // Share of the memory for bodies that are being read.
 constexpr std::size_t kBodyPart = 8;
-constexpr Time kComeBack = 500'000;                          // what found no room may come again after this
+constexpr Microseconds kComeBack = 500'000;                  // what found no room may come again after this
 constexpr auto kStallRetry = std::chrono::milliseconds(50);  // until the store is tried again
 constexpr auto kCompactRetry = std::chrono::milliseconds(250);  // where compaction found no room
 
-std::chrono::microseconds span(Time t) { return std::chrono::microseconds(std::max<Time>(t, 0)); }
+std::chrono::microseconds span(Microseconds t) {
+  return std::chrono::microseconds(std::max<Microseconds>(t, 0));
+}
 
 CallLimits call_limits(const Config& c) {
   CallLimits limits;
@@ -59,8 +61,8 @@
   return options;
 }
 
-Time longest_deadline(const heronvane::dispatch::Settings& s) {
-  Time longest = 0;
+Microseconds longest_deadline(const heronvane::dispatch::Settings& s) {
+  Microseconds longest = 0;
   for (const auto& c : s.classes) longest = std::max(longest, c.deadline);
   return longest;
 }
@@ -152,7 +154,7 @@
   intake_.emplace(
       io, std::move(listener_), config.settings, config.names,
       IntakeLimits{config.client_connections, config.memory_bytes / kBodyPart},
-      [this](Message m, Time left, Reply reply) { arrive(std::move(m), left, std::move(reply)); },
+      [this](Message m, Microseconds left, Reply reply) { arrive(std::move(m), left, std::move(reply)); },
       [this] { return ready(); });
   beat();
   look_drained();
@@ -208,7 +210,7 @@
 }
 
 // ---- What comes in. ----
-void Relay::arrive(Message message, Time left, Reply reply) {
+void Relay::arrive(Message message, Microseconds left, Reply reply) {
   // Of one id at a time: what the first is told holds for all.
   if (const auto first = twins_.find(message.id); first != twins_.end())
     return first->second.push_back(std::move(reply));
@@ -290,7 +292,7 @@
   if (HERONVANE_DEFECT("ignore-drain"))
     for (auto& m : list.members) m.endpoint.listing = Listing::active;
   const std::string discovery = text_of(platform_.address());
-  const Time now = store_.clock().now();
+  const Microseconds now = store_.clock().now();
   list = list_memory_.told(std::move(list), discovery, now);
   const auto changes = directory_.take(
       list, [&](const EndpointId& id) { list_memory_.gone(id, list.index, discovery, now); },
@@ -339,7 +341,7 @@
 
 // The next round; `urgent` where something may be sent at once.
 void Relay::schedule(bool urgent) {
-  const Time at = last_round_ + (urgent ? round_gap_.urgent() : round_gap_.usual());
+  const Microseconds at = last_round_ + (urgent ? round_gap_.urgent() : round_gap_.usual());
   if (round_due_ && round_at_ <= at) return;
   round_due_ = true, round_at_ = at;
   round_timer_.set(span(at - steady_now()), [this] { round(); });
@@ -540,7 +542,7 @@
 // same. A restart that finds no record of such an end finds the message overdue, makes no call, and tells the
 // end once more, which does no harm.
 void Relay::tell_overdue() {
-  const Time now = store_.clock().now();
+  const Microseconds now = store_.clock().now();
   std::vector<MessageId> overdue;
   for (const auto& [id, held] : store_.held())
     if (held.message.deadline <= now) overdue.push_back(id);
@@ -599,7 +601,7 @@
 
 void Relay::begin(const EndpointId& endpoint, std::vector<Outgoing> messages) {
   HERONVANE_POINT("call.planned");
-  const Time now = store_.clock().now();
+  const Microseconds now = store_.clock().now();
   // A long list reaches the module part by part: what it says of an endpoint binds at once.
   const auto* const told = directory_.find(endpoint);
   const bool fit = told != nullptr && told->listing == Listing::active;
@@ -620,7 +622,7 @@
 }
 
 // ---- Timers of the module. ----
-void Relay::set_timer(Time after, std::uint64_t token) {
+void Relay::set_timer(Microseconds after, std::uint64_t token) {
   timers_.emplace(last_round_ + after, token);
   arm_timers();
 }
@@ -628,7 +630,7 @@
 void Relay::arm_timers() {
   if (timers_.empty()) return;
   module_timer_.set(span(timers_.begin()->first - steady_now()), [this] {
-    const Time now = steady_now();
+    const Microseconds now = steady_now();
     while (!timers_.empty() && timers_.begin()->first <= now) {
       happened(event::TimerDue{timers_.begin()->second});
       timers_.erase(timers_.begin());
--- a/relay/relay.hpp
+++ b/relay/relay.hpp
@@ -50,7 +50,7 @@
     std::optional<Fence> undrain;  // takes back a drain that is kept; the start fails under a lower fence
     bool force_own = false;  // with copies: what the folder holds is this relay's, its holders are not asked
     std::function<void()> drained;  // a drain is done and told: nothing is held or owed any more
-    Time waited = 0;                // how long the start was waiting before this try, in microseconds
+    Microseconds waited = 0;        // how long the start was waiting before this try, in microseconds
     std::string waited_for;         // what for; empty: it was not waiting
   };
   Relay(boost::asio::io_context& io, const Config& config, Start start);
@@ -74,7 +74,7 @@
   void tell_listed(const std::vector<heronvane::dispatch::Endpoint>& endpoints);
   void tell_next_listed();
   bool keep(const std::string& key, const std::string& value);
-  void arrive(Message message, Time left, Reply reply);
+  void arrive(Message message, Microseconds left, Reply reply);
   void ended(const heronvane::dispatch::event::AttemptEnded& e);
   void listed(MemberList list);
   template <class E>
@@ -102,7 +102,7 @@
   Reply shared(const std::string& id, Reply reply);
   void send(Plan& plan, const heronvane::dispatch::action::Send& a);
   void finish(Plan& plan, MessageId id, const Ending& ending);
-  void set_timer(Time after, std::uint64_t token);
+  void set_timer(Microseconds after, std::uint64_t token);
   void arm_timers();
   void hold_back(const EndpointId& endpoint);
   void compact();
@@ -125,9 +125,9 @@
   bool owes_nothing() const;
   bool turned();
   void beat();
-  void woke(Time gap);
+  void woke(Microseconds gap);
   void awake();
-  Time held_since(const Held& held) const;
+  Microseconds held_since(const Held& held) const;
 
   // relay_admin.cpp, or relay_no_admin.cpp in a build without the socket
   std::unique_ptr<Front> open_admin();
@@ -146,7 +146,7 @@
   boost::asio::io_context& io_;
   const Config& config_;
   const Start start_;
-  const Time started_ = wall_now(), started_steady_ = steady_now();
+  const Microseconds started_ = wall_now(), started_steady_ = steady_now();
   // In this order: a start that fails for want of the folder or an address has not touched what is held.
   std::unique_ptr<store::Disk> folder_;
   boost::asio::ip::tcp::acceptor listener_;         // until the intake has it
@@ -179,16 +179,16 @@
       listed_later_;  // told by a list, not to the module yet
   std::vector<Arrived> arrived_;
   std::vector<heronvane::dispatch::Event> events_;
-  std::multimap<Time, std::uint64_t> timers_;
-  Time last_round_ = 0, stop_at_ = 0;
+  std::multimap<Microseconds, std::uint64_t> timers_;
+  Microseconds last_round_ = 0, stop_at_ = 0;
   bool list_missed_ = false;  // the list changed meanwhile
   RoundGap round_gap_;
-  Time round_at_ = 0;  // when the next is due
+  Microseconds round_at_ = 0;  // when the next is due
   bool round_due_ = false, settle_due_ = false, compacting_ = false, stopping_ = false, frozen_ = false;
   DrainState drain_;
-  bool changing_drain_ = false;  // until it is kept
-  bool drained_failed_ = false;  // the file could not be written, as was told
-  Time quiet_since_ = 0;         // nothing is held or owed; 0: something is
+  bool changing_drain_ = false;   // until it is kept
+  bool drained_failed_ = false;   // the file could not be written, as was told
+  Microseconds quiet_since_ = 0;  // nothing is held or owed; 0: something is
   WakeWatch wake_;
   bool waking_ = false;  // the module is not asked
   std::int64_t generation_;
--- a/relay/relay_fleet.cpp
+++ b/relay/relay_fleet.cpp
@@ -14,7 +14,7 @@
 
 constexpr auto kLook = std::chrono::milliseconds(20);  // until it is looked again whether all is done
 constexpr auto kWriteAgain = std::chrono::milliseconds(250);
-constexpr Time kAnswersOut = 1'000'000;  // for answers under way to go before the end
+constexpr Microseconds kAnswersOut = 1'000'000;  // for answers under way to go before the end
 
 }  // namespace
 
@@ -79,7 +79,7 @@
 void Relay::look_drained() {
   if (!drain_.drain) return;
   auto again = kLook;
-  const Time now = steady_now();
+  const Microseconds now = steady_now();
   if (!owes_nothing()) {
     quiet_since_ = 0;
   } else {
@@ -109,11 +109,11 @@
 // False while what is known may be old.
 bool Relay::turned() {
   if (!config_.own.relay.wake) return true;
-  if (const Time gap = wake_.turn(boot_now()); gap > 0) woke(gap);
+  if (const Microseconds gap = wake_.turn(boot_now()); gap > 0) woke(gap);
   return !waking_;
 }
 
-void Relay::woke(Time gap) {
+void Relay::woke(Microseconds gap) {
   log("woken after a stop of " + std::to_string(gap / 1000) + " ms: asking for the list");
   waking_ = true;
   calls_.hold_back_all();
@@ -132,8 +132,8 @@
 // ---- For the gauge. ----
 // Of a message of an earlier life, whose record does not tell: since its class's deadline began to run, or
 // its first attempt, if that was before.
-Time Relay::held_since(const Held& held) const {
-  Time since = store_.clock().now();
+Microseconds Relay::held_since(const Held& held) const {
+  Microseconds since = store_.clock().now();
   const auto cls = config_.names.classes.find(held.message.message_class);
   if (cls != config_.names.classes.end())
     since = std::min(since, held.message.deadline -
--- a/relay/relay_lifecycle.cpp
+++ b/relay/relay_lifecycle.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-constexpr Time kLongAgo = std::numeric_limits<Time>::max() / 4;
+constexpr Microseconds kLongAgo = std::numeric_limits<Microseconds>::max() / 4;
 // After SIGTERM, whose SIGKILL comes no sooner than 3.7 s later: how long new connections may still come;
 // until when calls are begun; when the process ends, with calls out or not.
-constexpr Time kDrainAccept = 600'000, kDrainSend = 1'500'000, kDrainMost = 3'000'000;
+constexpr Microseconds kDrainAccept = 600'000, kDrainSend = 1'500'000, kDrainMost = 3'000'000;
 static_assert(std::chrono::microseconds(kDrainMost - kDrainAccept) > Intake::kFinishMost);
 constexpr auto kDrainLook = std::chrono::milliseconds(20);
 
@@ -53,7 +53,7 @@
 
 // One that is held and that the module does not know; false: of a class that the settings do not have.
 bool Relay::adopt(MessageId id, const Held& held) {
-  const Time now = store_.clock().now();
+  const Microseconds now = store_.clock().now();
   numbers_[held.message.id] = id;
   if (admin_) gauge_.taken(id, held.message.message_class, held_since(held));
   if (held.ending) {
@@ -69,7 +69,7 @@
     r.tried = r.tried || a.may_have_reached();
     if (!a.may_have_run() || r.may_have_run_zone) continue;
     r.may_have_run_zone = a.zone;
-    r.may_have_run_ago = std::max<Time>(now - a.sent, 0);
+    r.may_have_run_ago = std::max<Microseconds>(now - a.sent, 0);
   }
   // Called at a time and place that no record tells.
   if (held.doubt) r.may_have_run_zone = -1, r.may_have_run_ago = kLongAgo;
@@ -82,7 +82,7 @@
 // What earlier lives learned of endpoints that are listed now is the module's again.
 void Relay::recall(const std::vector<heronvane::dispatch::Endpoint>& endpoints) {
   if (recalled_.size() == 0 || unwritten_) return;
-  const Time now = store_.clock().now(), gap = store_.clock().assumed_gap();
+  const Microseconds now = store_.clock().now(), gap = store_.clock().assumed_gap();
   for (const auto& e : endpoints)
     if (e.listing != Listing::gone)
       if (auto target = recalled_.take(e.id, now, gap)) happened(std::move(*target));
@@ -93,7 +93,7 @@
   constexpr std::size_t kMostTargets = 64;  // the rest come with the next round
   const auto& own = config_.own.store;
   if (!own.keep_health && !own.keep_waits) return;
-  const Time now = store_.clock().now();
+  const Microseconds now = store_.clock().now();
   // The rest is for endpoints that drain or are gone: these bind.
   constexpr unsigned kTargetPart = 50;
   for (const auto& memory : dispatcher_.learned(last_round_, kMostTargets)) {
@@ -115,7 +115,7 @@
 }
 
 void Relay::check_drained() {
-  const Time since = steady_now() - stop_at_;
+  const Microseconds since = steady_now() - stop_at_;
   if (since >= kDrainSend && !std::exchange(frozen_, true)) {
     // What waits for its records, or for its connection, would go too late for its answer to come home. None
     // of it has run, and its record says so.
--- a/relay/request.cpp
+++ b/relay/request.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::size_t kMostId = 256, kMostName = 256;
 // A deadline so many times that of its class is no slip of a clock: the request makes no sense.
-constexpr Time kMostDeadlines = 2;
+constexpr Microseconds kMostDeadlines = 2;
 
 template <class T>
 std::optional<T> number(beast::string_view text) {
@@ -25,14 +25,14 @@
 }
 
 // "480m" milliseconds, "250000u" microseconds; at most `most`.
-std::optional<Time> duration(beast::string_view text, Time most) {
+std::optional<Microseconds> duration(beast::string_view text, Microseconds most) {
   if (text.size() < 2) return std::nullopt;
   const char unit = text.back();
   const auto v = number<double>(text.substr(0, text.size() - 1));
   if (!v || !std::isfinite(*v) || *v < 0 || (unit != 'm' && unit != 'u')) return std::nullopt;
   const double us = *v * (unit == 'm' ? 1000 : 1);
   if (us > static_cast<double>(most)) return std::nullopt;
-  return static_cast<Time>(us);
+  return static_cast<Microseconds>(us);
 }
 
 // The value of `dest` in "dest=7" or "a=1; dest=7".
--- a/relay/request.hpp
+++ b/relay/request.hpp
@@ -16,7 +16,7 @@
 // now. Else the status that turns it down and why.
 struct Handed {
   Message message;
-  Time left = 0;
+  Microseconds left = 0;
   unsigned refused = 0;
   const char* why = "";
 };
--- a/relay/startup/event_loop.cpp
+++ b/relay/startup/event_loop.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr auto kRetry = std::chrono::milliseconds(50);
-constexpr Time kTellEach = 5'000'000;  // one line on the waiting
+constexpr Microseconds kTellEach = 5'000'000;  // one line on the waiting
 
 sigset_t end_signals() {
   sigset_t signals;
@@ -50,16 +50,16 @@
 
 std::unique_ptr<EventLoop> make_event_loop() {
   const HeldSignals held;
-  const Time begun = steady_now();
-  const Time timeout = OperatorSettings().relay.start_timeout;  // the operator's own is not read yet
-  Time told_at = 0;
+  const Microseconds begun = steady_now();
+  const Microseconds timeout = OperatorSettings().relay.start_timeout;  // the operator's own is not read yet
+  Microseconds told_at = 0;
   while (true) {
     try {
       return std::make_unique<EventLoop>();
     } catch (const std::exception& error) {
       const StartError why = as_start_error(error, Step::loop);
       if (!why.passing() || steady_now() - begun >= timeout) throw why;
-      const Time now = steady_now();
+      const Microseconds now = steady_now();
       if (told_at == 0 || now - told_at >= kTellEach) {
         log(std::string("waiting: event loop: ") + why.what() + "; step loop, since " +
             std::to_string((now - begun) / 1'000'000) + " s");
