--- a/relay/startup/startup.cpp
+++ b/relay/startup/startup.cpp
@@ -22,10 +22,10 @@
 constexpr auto kRetry = std::chrono::milliseconds(50);
 // After a failed recovery, which may have read the whole folder.
 constexpr auto kRecoveryRetry = std::chrono::milliseconds(250);
-constexpr Time kTellEach = 5'000'000;  // one line on the waiting
+constexpr Microseconds kTellEach = 5'000'000;  // one line on the waiting
 constexpr double kSecond = 1e6;
 
-std::string seconds_text(Time time) {
+std::string seconds_text(Microseconds time) {
   char text[32];
   std::snprintf(text, sizeof text, "%.1f s", static_cast<double>(time) / kSecond);
   return text;
@@ -48,7 +48,7 @@
   return config;
 }
 
-Time Startup::timeout() const {
+Microseconds Startup::timeout() const {
   return config_ ? config_->own.relay.start_timeout : OperatorSettings().relay.start_timeout;
 }
 
@@ -80,7 +80,7 @@
 
 void Startup::failed(const StartError& error) {
   if (!error.passing()) return give_up(error.what());
-  const Time now = steady_now();
+  const Microseconds now = steady_now();
   if (waiting_since_ == 0) waiting_since_ = now;
   if (now - waiting_since_ >= timeout())
     return give_up(cause_of(error) + "; waited " + seconds_text(now - waiting_since_) +
--- a/relay/startup/startup.hpp
+++ b/relay/startup/startup.hpp
@@ -44,7 +44,7 @@
   void tell_waiting(const StartError& error);
   std::string cause_of(const StartError& error) const;
   Config load() const;
-  Time timeout() const;
+  Microseconds timeout() const;
 
   boost::asio::io_context& io_;
   const Places places_;
@@ -52,8 +52,8 @@
   std::optional<Config> config_;  // the relay's, unchanged from when that is made
   std::unique_ptr<Relay> relay_;  // null while the start is waiting
   Alarm again_, reload_again_;
-  Time waiting_since_ = 0;  // 0: it has not failed yet
-  Time told_at_ = 0;        // of the last line about the waiting
+  Microseconds waiting_since_ = 0;  // 0: it has not failed yet
+  Microseconds told_at_ = 0;        // of the last line about the waiting
   std::string waited_for_;
   bool stopped_ = false;
   int status_ = 0;
--- a/relay/store/lasting_clock.cpp
+++ b/relay/store/lasting_clock.cpp
@@ -8,10 +8,10 @@
 namespace heronvane::store {
 namespace {
 
-Time read_clock(clockid_t which) {
+Microseconds read_clock(clockid_t which) {
   timespec t{};
   ::clock_gettime(which, &t);
-  return static_cast<Time>(t.tv_sec) * 1'000'000 + t.tv_nsec / 1'000;
+  return static_cast<Microseconds>(t.tv_sec) * 1'000'000 + t.tv_nsec / 1'000;
 }
 
 }  // namespace
@@ -34,11 +34,11 @@
 void LastingClock::resume(const Anchor& last) {
   const auto now = read_();
   const bool same_run = !last.boot.empty() && last.boot == boot_ && now.boottime >= last.boottime;
-  gap_ = same_run ? 0 : std::max<Time>(now.wall - last.wall, 0);
+  gap_ = same_run ? 0 : std::max<Microseconds>(now.wall - last.wall, 0);
   offset_ = last.lasting + (same_run ? now.boottime - last.boottime : gap_) - now.boottime;
 }
 
-Time LastingClock::now() const { return read_().boottime + offset_; }
+Microseconds LastingClock::now() const { return read_().boottime + offset_; }
 
 Anchor LastingClock::anchor() const {
   const auto now = read_();
--- a/relay/store/lasting_clock.hpp
+++ b/relay/store/lasting_clock.hpp
@@ -15,7 +15,7 @@
 namespace heronvane::store {
 
 struct ClockReading {
-  Time boottime = 0, wall = 0;
+  Microseconds boottime = 0, wall = 0;
 };
 using ReadClocks = std::function<ClockReading()>;
 
@@ -30,16 +30,16 @@
 
   // Goes on from an anchor that an earlier life wrote.
   void resume(const Anchor& last);
-  Time now() const;
+  Microseconds now() const;
   Anchor anchor() const;
   // Of the time since the last anchor, what only the wall clock vouches for; 0 where the machine ran on.
-  Time assumed_gap() const { return gap_; }
+  Microseconds assumed_gap() const { return gap_; }
 
  private:
   std::string boot_;
   ReadClocks read_;
-  Time offset_ = 0;  // lasting time less boottime
-  Time gap_ = 0;
+  Microseconds offset_ = 0;  // lasting time less boottime
+  Microseconds gap_ = 0;
 };
 
 }  // namespace heronvane::store
--- a/relay/store/records.cpp
+++ b/relay/store/records.cpp
@@ -95,18 +95,18 @@
         .number(static_cast<std::int32_t>(a.zone))
         .number(static_cast<std::uint8_t>(a.outcome ? 1 + static_cast<int>(*a.outcome) : 0));
   p.number(static_cast<std::uint8_t>(ending ? 1 + (ending->deferred ? 1 : 0) : 0));
-  p.number(ending ? ending->again : Time{0}).number(static_cast<std::uint8_t>(doubt));
+  p.number(ending ? ending->again : Microseconds{0}).number(static_cast<std::uint8_t>(doubt));
 }
 void take(Unpacker& u, std::vector<Attempt>& attempts, std::optional<Ending>& ending, bool& doubt) {
   attempts.resize(u.count(kAttemptField));
   for (auto& a : attempts) {
-    a.sent = u.number<Time>(), a.zone = u.number<std::int32_t>();
+    a.sent = u.number<Microseconds>(), a.zone = u.number<std::int32_t>();
     const auto outcome = u.number<std::uint8_t>();
     if (outcome > 1 + static_cast<int>(Outcome::not_sent)) u.refuse();
     if (outcome > 0) a.outcome = static_cast<Outcome>(outcome - 1);
   }
   const auto how = u.number<std::uint8_t>();
-  const auto again = u.number<Time>();
+  const auto again = u.number<Microseconds>();
   if (how > 2) u.refuse();
   if (how > 0) ending = Ending{how == 2, again};
   doubt = u.flag();
@@ -115,7 +115,8 @@
 void put(Packer& p, const Anchor& a) { p.text(a.boot).number(a.boottime).number(a.wall).number(a.lasting); }
 Anchor take_anchor(Unpacker& u) {
   Anchor a;
-  a.boot = u.text(), a.boottime = u.number<Time>(), a.wall = u.number<Time>(), a.lasting = u.number<Time>();
+  a.boot = u.text(), a.boottime = u.number<Microseconds>(), a.wall = u.number<Microseconds>(),
+  a.lasting = u.number<Microseconds>();
   return a;
 }
 
@@ -181,7 +182,7 @@
       Message& m = r.held.message;
       r.number = u.number<MessageId>();
       m.id = u.text(), m.message_class = u.text(), m.tenant = u.text();
-      m.destination = u.number<std::int64_t>(), m.deadline = u.number<Time>();
+      m.destination = u.number<std::int64_t>(), m.deadline = u.number<Microseconds>();
       const auto flags = u.number<std::uint8_t>();
       if (flags > (kRepeat | kHasKey)) u.refuse();
       m.repeat = (flags & kRepeat) != 0;
@@ -199,7 +200,7 @@
     case Kind::sent: {
       auto& r = out.emplace<record::Sent>();
       r.number = u.number<MessageId>(), r.attempt = u.number<std::uint32_t>();
-      r.at = u.number<Time>(), r.zone = u.number<std::int32_t>();
+      r.at = u.number<Microseconds>(), r.zone = u.number<std::int32_t>();
       return;
     }
     case Kind::ended: {
@@ -209,12 +210,13 @@
     }
     case Kind::given_up: {
       auto& r = out.emplace<record::GivenUp>();
-      r.number = u.number<MessageId>(), r.ending.deferred = u.flag(), r.ending.again = u.number<Time>();
+      r.number = u.number<MessageId>(), r.ending.deferred = u.flag(),
+      r.ending.again = u.number<Microseconds>();
       return;
     }
     case Kind::over: {
       auto& r = out.emplace<record::Over>();
-      r.number = u.number<MessageId>(), r.id = u.text(), r.remember_until = u.number<Time>();
+      r.number = u.number<MessageId>(), r.id = u.text(), r.remember_until = u.number<Microseconds>();
       return;
     }
     case Kind::fact: {
--- a/relay/store/records.hpp
+++ b/relay/store/records.hpp
@@ -28,10 +28,10 @@
 
 // Where the clocks stood when it was written: lasting time goes on from the last one.
 struct Anchor {
-  std::string boot;   // names the run of the machine; empty: unknown
-  Time boottime = 0;  // since that run began
-  Time wall = 0;      // Unix time
-  Time lasting = 0;
+  std::string boot;           // names the run of the machine; empty: unknown
+  Microseconds boottime = 0;  // since that run began
+  Microseconds wall = 0;      // Unix time
+  Microseconds lasting = 0;
 };
 
 namespace record {
@@ -64,7 +64,7 @@
 struct Sent {
   MessageId number = 0;
   std::uint32_t attempt = 0;
-  Time at = 0;
+  Microseconds at = 0;
   std::int32_t zone = -1;
 };
 struct Ended {
@@ -79,8 +79,8 @@
 // Nothing is owed any more.
 struct Over {
   MessageId number = 0;
-  std::string id;           // the client's; empty where it is not remembered
-  Time remember_until = 0;  // handed in again until then, it is known
+  std::string id;                   // the client's; empty where it is not remembered
+  Microseconds remember_until = 0;  // handed in again until then, it is known
 };
 // Something else to keep over a restart; an empty value drops it.
 struct Fact {
--- a/relay/store/scan.cpp
+++ b/relay/store/scan.cpp
@@ -120,13 +120,13 @@
       record::Taken r;
       Message& m = r.held.message;
       r.number = number, m.id = in.text(), m.message_class = in.text(), m.tenant = in.text();
-      m.destination = in.number<std::int64_t>(), m.deadline = in.number<Time>();
+      m.destination = in.number<std::int64_t>(), m.deadline = in.number<Microseconds>();
       m.repeat = in.flag(), m.body = in.text();
       record = std::move(r);
       break;
     }
     case 'S': {
-      const auto at = in.number<Time>();
+      const auto at = in.number<Microseconds>();
       record = record::Sent{number, kNextAttempt, at, in.number<std::int32_t>()};
       break;
     }
@@ -139,7 +139,7 @@
     }
     case 'E': {
       const bool deferred = in.flag();
-      record = record::GivenUp{number, {deferred, in.number<Time>()}};
+      record = record::GivenUp{number, {deferred, in.number<Microseconds>()}};
       break;
     }
     case 'X':
--- a/relay/store/store.cpp
+++ b/relay/store/store.cpp
@@ -70,7 +70,7 @@
 }
 
 bool Store::sync_hangs() const {
-  constexpr Time kLongSync = 3'000'000;
+  constexpr Microseconds kLongSync = 3'000'000;
   return syncing_ && clock_.now() - sync_began_ > kLongSync;
 }
 
@@ -97,7 +97,7 @@
   table_.taken(number, std::move(held));
 }
 
-void Store::sent(MessageId number, Time when, int zone) {
+void Store::sent(MessageId number, Microseconds when, int zone) {
   const record::Sent r{number, static_cast<std::uint32_t>(held().at(number).attempts.size()), when, zone};
   add(r);
   table_.sent(r);
@@ -202,7 +202,7 @@
 }
 
 bool Store::commit() {
-  const Time now = clock_.now();
+  const Microseconds now = clock_.now();
   for (const auto& forgotten : table_.expire(now)) {
     booked_.ids -= over_bytes(forgotten.id);
     ledger_.forget_id(forgotten.number);
@@ -212,7 +212,7 @@
   if (reserve_short_) ensure_reserve(booked_.later);
   if (pending_.empty() && failure_.empty()) return true;
   // A write that failed is tried again, be it with nothing but the time.
-  constexpr Time kAnchorEach = 1'000'000;
+  constexpr Microseconds kAnchorEach = 1'000'000;
   // One only in what waits: else it would outgrow the limit while the disk fails for long.
   if (pending_.empty() || (now - anchored_ >= kAnchorEach && !anchor_waits_)) {
     add(clock_.anchor());
--- a/relay/store/store.hpp
+++ b/relay/store/store.hpp
@@ -54,7 +54,7 @@
   int attempts_max = 8;            // for which room is set aside with each message
   std::uint64_t memory_bytes = 0;  // half of it may be taken by messages held; 0: no bound but the disk's
   Durability durability = Durability::process;
-  Time remember_window = 10'000'000;  // an id is remembered so long past its message's deadline
+  Microseconds remember_window = 10'000'000;  // an id is remembered so long past its message's deadline
   // Whether a message's id is to be remembered once it is over: where it must not run again.
   std::function<bool(const Message&)> remembers = [](const Message&) { return true; };
   // Keys of a few small facts that find room though the share of facts is used up.
@@ -108,7 +108,7 @@
   bool admit(const Message& message);
   void give_back(const Message& message);
   void take(MessageId number, Message message);  // numbers ascend, from next_number() on
-  void sent(MessageId number, Time when, int zone);
+  void sent(MessageId number, Microseconds when, int zone);
   void outcome(MessageId number, int attempt, Outcome outcome);
   void ending(MessageId number, Ending ending);
   // Nothing is owed any more. Its id is remembered where that is asked for and `was_told`: its client knows
@@ -248,7 +248,7 @@
   std::uint64_t used_ = 0, ceiling_ = 0;
   std::uint64_t written_bytes_ = 0, copied_bytes_ = 0;
   Booked booked_;
-  Time anchored_ = 0;
+  Microseconds anchored_ = 0;
   bool anchor_waits_ = false;  // among what is pending
 
   FileId reserve_ = -1;
@@ -264,8 +264,8 @@
   LogSink* sink_ = nullptr;
   Sequence synced_ = 0, elsewhere_ = kEverything;
   bool syncing_ = false, folder_dirty_ = false;
-  Time sync_began_ = 0, sync_again_ = 0;
-  Time sync_pause_ = 0;  // after the next one that fails
+  Microseconds sync_began_ = 0, sync_again_ = 0;
+  Microseconds sync_pause_ = 0;  // after the next one that fails
   std::map<SegmentNumber, Sequence>
       unsynced_segments_;                   // where each that was begun since the last sync begins
   std::vector<FileId> unsynced_files_;      // that are not written to any more
--- a/relay/store/table.cpp
+++ b/relay/store/table.cpp
@@ -127,7 +127,7 @@
   if (Held* h = held_by(number)) h->doubt = true;
 }
 
-std::vector<record::Over> Table::expire(Time now) {
+std::vector<record::Over> Table::expire(Microseconds now) {
   std::vector<record::Over> gone;
   while (!expiry_.empty() && expiry_.begin()->first <= now) {
     const auto it = over_ids_.find(expiry_.begin()->second);
--- a/relay/store/table.hpp
+++ b/relay/store/table.hpp
@@ -43,7 +43,7 @@
   void doubt(MessageId number);
 
   // Forgets the ids whose time is up at `now`; tells which, as they were remembered.
-  std::vector<record::Over> expire(Time now);
+  std::vector<record::Over> expire(Microseconds now);
 
  private:
   Held* held_by(MessageId number);
@@ -55,12 +55,12 @@
   std::size_t given_up_ = 0;
   struct Remembered {
     MessageId number = 0;
-    Time until = 0;
+    Microseconds until = 0;
   };
   using OverIds = std::unordered_map<std::string, Remembered>;
   OverIds over_;
   std::unordered_map<MessageId, OverIds::pointer> over_ids_;  // its entries by their numbers
-  std::multimap<Time, MessageId> expiry_;                     // numbers that are in it no more do no harm
+  std::multimap<Microseconds, MessageId> expiry_;             // numbers that are in it no more do no harm
   std::map<std::string, std::string> facts_;
   std::uint64_t fact_bytes_ = 0;
   MessageId next_number_ = 1;
--- a/relay/store/writing.cpp
+++ b/relay/store/writing.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::uint64_t kReserveStep = 64 * 1024;
-constexpr Time kFirstPause = 50'000, kMostPause = 2'000'000;  // after failed syncs, until the next
+constexpr Microseconds kFirstPause = 50'000, kMostPause = 2'000'000;  // after failed syncs, until the next
 constexpr std::size_t kSegmentHead = 256;  // more than the first record takes, but for its list of others
 constexpr std::size_t kOtherBytes = sizeof(SegmentNumber) + sizeof(Sequence);
 
--- a/src/dispatcher.cpp
+++ b/src/dispatcher.cpp
@@ -36,7 +36,7 @@
 constexpr double kFactor = 0.2, kJitter = 0.25;
 constexpr double kAgingHalfLife = 20;  // units: an unused D halves in this time
 // A relay may be held up for so long, in microseconds, between reading its clock and writing a call.
-constexpr Time kWriteDelay = 150'000;
+constexpr Microseconds kWriteDelay = 150'000;
 // Pace.
 constexpr double kPaceCut = 0.85;                       // on a further refusal
 constexpr double kCutGap = 0.3;                         // refusals closer than this are one event
@@ -95,13 +95,13 @@
 
 const std::string kNoteRefused = "1r";  // a note between relays: its version, its kind, then the endpoint
 
-Time micros(double s) { return s > 1e9 ? kNever : static_cast<Time>(s * 1e6); }
+Microseconds micros(double s) { return s > 1e9 ? kNever : static_cast<Microseconds>(s * 1e6); }
 
-struct Gate {           // what kept a message from being sent
-  Time when = kNever;   // nothing changes before, but by what happens at its destination
-  bool own = false;     // others that wait there may pass
-  bool trial = false;   // for want of a trial call
-  bool chance = false;  // drawn anew in the next round
+struct Gate {                  // what kept a message from being sent
+  Microseconds when = kNever;  // nothing changes before, but by what happens at its destination
+  bool own = false;            // others that wait there may pass
+  bool trial = false;          // for want of a trial call
+  bool chance = false;         // drawn anew in the next round
 };
 
 }  // namespace
@@ -109,17 +109,18 @@
 struct Dispatcher::State {
   Settings set;
   std::mt19937_64 random;
-  Time now = 0;
+  Microseconds now = 0;
   std::vector<Action>* out = nullptr;
   std::map<EndpointId, EndpointState> endpoints;
   std::map<DestinationId, DestinationState> destinations;
   std::unordered_map<MessageId, Message> messages;
-  std::size_t live = 0;                         // of them, those that are not over
-  Waiting waiting;                              // those that are ready to go
-  std::set<std::pair<Time, MessageId>> agenda;  // when time alone changes something for a message
+  std::size_t live = 0;                                 // of them, those that are not over
+  Waiting waiting;                                      // those that are ready to go
+  std::set<std::pair<Microseconds, MessageId>> agenda;  // when time alone changes something for a message
   std::vector<MessageId> touched;
   std::map<std::string, KeyLine> keys;
-  std::deque<std::pair<Time, std::string>> resting;  // keys after an attempt in doubt, soonest rested first
+  std::deque<std::pair<Microseconds, std::string>>
+      resting;  // keys after an attempt in doubt, soonest rested first
   bool list_changed = false;
   std::set<EndpointId> gone;     // from the list, and still kept
   std::set<DestinationId> bare;  // perhaps without endpoints
@@ -127,12 +128,12 @@
   std::size_t trials_out = 0;  // calls out to endpoints on trial
   std::uint64_t next_call = 1;
   std::vector<double> share_tokens;
-  std::vector<Time> share_at;
+  std::vector<Microseconds> share_at;
   double unit = 0.1, shortest_aim = 1;
   std::vector<double> after_refusal;  // by kind: share of calls served that come after a refusal there
   double stray_share = 0;             // of calls that fail at endpoints which serve on
   double slowness = 1;                // recent latencies of all serves, in usual ones
-  Time tell_at = 0, timer_at = kNever, ask_at = kNever, wake = kNever;
+  Microseconds tell_at = 0, timer_at = kNever, ask_at = kNever, wake = kNever;
   double ask_gap = kAskAgain;
   std::vector<EndpointState*> begun, warmed;  // in this round: with calls for many; no more on trial
   std::set<EndpointId> ended_at;              // endpoints at which a call ended in this round
@@ -165,7 +166,7 @@
   double jittered(double d) { return d * (1 + kJitter * (2 * uniform() - 1)); }
   double burst_of(const TenantSettings& t) const { return 2 + 2 * t.quota_per_s / set.relays; }
   void log(const std::string& text) { out->push_back(action::Log{text}); }
-  void wake_by(Time t) { wake = std::min(wake, std::max(t, now + set.tick)); }
+  void wake_by(Microseconds t) { wake = std::min(wake, std::max(t, now + set.tick)); }
 
   DestinationState& destination_of(DestinationId id) {
     const auto [it, fresh] = destinations.try_emplace(id);
@@ -258,15 +259,15 @@
     t.tokens = std::min(t.tokens + t.pace * seconds(now - t.tokens_at), std::max(1.0, t.pace * kBurst));
     t.tokens_at = now;
   }
-  Time pace_ready(const Target& t) const {
+  Microseconds pace_ready(const Target& t) const {
     if (t.pace == kUnbounded || t.tokens >= 1) return t.tokens_at;
     return t.tokens_at + micros((1 - t.tokens) / t.pace) + 1;
   }
 
   // ---- Health: one ladder for every symptom. ----
   int overdue(const EndpointState& e) const {
-    const Time late = micros(kOverdueTimes * e.latency + kOverdueMore);
-    const auto sent_before = [](const OutCall& c, Time t) { return c.sent < t; };
+    const Microseconds late = micros(kOverdueTimes * e.latency + kOverdueMore);
+    const auto sent_before = [](const OutCall& c, Microseconds t) { return c.sent < t; };
     // Only calls sent since the last serve: one lost among many answered is no sign of silence.
     const auto from = std::lower_bound(e.calls.begin(), e.calls.end(), e.served_at, sent_before);
     const auto to = std::lower_bound(from, e.calls.end(), now - late, sent_before);
@@ -291,13 +292,13 @@
     e.next_trial = now + trial_gap(e);
     count_trials(e);
   }
-  Time trial_gap(EndpointState& e) {
+  Microseconds trial_gap(EndpointState& e) {
     return micros(jittered(std::max(delay_now(target_of(e)), kInitial * unit)));
   }
   // Calls a second that an endpoint out or returning may get from this relay: its part, by its own first
   // tries, of what the endpoint stands for sure. No floor: with hundreds of relays that each see a call a
   // minute, floors of one call each would push it over. What is known of an outage ages out.
-  Time health_span() const { return std::max(set.cold, micros(shortest_aim)); }
+  Microseconds health_span() const { return std::max(set.cold, micros(shortest_aim)); }
   Growth growth(const EndpointState& e) const {
     const double usual = std::max(e.usual_rate, 1e-9);
     // Not served since: perhaps it returned only now, so no more than was asked of it before, backlog or not.
@@ -312,7 +313,7 @@
   void save_budget(EndpointState& e) {  // before anything changes that its growth hangs on
     if (e.health != Health::open) e.budget = budget_now(e), e.budget_at = now;
   }
-  Time budget_ready(EndpointState& e) {
+  Microseconds budget_ready(EndpointState& e) {
     if (e.health == Health::open) return now;
     if (now >= e.since + health_span()) {
       save_budget(e);
@@ -325,13 +326,13 @@
       give_by(e, now);
       if (warm) return now;
     }
-    Time ready = e.budget_at;
+    Microseconds ready = e.budget_at;
     if (e.budget < 1)
       ready = std::min(e.since + health_span(), e.budget_at + micros(growth(e).until(1 - e.budget)) + 1);
     return e.health == Health::closed ? std::max(ready, e.next_trial) : ready;
   }
 
-  void call_served(EndpointState& e, Time sent, Time latency) {
+  void call_served(EndpointState& e, Microseconds sent, Microseconds latency) {
     Target& t = target_of(e);
     save_budget(e);
     e.served_at = now, e.served_sent = std::max(e.served_sent, sent);
@@ -439,7 +440,7 @@
   }
 
   // ---- What outlasts the process. Nothing here may change a decision: no draws, no Rate::at. ----
-  void give_by(EndpointState& e, Time at) {
+  void give_by(EndpointState& e, Microseconds at) {
     Target& t = target_of(e);
     if (t.due <= at) return;
     Due due{t.due, e.apart, e.apart ? 0 : e.info.destination, e.apart ? e.info.id : EndpointId()};
@@ -456,13 +457,13 @@
   double kept_pace(const Target& t) const { return t.pace < kMootPace * set.slots ? t.pace : 0; }
   // A retry waits the least D in any case, and a busy target never gets under it.
   double kept_delay(double d) const { return d > 1.001 * kLeast * unit ? d : 0; }
-  double aged_delay(double d, Time age) const {
+  double aged_delay(double d, Microseconds age) const {
     return kept_delay(d * std::exp2(-seconds(age) / (kAgingHalfLife * unit)));
   }
   TargetMemory memory_of(const EndpointState& e, const Target& t) const {
     TargetMemory m;
     m.endpoint = e.info.id, m.destination = e.info.destination;
-    m.wait_left = std::max<Time>(0, t.wait_until - now);
+    m.wait_left = std::max<Microseconds>(0, t.wait_until - now);
     m.delay = kept_delay(delay_now(t)), m.pace = kept_pace(t), m.let_through = let_through(t);
     m.refusals = t.refusals;
     if (t.refusals > 0) m.refused_age = now - t.refused_from;
@@ -474,7 +475,7 @@
     return m;
   }
   // When `m` may be given: now, later, or never where it tells nothing new.
-  Time give_at(const EndpointState& e, const TargetMemory& m) const {
+  Microseconds give_at(const EndpointState& e, const TargetMemory& m) const {
     const Given& g = e.given;
     if (m.health != g.health || (m.wait_left > 0 && now + m.wait_left > g.wait_until)) return now;
     const auto differs = [](double a, double b) { return std::abs(a - b) > kGiveShare * std::max(a, b); };
@@ -487,16 +488,16 @@
     return changed ? std::max(now, g.at + micros(kGiveGap)) : kNever;
   }
   // When what was given of the endpoint is over with time alone; kNever where it takes more than that.
-  Time over_at(const EndpointState& e, const Target& t) const {
+  Microseconds over_at(const EndpointState& e, const Target& t) const {
     if (!e.given.known || e.health == Health::closed || kept_pace(t) > 0) return kNever;
-    Time at = std::max(t.wait_until, now);
+    Microseconds at = std::max(t.wait_until, now);
     if (const double d = kept_delay(delay_now(t)); d > 0)
       at = std::max(at, now + micros(std::log2(d / (kLeast * unit)) * kAgingHalfLife * unit));
     at = std::max(at, now + micros(-std::log(let_through(t)) / kPaceRaise));
     if (e.health == Health::ramp) at = std::max(at, e.since + health_span());
     return at + 1'000;  // rounded up
   }
-  std::vector<TargetMemory> learned(Time at, std::size_t most) {
+  std::vector<TargetMemory> learned(Microseconds at, std::size_t most) {
     now = std::max(now, at);
     std::vector<TargetMemory> given;
     for (; !swept.empty() && given.size() < most; swept.pop_front())
@@ -522,7 +523,7 @@
     for (EndpointState* e : of) {
       if (&target_of(*e) != &t) continue;  // moved
       TargetMemory m = memory_of(*e, t);
-      Time next = give_at(*e, m);
+      Microseconds next = give_at(*e, m);
       if (next <= now && given.size() < most) {
         e->given = Given{!m.blank(), now,    m.health,      e->since,  now + m.wait_left,
                          m.delay,    m.pace, m.let_through, m.refusals};
@@ -535,7 +536,7 @@
     }
   }
   // Costs what is listed, little where nothing is known of it.
-  void targets(Time at, std::size_t most, std::vector<TargetMemory>& known) const {
+  void targets(Microseconds at, std::size_t most, std::vector<TargetMemory>& known) const {
     for (const auto& [id, d] : destinations)
       for (const EndpointState* e : d.endpoints) {
         if (e->info.listing == Listing::gone || e->info.destination != id) continue;
@@ -545,7 +546,7 @@
         if (known.size() >= (blank ? most : 4 * most)) continue;
         TargetMemory& m = known.emplace_back(memory_of(*e, t));
         // As of the last round, but for what runs off by itself.
-        m.wait_left = std::max<Time>(0, t.wait_until - std::max(at, now));
+        m.wait_left = std::max<Microseconds>(0, t.wait_until - std::max(at, now));
       }
   }
   void on(const event::TargetRecalled& ev) {
@@ -557,11 +558,11 @@
     const TargetMemory& m = ev.memory;
     // Guards against records of another make: not a number counts as the least.
     const auto within = [](auto least, auto x, auto most) { return x > least ? std::min(x, most) : least; };
-    const Time age = within(Time{0}, ev.age, kNever / 4), written = now - age;
-    const Time health_age = within(Time{0}, m.health_age, kNever / 4);
+    const Microseconds age = within(Microseconds{0}, ev.age, kNever / 4), written = now - age;
+    const Microseconds health_age = within(Microseconds{0}, m.health_age, kNever / 4);
     Target& t = target_of(e);
     if (e.apart || m.destination == e.info.destination) {
-      t.wait_until = std::max(t.wait_until, written + within(Time{0}, m.wait_left, kNever / 4));
+      t.wait_until = std::max(t.wait_until, written + within(Microseconds{0}, m.wait_left, kNever / 4));
       if (!t.heard && written >= t.recalled) {
         if (t.let_at <= t.recalled) {  // else told by a peer since
           const double let = within(kLeastThrough, m.let_through, 1.0);
@@ -574,7 +575,8 @@
         if (m.pace > 0) t.pace = std::min(t.pace, m.pace);
         t.refusals = std::max(t.refusals, within(0, m.refusals, 1'000));
         if (t.refusals > 0)
-          t.refused_from = std::min(t.refused_from, written - within(Time{0}, m.refused_age, kNever / 4));
+          t.refused_from =
+              std::min(t.refused_from, written - within(Microseconds{0}, m.refused_age, kNever / 4));
         t.tokens = 0, t.tokens_at = t.raise_at = now;
       }
     }
@@ -588,7 +590,7 @@
       // It warms up whoever calls. But none made trials that would have kept it closed; and it may have been
       // closed anew within the gap before the end.
       e.since = m.health == Health::ramp ? written - health_age
-                                         : now - std::max<Time>(0, health_age - micros(kGiveGap));
+                                         : now - std::max<Microseconds>(0, health_age - micros(kGiveGap));
       // No more than it could have grown to, and spread as in close().
       e.budget = within(0.0, m.budget, 1.0), e.budget_at = written;
       e.budget = std::min(uniform(), budget_now(e)), e.budget_at = now;
@@ -661,9 +663,11 @@
   }
 
   // ---- Messages. ----
-  double value(const Message& m, Time t) const { return m.worth * worth_left(*m.cls, set.decay, t - m.aim); }
+  double value(const Message& m, Microseconds t) const {
+    return m.worth * worth_left(*m.cls, set.decay, t - m.aim);
+  }
   // What waiting one more short aim would lose, and a little for what is there to win.
-  double urgency(const Message& m, Time answer) const {
+  double urgency(const Message& m, Microseconds answer) const {
     const double v = value(m, answer);
     return v - value(m, answer + micros(shortest_aim)) + 0.1 * v;
   }
@@ -817,8 +821,8 @@
     auto call_it = calls.find(attempt->second);
     Call& call = call_it->second;
     EndpointState& e = *call.endpoint;
-    const Time sent = call.sent;
-    Time& wait_until = target_of(e).wait_until;
+    const Microseconds sent = call.sent;
+    Microseconds& wait_until = target_of(e).wait_until;
     if (ev.told_wait > 0) wait_until = std::max(wait_until, now + ev.told_wait), give_by(e, now);
     m.out.erase(attempt);
     touch(m, ev.id);
@@ -862,16 +866,16 @@
     forget(it);
   }
   // After this a send can't be made any more: the deadline, or the end of the key's window.
-  Time latest_send(const Message& m) const {
+  Microseconds latest_send(const Message& m) const {
     // Guards against ends that are told too late: a stall of a few rounds just before the deadline.
-    Time t = m.deadline - std::max(2 * set.tick, micros(kLeastLeft * shortest_aim));
+    Microseconds t = m.deadline - std::max(2 * set.tick, micros(kLeastLeft * shortest_aim));
     if (m.cls->effect == Effect::keyed && m.may_ran_zone) t = std::min(t, key_end(m));
     return t;
   }
   // Until when the destination surely knows the key of a message that may have run, for a call that is
   // written as late as it may be after it was decided on. A window that is shorter than that allows no
   // repeat.
-  Time key_end(const Message& m) const {
+  Microseconds key_end(const Message& m) const {
     return m.may_ran_sent + m.cls->key_window - std::max(set.tick, kWriteDelay);
   }
 
@@ -880,17 +884,17 @@
   // the time it tells, unless something happens at the destination or, where it wants one, a trial call is
   // free.
   bool passes(Message& m, EndpointState& e, Gate& gate) {
-    Time& when = gate.when;
+    Microseconds& when = gate.when;
     if (e.info.listing != Listing::active) return false;
     const bool keyed_by_zone = m.cls->effect == Effect::keyed && m.cls->group == KeyGroup::zone;
     if (keyed_by_zone && m.may_ran_zone && e.info.zone != *m.may_ran_zone) return false;
     Target& t = target_of(e);
     const bool own_try = m.owed && !perhaps_shut(t);  // else by the share that is let through
-    const Time held = own_try ? t.wait_until : std::max(t.wait_until, t.hold_until);
+    const Microseconds held = own_try ? t.wait_until : std::max(t.wait_until, t.hold_until);
     if (held > now) return when = std::min(when, held), false;
     if (room_in_call(e)) return true;
     if (calls.size() >= static_cast<std::size_t>(set.slots)) return false;
-    const Time ready = std::max(budget_ready(e), pace_ready(t));
+    const Microseconds ready = std::max(budget_ready(e), pace_ready(t));
     // Its health changes with time, whatever else keeps messages from it.
     if (e.health != Health::open) when = std::min(when, e.since + health_span());
     if (ready > now) return when = std::min(when, ready), false;
@@ -978,7 +982,8 @@
     owe(m, false);
     const bool unsafe = m.cls->effect == Effect::unsafe;
     const double aims = seconds(m.cls->aim) * (unsafe ? kUnsafeTimeoutAims : kSafeTimeoutAims);
-    const Time timeout = std::min(micros(std::max(aims, kTimeoutTimes * e.latency)), m.deadline - now);
+    const Microseconds timeout =
+        std::min(micros(std::max(aims, kTimeoutTimes * e.latency)), m.deadline - now);
     m.out[m.sends++] = e.open_call;
     action::Send a{m.id, e.info.id, timeout, {}};
     if (m.cls->effect == Effect::keyed && m.may_ran_zone) a.begin_within = key_end(m) - now;
@@ -1000,7 +1005,7 @@
     double after = times * call.endpoint->latency + kOverdueMore;
     // Later it is worth less; but where all destinations answer slowly, patience is cheaper than cutting.
     if (slots_short) after = std::min(after, seconds(m.cls->aim)) * std::max(1.0, slowness);
-    const Time due = call.sent + micros(std::max(least, after));
+    const Microseconds due = call.sent + micros(std::max(least, after));
     if (now < due) return wake_by(due);
     m.gave_up = attempt;
     out->push_back(action::Cancel{m.id, attempt});
@@ -1010,7 +1015,7 @@
   // Messages that come after this one may go in its call, whatever kept them before.
   void share_call(const Message& with, EndpointState& e) {
     begun.push_back(&e);
-    const Time ahead = now + micros(kFirstLatency);
+    const Microseconds ahead = now + micros(kFirstLatency);
     const double u = urgency(with, ahead);
     waiting.reopen(with.destination, [&](const Waiting::Entry& other) {
       const double v = urgency(static_cast<const Message&>(other), ahead);
@@ -1020,9 +1025,11 @@
   void touch(Message& m, MessageId id) {
     if (!std::exchange(m.touched, true)) touched.push_back(id);
   }
-  Time last_of(const Message& m) const { return m.out.empty() ? latest_send(m) : m.deadline - 2 * set.tick; }
+  Microseconds last_of(const Message& m) const {
+    return m.out.empty() ? latest_send(m) : m.deadline - 2 * set.tick;
+  }
   // When its key lets it go: kNever where others come first.
-  Time turn(const Message& m) const {
+  Microseconds turn(const Message& m) const {
     if (m.key.empty()) return now;
     const KeyLine& k = keys.at(m.key);
     return k.line.front() != m.id ? kNever : m.sends == 0 ? k.rest_until : now;
@@ -1038,7 +1045,7 @@
       m.due = kNever;
       touch(m, m.id);
     }
-    const Time ahead = now + micros(kFirstLatency);
+    const Microseconds ahead = now + micros(kFirstLatency);
     waiting.advance(ahead);
     std::vector<MessageId> due = overdue_messages(slots_short), ended;
     for (const MessageId id : touched) {
@@ -1100,14 +1107,14 @@
     return found;
   }
   // Waits from now on, if its time has come and it does not wait already.
-  void line_up(Message& m, Time ahead) {
+  void line_up(Message& m, Microseconds ahead) {
     if (!m.out.empty() || m.ready > now) return;
     if (!m.listed()) waiting.list(m, ahead);
     if (m.lane() == nullptr && turn(m) <= now) waiting.enter(m, lane_of(m));
   }
   void plan(Message& m) {
     m.touched = false;
-    Time at = m.over ? kNever : last_of(m);
+    Microseconds at = m.over ? kNever : last_of(m);
     if (!m.over && m.out.empty() && m.lane() == nullptr) at = std::min(at, std::max(m.ready, turn(m)));
     if (at == m.due) return;
     if (m.due < kNever) agenda.erase({m.due, m.id});
@@ -1165,7 +1172,7 @@
   }
 #endif
 
-  void handle(Time at, const std::vector<Event>& events, std::vector<Action>& actions) {
+  void handle(Microseconds at, const std::vector<Event>& events, std::vector<Action>& actions) {
     now = std::max(now, at), out = &actions, wake = kNever;
     for (const auto& ev : events) std::visit([this](const auto& e) { on(e); }, ev);
     if (set.subscribe) ask();
@@ -1176,7 +1183,7 @@
     sweep();
     if (wake < timer_at && wake < kNever) {
       timer_at = wake;
-      actions.push_back(action::SetTimer{std::min<Time>(wake - now, 3'600'000'000), 0});
+      actions.push_back(action::SetTimer{std::min<Microseconds>(wake - now, 3'600'000'000), 0});
     }
     out = nullptr;
   }
@@ -1198,15 +1205,15 @@
 
 std::size_t Dispatcher::waiting() const { return state_->waiting.size(); }
 
-std::vector<TargetMemory> Dispatcher::learned(Time now, std::size_t most) {
+std::vector<TargetMemory> Dispatcher::learned(Microseconds now, std::size_t most) {
   return state_->learned(now, most);
 }
 
-void Dispatcher::targets(Time now, std::size_t most, std::vector<TargetMemory>& known) const {
+void Dispatcher::targets(Microseconds now, std::size_t most, std::vector<TargetMemory>& known) const {
   state_->targets(now, most, known);
 }
 
-void Dispatcher::handle(Time now, const std::vector<Event>& events, std::vector<Action>& actions) {
+void Dispatcher::handle(Microseconds now, const std::vector<Event>& events, std::vector<Action>& actions) {
   state_->handle(now, events, actions);
 }
 
--- a/src/rates.hpp
+++ b/src/rates.hpp
@@ -10,7 +10,7 @@
 
 namespace heronvane::dispatch {
 
-inline double seconds(Time t) { return static_cast<double>(t) * 1e-6; }
+inline double seconds(Microseconds t) { return static_cast<double>(t) * 1e-6; }
 
 constexpr double kUnbounded = std::numeric_limits<double>::infinity();
 
@@ -18,13 +18,13 @@
 class Rate {
  public:
   explicit Rate(double memory) : memory_(memory) {}
-  void start(Time now) { first_ = last_ = now; }  // else with the first call
-  void add(Time now) {
+  void start(Microseconds now) { first_ = last_ = now; }  // else with the first call
+  void add(Microseconds now) {
     if (first_ < 0) first_ = last_ = now;
     sum_ = sum_ * std::exp(-seconds(now - last_) / memory_) + 1;
     last_ = now;
   }
-  double at(Time now) const {
+  double at(Microseconds now) const {
     if (first_ < 0) return 0;
     const double seen = 1 - std::exp(-(seconds(now - first_) + 1) / memory_);
     return sum_ * std::exp(-seconds(now - last_) / memory_) / memory_ / seen;
@@ -32,7 +32,7 @@
 
  private:
   double memory_, sum_ = 0;
-  Time first_ = -1, last_ = 0;
+  Microseconds first_ = -1, last_ = 0;
 };
 
 // Calls allowed to an endpoint that warms up, from a moment on: the rate is `full` (above 0) times the
--- a/src/state.hpp
+++ b/src/state.hpp
@@ -16,42 +16,42 @@
 
 namespace heronvane::dispatch {
 
-constexpr Time kNever = Waiting::kNever;
+constexpr Microseconds kNever = Waiting::kNever;
 constexpr double kRateMemory = 4;       // seconds: memory of served-rate estimates
 constexpr double kLongMemory = 30;      // and of what a relay asks of an endpoint, calls a minute
 constexpr double kFirstLatency = 0.25;  // seconds: assumed before the first answer
 
-struct Target {              // what shares one limit: a destination, or a route apart
-  double delay = 0;          // D, in seconds; 0: no failure remembered
-  Time delay_at = 0;         // when D last changed (a round counts as one failure)
-  double pace = kUnbounded;  // calls a second of this relay
+struct Target {               // what shares one limit: a destination, or a route apart
+  double delay = 0;           // D, in seconds; 0: no failure remembered
+  Microseconds delay_at = 0;  // when D last changed (a round counts as one failure)
+  double pace = kUnbounded;   // calls a second of this relay
   double tokens = 1;
-  Time tokens_at = 0, cut_at = -kNever, raise_at = 0;
-  Time wait_until = 0;  // told wait
+  Microseconds tokens_at = 0, cut_at = -kNever, raise_at = 0;
+  Microseconds wait_until = 0;  // told wait
   Rate served{kRateMemory};
   int refusals = 0;  // since the last serve
   std::size_t kind = 0;
   double let_through = 1;  // share of attempts let through after refusals that this relay or others met
-  Time let_at = -kNever, told_at = -kNever, hold_until = 0;
-  Time refused_from = 0;
-  bool heard = false;        // a call ended in this life
-  Time recalled = -kNever;   // when the record that counts was written, in an earlier one
-  Time due = kNever;         // when changes are to be given out; its place in `dirty`
-  Time looked_at = -kNever;  // and when they were last looked for
-  bool given_known = false;  // what was given of one of them may be more than blank
+  Microseconds let_at = -kNever, told_at = -kNever, hold_until = 0;
+  Microseconds refused_from = 0;
+  bool heard = false;                // a call ended in this life
+  Microseconds recalled = -kNever;   // when the record that counts was written, in an earlier one
+  Microseconds due = kNever;         // when changes are to be given out; its place in `dirty`
+  Microseconds looked_at = -kNever;  // and when they were last looked for
+  bool given_known = false;          // what was given of one of them may be more than blank
 };
 
 struct Given {  // what a store holds of an endpoint
   bool known = false;
-  Time at = -kNever;
+  Microseconds at = -kNever;
   Health health = Health::open;
-  Time since = 0, wait_until = 0;
+  Microseconds since = 0, wait_until = 0;
   double delay = 0, pace = 0, let_through = 1;
   int refusals = 0;
 };
 
 struct Due {  // names its target by id: endpoints come and go
-  Time at = 0;
+  Microseconds at = 0;
   bool apart = false;
   DestinationId destination = 0;
   EndpointId endpoint;
@@ -60,7 +60,7 @@
 
 struct OutCall {
   std::uint64_t id = 0;
-  Time sent = 0;
+  Microseconds sent = 0;
 };
 
 struct EndpointState {
@@ -74,20 +74,20 @@
   double usual = 0;                              // long-run latency of the served ones
   Rate served{kRateMemory}, asked{kLongMemory};  // calls served; first tries while open
   double fail_share = 0;
-  int fail_run = 0;                     // failed calls since the last serve
-  int strays = 0;                       // resets and errors among them
-  Time served_at = 0, served_sent = 0;  // last serve, and the newest send among those served
-  bool doubt_run = false;               // the last failure may have run
-  bool idle_closed = false;             // idle connections were dropped in this spell
-  double use_gap = 0;                   // between calls, in the mean
-  Time used_at = -kNever;               // last time a call began or ended
+  int fail_run = 0;                             // failed calls since the last serve
+  int strays = 0;                               // resets and errors among them
+  Microseconds served_at = 0, served_sent = 0;  // last serve, and the newest send among those served
+  bool doubt_run = false;                       // the last failure may have run
+  bool idle_closed = false;                     // idle connections were dropped in this spell
+  double use_gap = 0;                           // between calls, in the mean
+  Microseconds used_at = -kNever;               // last time a call began or ended
   Health health = Health::open;
-  double usual_rate = 0;  // served calls a second before the trouble
-  Time since = 0;         // of the present health
-  double budget = 0;      // calls allowed while closed or in the ramp
-  Time budget_at = 0, next_trial = 0;
+  double usual_rate = 0;   // served calls a second before the trouble
+  Microseconds since = 0;  // of the present health
+  double budget = 0;       // calls allowed while closed or in the ramp
+  Microseconds budget_at = 0, next_trial = 0;
   int call_cap = 0;  // calls out at which connects failed; 0: unknown
-  Time capped_at = 0;
+  Microseconds capped_at = 0;
   std::uint64_t open_call = 0;           // call begun in this round, for bundling
   bool heard = false, recalled = false;  // a call ended in this life; a record of an earlier one was taken
   Given given;
@@ -100,7 +100,7 @@
 
 struct Call {
   EndpointState* endpoint = nullptr;
-  Time sent = 0;
+  Microseconds sent = 0;
   int messages = 0, left = 0;  // taken along; without an outcome yet
   bool judged = false;         // its fate was counted
   std::vector<MessageId> with;
@@ -110,22 +110,22 @@
   const ClassSettings* cls = nullptr;
   DestinationId destination = 0;
   double worth = 0;
-  Time deadline = 0, ready = 0;
+  Microseconds deadline = 0, ready = 0;
   std::string key;
   int sends = 0, gave_up = -1;       // attempts made; the last one that was cancelled
   bool owed = false;                 // of an earlier life, and no endpoint reached yet
-  Time try_at = kNever;              // when it goes then, whatever share is let through; kNever: not drawn
+  Microseconds try_at = kNever;      // when it goes then, whatever share is let through; kNever: not drawn
   std::map<int, std::uint64_t> out;  // attempt to call
   std::optional<int> may_ran_zone;   // where the first attempt that may have run was made
-  Time may_ran_sent = 0;
+  Microseconds may_ran_sent = 0;
   bool over = false;
-  bool touched = false;  // something happened to it in this round
-  Time due = kNever;     // its place in the agenda
+  bool touched = false;       // something happened to it in this round
+  Microseconds due = kNever;  // its place in the agenda
 };
 
 struct KeyLine {
   std::deque<MessageId> line;
-  Time rest_until = 0;
+  Microseconds rest_until = 0;
 };
 
 }  // namespace heronvane::dispatch
--- a/src/waiting.cpp
+++ b/src/waiting.cpp
@@ -29,14 +29,14 @@
 }
 
 // Finds its cell from the present one on.
-void Waiting::step(Entry& e, Time at) {
+void Waiting::step(Entry& e, Microseconds at) {
   while (cells_[e.cell_].until <= at - e.aim) e.cell_++;
-  const Time until = cells_[e.cell_].until;
+  const Microseconds until = cells_[e.cell_].until;
   e.step_at_ = until < kNever ? e.aim + until : kNever;
   if (e.step_at_ < kNever) steps_.emplace(e.step_at_, &e);
 }
 
-void Waiting::list(Entry& e, Time at) {
+void Waiting::list(Entry& e, Microseconds at) {
   e.listed_ = true;
   e.cell_ = first_cell_[e.group];
   step(e, at);
@@ -66,7 +66,7 @@
   put(*lane, e);
 }
 
-void Waiting::advance(Time at) {
+void Waiting::advance(Microseconds at) {
   while (!steps_.empty() && steps_.begin()->first <= at) {
     Entry& e = *steps_.begin()->second;
     steps_.erase(steps_.begin());
@@ -116,13 +116,13 @@
   }
 }
 
-void Waiting::look(Lane& lane, Time at) {
+void Waiting::look(Lane& lane, Microseconds at) {
   if (lane.look_at < kNever) looks_.erase({lane.look_at, &lane});
   lane.look_at = at;
   if (at < kNever) looks_.emplace(at, &lane);
 }
 
-void Waiting::become(Lane& lane, State state, Time look_at) {
+void Waiting::become(Lane& lane, State state, Microseconds look_at) {
   if (lane.state != state) {
     show(lane, false);
     lane.state = state;
@@ -133,10 +133,10 @@
   if (look_at != lane.look_at) look(lane, look_at);
 }
 
-void Waiting::shut(Lane& lane, Time look_at) { become(lane, State::shut, look_at); }
-void Waiting::await_trial(Lane& lane, Time look_at) { become(lane, State::trial, look_at); }
+void Waiting::shut(Lane& lane, Microseconds look_at) { become(lane, State::shut, look_at); }
+void Waiting::await_trial(Lane& lane, Microseconds look_at) { become(lane, State::trial, look_at); }
 
-void Waiting::set_aside(Entry& e, Time until) {
+void Waiting::set_aside(Entry& e, Microseconds until) {
   Lane& lane = *e.lane_;
   take(lane, e);
   e.aside_ = true, e.aside_until_ = until;
@@ -144,7 +144,7 @@
   if (until < lane.look_at) look(lane, until);
 }
 
-void Waiting::open_due(Time now) {
+void Waiting::open_due(Microseconds now) {
   while (!looks_.empty() && looks_.begin()->first <= now) {
     Lane& lane = *looks_.begin()->second;
     while (!lane.aside.empty() && lane.aside.begin()->first <= now) take_back(lane, lane.aside.begin());
--- a/src/waiting.hpp
+++ b/src/waiting.hpp
@@ -25,19 +25,19 @@
 // (equal ones by id).
 struct Phase {
   enum class Order { by_id, earlier_aim, later_aim };
-  Time from = 0;
+  Microseconds from = 0;
   Order order = Order::by_id;
 };
 
 class Waiting {
  public:
-  static constexpr Time kNever = std::numeric_limits<Time>::max() / 4;
+  static constexpr Microseconds kNever = std::numeric_limits<Microseconds>::max() / 4;
 
   struct Lane;
   // A message's place here; the message owns it, and it must stay where it is while it is listed.
   struct Entry {
     MessageId id = 0;
-    Time aim = 0;
+    Microseconds aim = 0;
     std::size_t group = 0;
 
     bool listed() const { return listed_; }
@@ -48,7 +48,7 @@
     bool listed_ = false, aside_ = false;
     Lane* lane_ = nullptr;
     std::size_t cell_ = 0;
-    Time step_at_ = kNever, aside_until_ = kNever;
+    Microseconds step_at_ = kNever, aside_until_ = kNever;
   };
   struct LaneKey {
     DestinationId destination = 0;
@@ -63,7 +63,7 @@
   ~Waiting();
 
   // `at` is the moment that aims are compared with; it never goes back.
-  void list(Entry& e, Time at);
+  void list(Entry& e, Microseconds at);
   // Out of all: its lane and the list.
   void remove(Entry& e);
   // Into a lane, which is opened if it is new. The entry must be listed and in none.
@@ -71,11 +71,11 @@
   // Out of its lane, or of what was set aside there; it stays listed.
   void leave(Entry& e);
   // Messages pass into their next phases.
-  void advance(Time at);
+  void advance(Microseconds at);
 
   // Opens what was to be looked at by now; tells when the next is.
-  void open_due(Time now);
-  Time next_look() const { return looks_.empty() ? kNever : looks_.begin()->first; }
+  void open_due(Microseconds now);
+  Microseconds next_look() const { return looks_.empty() ? kNever : looks_.begin()->first; }
   // Opens all lanes of a destination, with what was set aside.
   void news(DestinationId destination);
   // Opens them with those alone of what was set aside that `again(entry)` tells.
@@ -90,11 +90,11 @@
     }
   }
   // No message of the lane passes before `look_at`, or news.
-  void shut(Lane& lane, Time look_at);
+  void shut(Lane& lane, Microseconds look_at);
   // The same, but any may pass as soon as a trial call is allowed.
-  void await_trial(Lane& lane, Time look_at);
+  void await_trial(Lane& lane, Microseconds look_at);
   // This message alone does not pass before `until`, or news; its lane stays as it is.
-  void set_aside(Entry& e, Time until);
+  void set_aside(Entry& e, Microseconds until);
 
   std::size_t size() const { return size_; }
   std::size_t lanes() const { return lane_count_; }
@@ -147,7 +147,7 @@
 
  private:
   struct Key {
-    Time rank = 0;
+    Microseconds rank = 0;
     MessageId id = 0;
     Entry* entry = nullptr;
     bool operator<(const Key& o) const { return rank != o.rank ? rank < o.rank : id < o.id; }
@@ -155,10 +155,10 @@
   using Keys = std::set<Key>;
   struct Cell {  // a phase of a group
     Phase phase;
-    Time until = kNever;  // past the aim, when the next phase begins
-    Keys all, heads[2];   // of the lanes that are open, and that await a trial: their first ones
+    Microseconds until = kNever;  // past the aim, when the next phase begins
+    Keys all, heads[2];           // of the lanes that are open, and that await a trial: their first ones
   };
-  using Aside = std::set<std::pair<Time, Entry*>>;
+  using Aside = std::set<std::pair<Microseconds, Entry*>>;
   struct Bucket {  // of a lane, what is in one cell
     std::size_t cell = 0;
     Keys keys;
@@ -172,7 +172,7 @@
    private:
     friend class Waiting;
     State state = State::open;
-    Time look_at = kNever;
+    Microseconds look_at = kNever;
     std::vector<Bucket> buckets;  // empty ones are dropped
     Aside aside;
   };
@@ -185,18 +185,18 @@
   }
   Key key_of(Entry& e) const;
   Aside::iterator take_back(Lane& lane, Aside::iterator it);
-  void step(Entry& e, Time at);
+  void step(Entry& e, Microseconds at);
   void put(Lane& lane, Entry& e);
   void take(Lane& lane, Entry& e);
   void show(Lane& lane, bool shown);
-  void become(Lane& lane, State state, Time look_at);
-  void look(Lane& lane, Time at);
+  void become(Lane& lane, State state, Microseconds look_at);
+  void look(Lane& lane, Microseconds at);
 
   std::vector<Cell> cells_;
   std::vector<std::size_t> first_cell_;  // by group
   std::unordered_map<DestinationId, std::vector<std::unique_ptr<Lane>>> by_destination_;
-  std::set<std::pair<Time, Lane*>> looks_;
-  std::set<std::pair<Time, Entry*>> steps_;
+  std::set<std::pair<Microseconds, Lane*>> looks_;
+  std::set<std::pair<Microseconds, Entry*>> steps_;
   std::size_t size_ = 0, lane_count_ = 0;
 };
 
--- a/src/worth.cpp
+++ b/src/worth.cpp
@@ -10,49 +10,51 @@
 namespace heronvane::dispatch {
 namespace {
 
-constexpr Time kNever = std::numeric_limits<Time>::max() / 4;
+constexpr Microseconds kNever = std::numeric_limits<Microseconds>::max() / 4;
 
 enum class Part { full, falling, least, none };  // of the curve: at the aim, between, at late_worth, too late
 
 }  // namespace
 
-double worth_left(const ClassSettings& c, Decay decay, Time past) {
-  const Time span = c.deadline - c.aim;
+double worth_left(const ClassSettings& c, Decay decay, Microseconds past) {
+  const Microseconds span = c.deadline - c.aim;
   if (past >= span) return 0;
   if (past <= 0) return 1;
   if (decay == Decay::halves) return std::max(c.late_worth, std::exp2(-seconds(past) / seconds(c.aim)));
   return 1 - (1 - c.late_worth) * seconds(past) / std::max(1e-6, seconds(span));
 }
 
-std::vector<Phase> worth_phases(const ClassSettings& c, Decay decay, Time ahead) {
-  const Time span = c.deadline - c.aim;
+std::vector<Phase> worth_phases(const ClassSettings& c, Decay decay, Microseconds ahead) {
+  const Microseconds span = c.deadline - c.aim;
   // The first moment at which nothing more is lost until the deadline.
-  Time least = kNever;
+  Microseconds least = kNever;
   if (decay == Decay::halves && span > 1) {
-    const auto down = [&](Time past) { return std::exp2(-seconds(past) / seconds(c.aim)) <= c.late_worth; };
-    Time low = 0, high = span;  // not down at low; high: down, or never within the span
+    const auto down = [&](Microseconds past) {
+      return std::exp2(-seconds(past) / seconds(c.aim)) <= c.late_worth;
+    };
+    Microseconds low = 0, high = span;  // not down at low; high: down, or never within the span
     while (high - low > 1) {
-      const Time middle = low + (high - low) / 2;
+      const Microseconds middle = low + (high - low) / 2;
       (down(middle) ? high : low) = middle;
     }
     if (high < span) least = high;
   }
   if (decay == Decay::line && c.late_worth == 1) least = 1;
-  const auto part = [&](Time past) {
+  const auto part = [&](Microseconds past) {
     return past >= span ? Part::none : past <= 0 ? Part::full : past >= least ? Part::least : Part::falling;
   };
   const bool rises = decay == Decay::line && c.late_worth > 1;
-  const auto order = [&](Time past) {
+  const auto order = [&](Microseconds past) {
     const Part now = part(past), then = part(past + ahead);
     if (now != Part::falling && then != Part::falling) return Phase::Order::by_id;
     // Where it falls now, later aims have more to lose; where it is about to, earlier ones are nearer to it.
     return (now == Part::falling) != rises ? Phase::Order::later_aim : Phase::Order::earlier_aim;
   };
-  std::set<Time> bends;
-  for (const Time bend : {Time{1}, least, span})
+  std::set<Microseconds> bends;
+  for (const Microseconds bend : {Microseconds{1}, least, span})
     if (bend < kNever) bends.insert(bend), bends.insert(bend - ahead);
   std::vector<Phase> phases{{-kNever, Phase::Order::by_id}};
-  for (const Time bend : bends) phases.push_back({bend, order(bend)});
+  for (const Microseconds bend : bends) phases.push_back({bend, order(bend)});
   return phases;
 }
 
--- a/standins/behaviour.cpp
+++ b/standins/behaviour.cpp
@@ -17,18 +17,18 @@
 
 }  // namespace
 
-Time steady_time() {
+Microseconds steady_time() {
   return std::chrono::duration_cast<std::chrono::microseconds>(
              std::chrono::steady_clock::now().time_since_epoch())
       .count();
 }
 
-Time Spell::left(Time since_start) const {
+Microseconds Spell::left(Microseconds since_start) const {
   if (every <= 0 || since_start < every) return 0;
-  return std::max<Time>(0, lasts - since_start % every);
+  return std::max<Microseconds>(0, lasts - since_start % every);
 }
 
-Behaviour::Behaviour(const Habits& habits, std::uint64_t seed, Time start)
+Behaviour::Behaviour(const Habits& habits, std::uint64_t seed, Microseconds start)
     : habits_(habits), random_(seed), start_(start), filled_at_(start), tokens_(burst(habits)) {
   check(habits.median >= 0, "median below 0");
   check(habits.spread >= 0 && habits.spread < 5, "spread must be 0 to 5");
@@ -40,11 +40,11 @@
           "a spell must end before the next");
 }
 
-Fate Behaviour::call(Time now, std::size_t messages) {
-  if (const Time left = habits_.wait.left(now - start_); left > 0) return fate::Wait{left};
+Fate Behaviour::call(Microseconds now, std::size_t messages) {
+  if (const Microseconds left = habits_.wait.left(now - start_); left > 0) return fate::Wait{left};
   if (silent(now)) return fate::Silent{draw_time(), drawn(0.5)};
   if (habits_.limit_per_s > 0) {
-    const auto passed = static_cast<double>(std::max<Time>(0, now - filled_at_));
+    const auto passed = static_cast<double>(std::max<Microseconds>(0, now - filled_at_));
     tokens_ = std::min(burst(habits_), tokens_ + passed * habits_.limit_per_s / 1e6);
     filled_at_ = std::max(filled_at_, now);
     // A call with more than may ever come at once goes through when all is there.
@@ -52,16 +52,17 @@
     if (tokens_ < price) return fate::Refuse{};
     tokens_ -= price;
   }
-  const Time after = draw_time();
+  const Microseconds after = draw_time();
   if (drawn(habits_.error_share)) return fate::Fail{after, drawn(0.5)};
   if (drawn(habits_.reset_share)) return fate::Reset{after, drawn(0.5)};
   return fate::Serve{after};
 }
 
-Time Behaviour::draw_time() {
+Microseconds Behaviour::draw_time() {
   if (habits_.median == 0) return 0;
   std::normal_distribution<double> normal;
-  return static_cast<Time>(static_cast<double>(habits_.median) * std::exp(habits_.spread * normal(random_)));
+  return static_cast<Microseconds>(static_cast<double>(habits_.median) *
+                                   std::exp(habits_.spread * normal(random_)));
 }
 
 bool Behaviour::drawn(double share) {
--- a/standins/behaviour.hpp
+++ b/standins/behaviour.hpp
@@ -8,18 +8,18 @@
 
 namespace heronvane::standins {
 
-using Time = std::int64_t;  // microseconds
-Time steady_time();         // the clock that stands in where none is handed in
+using Microseconds = std::int64_t;  // microseconds
+Microseconds steady_time();         // the clock that stands in where none is handed in
 
 // Comes back each `every`, first after one whole `every`, and stays for `lasts`. 0: never.
 struct Spell {
-  Time every = 0, lasts = 0;
-  Time left(Time since_start) const;  // of the one that is on; 0: none is
+  Microseconds every = 0, lasts = 0;
+  Microseconds left(Microseconds since_start) const;  // of the one that is on; 0: none is
 };
 
 struct Habits {
-  Time median = 8'000;  // of the time that a call takes, which is log-normal
-  double spread = 0.4;  // the logarithm's standard deviation; 0: always the median
+  Microseconds median = 8'000;  // of the time that a call takes, which is log-normal
+  double spread = 0.4;          // the logarithm's standard deviation; 0: always the median
   double limit_per_s =
       0;  // messages a second, of which a quarter of a second's may come at once; 0: no limit
   double error_share = 0;  // of calls that end with 500
@@ -30,22 +30,22 @@
 
 namespace fate {
 struct Serve {
-  Time after;
+  Microseconds after;
 };
 struct Refuse {};  // above the limit, at once
 struct Wait {
-  Time left;
+  Microseconds left;
 };
 struct Fail {
-  Time after;
+  Microseconds after;
   bool ran;  // whether it took effect all the same
 };
 struct Silent {
-  Time after;  // when it takes effect, where it does
+  Microseconds after;  // when it takes effect, where it does
   bool ran;
 };
 struct Reset {
-  Time after;
+  Microseconds after;
   bool ran;
 };
 }  // namespace fate
@@ -54,19 +54,19 @@
 class Behaviour {
  public:
   // Throws std::invalid_argument where a habit is out of range. `start`: when its spells begin to count.
-  Behaviour(const Habits& habits, std::uint64_t seed, Time start);
+  Behaviour(const Habits& habits, std::uint64_t seed, Microseconds start);
   // Of a call with so many messages that comes at `now`, which never goes back.
-  Fate call(Time now, std::size_t messages);
-  bool silent(Time now) const { return habits_.silent.left(now - start_) > 0; }
-  bool waits(Time now) const { return habits_.wait.left(now - start_) > 0; }
+  Fate call(Microseconds now, std::size_t messages);
+  bool silent(Microseconds now) const { return habits_.silent.left(now - start_) > 0; }
+  bool waits(Microseconds now) const { return habits_.wait.left(now - start_) > 0; }
 
  private:
-  Time draw_time();
+  Microseconds draw_time();
   bool drawn(double share);
 
   Habits habits_;
   std::mt19937_64 random_;
-  Time start_, filled_at_;
+  Microseconds start_, filled_at_;
   double tokens_;
 };
 
--- a/standins/clients.cpp
+++ b/standins/clients.cpp
@@ -22,22 +22,22 @@
 
 namespace {
 
-constexpr Time kMostComeBack = 5'000'000, kLeastPassedOver = 100'000, kMostPassedOver = 1'000'000;
+constexpr Microseconds kMostComeBack = 5'000'000, kLeastPassedOver = 100'000, kMostPassedOver = 1'000'000;
 
 // "0.5" seconds; `absent` where it says nothing of use.
-Time come_back(boost::beast::string_view text, Time absent) {
+Microseconds come_back(boost::beast::string_view text, Microseconds absent) {
   double seconds = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seconds);
   if (text.empty() || error != std::errc() || end != text.data() + text.size() || !(seconds >= 0))
     return absent;
-  return static_cast<Time>(std::min(seconds * 1e6, static_cast<double>(kMostComeBack)));
+  return static_cast<Microseconds>(std::min(seconds * 1e6, static_cast<double>(kMostComeBack)));
 }
 
 }  // namespace
 
 struct Job {
   Message message;
-  Time until = 0;  // its deadline
+  Microseconds until = 0;  // its deadline
   unsigned tries = 0;
   bool again = false;    // handed in before, and refused
   bool silent = false;   // handed in before, to a relay that did not answer
@@ -50,16 +50,16 @@
       : io_(io), options_(std::move(o)), traffic_(options_.plan, options_.seed), timer_(io) {
     relays_.resize(options_.relays.size());
   }
-  Time now() const { return options_.now ? options_.now() : steady_time(); }
+  Microseconds now() const { return options_.now ? options_.now() : steady_time(); }
   void next();
   void send(Job job);
-  void ended(Job job, std::size_t relay, Heard heard, Time latency, Time told);
+  void ended(Job job, std::size_t relay, Heard heard, Microseconds latency, Microseconds told);
   void over(Heard heard);
   std::size_t pick();
 
   struct Relay {
     OfRelay told;
-    Time passed_over_until = 0;
+    Microseconds passed_over_until = 0;
     std::vector<std::shared_ptr<Connection>> idle;
   };
   net::io_context& io_;
@@ -71,7 +71,7 @@
   std::list<std::shared_ptr<net::steady_timer>> waiting_;
   Counts counts_;
   std::size_t turn_ = 0;
-  Time due_ = 0;
+  Microseconds due_ = 0;
   double pace_ = 1;
   bool running_ = false, ended_ = false;
 };
@@ -113,14 +113,15 @@
  private:
   void write() {
     const Message& m = job_->message;
-    out_ = "POST /" + m.message_class + " HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: " + m.id +
-           "\r\nX-Class: " + m.message_class + (m.tenant.empty() ? "" : "\r\nX-Tenant: " + m.tenant) +
-           "\r\nX-Deadline: " + std::to_string(std::max<Time>(0, job_->until - clients_->now()) / 1000) +
-           "m\r\nX-Consignee: dest=" + std::to_string(m.destination) +
-           (job_->silent  ? "\r\nX-Retry: again"
-            : job_->again ? "\r\nX-Retry: 1"
-                          : "") +
-           "\r\nContent-Length: " + std::to_string(m.body) + "\r\n\r\n" + std::string(m.body, 'x');
+    out_ =
+        "POST /" + m.message_class + " HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: " + m.id +
+        "\r\nX-Class: " + m.message_class + (m.tenant.empty() ? "" : "\r\nX-Tenant: " + m.tenant) +
+        "\r\nX-Deadline: " + std::to_string(std::max<Microseconds>(0, job_->until - clients_->now()) / 1000) +
+        "m\r\nX-Consignee: dest=" + std::to_string(m.destination) +
+        (job_->silent  ? "\r\nX-Retry: again"
+         : job_->again ? "\r\nX-Retry: 1"
+                       : "") +
+        "\r\nContent-Length: " + std::to_string(m.body) + "\r\n\r\n" + std::string(m.body, 'x');
     sent_ = true;
     net::async_write(socket_, net::buffer(out_), [self = shared_from_this()](error_code bad, std::size_t) {
       if (bad && self->job_) self->broke();
@@ -146,8 +147,8 @@
   void answered() {
     const auto& a = answer_->get();
     const unsigned status = a.result_int();
-    const Time latency = clients_->now() - begun_;
-    const Time told = come_back(a["Retry-After"], clients_->options_.come_back);
+    const Microseconds latency = clients_->now() - begun_;
+    const Microseconds told = come_back(a["Retry-After"], clients_->options_.come_back);
     Job job = std::move(*job_);
     // A refusal of what may have been taken on before says nothing of that.
     const Heard heard = status == 200 || status == 202   ? Heard::taken
@@ -178,13 +179,13 @@
   std::optional<http::response_parser<http::string_body>> answer_;
   std::optional<Job> job_;
   std::string out_;
-  Time begun_ = 0;
+  Microseconds begun_ = 0;
   bool used_ = false, sent_ = false;
 };
 
 void Clients::Impl::next() {
   if (!running_) return;
-  const Time at = now();
+  const Microseconds at = now();
   // Those that were due while the loop was late go now, up to a second of them.
   due_ = std::max(due_, at - 1'000'000);
   while (due_ <= at) {
@@ -193,7 +194,7 @@
     job.until = job.message.until = at + job.message.deadline;
     counts_.handed++, counts_.out++;
     send(std::move(job));
-    due_ += std::max<Time>(1, static_cast<Time>(static_cast<double>(traffic_.gap()) / pace_));
+    due_ += std::max<Microseconds>(1, static_cast<Microseconds>(static_cast<double>(traffic_.gap()) / pace_));
   }
   timer_.expires_after(microseconds(due_ - at));
   timer_.async_wait([self = shared_from_this()](error_code bad) {
@@ -202,7 +203,7 @@
 }
 
 std::size_t Clients::Impl::pick() {
-  const Time at = now();
+  const Microseconds at = now();
   if (options_.first_that_serves) {
     for (std::size_t i = 0; i < relays_.size(); i++)
       if (relays_[i].passed_over_until <= at) return i;
@@ -234,15 +235,15 @@
   connection->send(std::move(job));
 }
 
-void Clients::Impl::ended(Job job, std::size_t relay, Heard heard, Time latency, Time told) {
+void Clients::Impl::ended(Job job, std::size_t relay, Heard heard, Microseconds latency, Microseconds told) {
   if (ended_) return;
-  const Time at = now();
+  const Microseconds at = now();
   auto& r = relays_[relay];
   if (options_.heard) options_.heard(job.message, relay, heard);
-  const auto pass_over = [&](Time span) {
+  const auto pass_over = [&](Microseconds span) {
     r.passed_over_until = at + std::clamp(span, kLeastPassedOver, kMostPassedOver);
   };
-  Time wait = 0;
+  Microseconds wait = 0;
   switch (heard) {
     case Heard::taken:
       r.told.taken++;
--- a/standins/clients.hpp
+++ b/standins/clients.hpp
@@ -33,10 +33,10 @@
       relays;  // taken in turn; one that refuses or can't be reached is passed over for a while
   TrafficPlan plan;
   std::uint64_t seed = 0;
-  std::function<Time()> now;  // never goes back; empty: the steady clock
-  Time patience = 400'000;    // for an answer; then the connection is closed
-  unsigned tries = 4;         // of a message, the first among them; none after its deadline
-  Time come_back = 200'000;   // after a refusal that names no time
+  std::function<Microseconds()> now;  // never goes back; empty: the steady clock
+  Microseconds patience = 400'000;    // for an answer; then the connection is closed
+  unsigned tries = 4;                 // of a message, the first among them; none after its deadline
+  Microseconds come_back = 200'000;   // after a refusal that names no time
   // A relay is taken again while it serves, and the next one only while it is passed over; false: in turn.
   bool first_that_serves = false;
   // A message of these classes is handed in again where no answer came. It may then be taken on twice.
--- a/standins/endpoint.cpp
+++ b/standins/endpoint.cpp
@@ -67,7 +67,7 @@
     return all.size();
   }
   void shut();
-  Time now() const { return options_.now ? options_.now() : steady_time(); }
+  Microseconds now() const { return options_.now ? options_.now() : steady_time(); }
   void ran(const std::vector<std::string>& ids) {
     for (const auto& id : ids)
       if (options_.ran) options_.ran(id);
@@ -140,7 +140,7 @@
 
  private:
   // ---- For those who follow calls. ----
-  void tell(Stage stage, Time until = 0) {
+  void tell(Stage stage, Microseconds until = 0) {
     if (out_there_ && endpoint_->options_.followed) endpoint_->options_.followed(call_, stage, until);
   }
   // The call that is out has ended, one way or the other.
@@ -160,7 +160,7 @@
                        });
   }
   template <class Then>
-  void after(Time span, Then then) {
+  void after(Microseconds span, Then then) {
     timer_.expires_after(std::chrono::microseconds(span));
     // It goes on to its end though its caller gives up: what has begun takes effect.
     timer_.async_wait([self = shared_from_this(), then = std::move(then)](error_code bad) {
--- a/standins/endpoint.hpp
+++ b/standins/endpoint.hpp
@@ -34,7 +34,7 @@
 struct Call {
   std::uint64_t number = 0;  // of this endpoint, from 1 on
   boost::asio::ip::tcp::endpoint from;
-  Time first_byte = 0;
+  Microseconds first_byte = 0;
   std::vector<std::string> ids;
 };
 enum class Stage {
@@ -53,13 +53,13 @@
   // What becomes of a call, in place of the habits below; may be empty.
   std::function<Fate(const Call&)> decide;
   // All that happens to calls, and new connections (of which one too many: `crowded`); may be empty.
-  std::function<void(const Call&, Stage, Time until)> followed;
+  std::function<void(const Call&, Stage, Microseconds until)> followed;
   std::function<void(const boost::asio::ip::tcp::endpoint& from, bool crowded)> connected;
   Habits habits;
   std::uint64_t seed = 0;
-  std::function<Time()> now;  // never goes back; empty: the steady clock
+  std::function<Microseconds()> now;  // never goes back; empty: the steady clock
   std::size_t bundle_max = 20;
-  Time idle = 5'000'000;  // connections that stand silent so long are closed
+  Microseconds idle = 5'000'000;  // connections that stand silent so long are closed
   // A message came whole; `refused`: its answer proves that it will not run. May be empty, as those below.
   std::function<void(const std::string& id, bool refused)> arrived;
   // A message took effect; its 200 is written to a relay that still waits.
--- a/standins/latencies.cpp
+++ b/standins/latencies.cpp
@@ -10,13 +10,13 @@
 constexpr std::size_t kMost = 20'000;
 }
 
-void Latencies::add(Time now, Time latency) {
+void Latencies::add(Microseconds now, Microseconds latency) {
   kept_.emplace_back(now, latency);
   while (kept_.size() > kMost || kept_.front().first < now - window_) kept_.pop_front();
 }
 
-Time Latencies::quantile(Time now, double share) const {
-  std::vector<Time> all;
+Microseconds Latencies::quantile(Microseconds now, double share) const {
+  std::vector<Microseconds> all;
   for (const auto& [at, latency] : kept_)
     if (at >= now - window_) all.push_back(latency);
   if (all.empty()) return -1;
--- a/standins/latencies.hpp
+++ b/standins/latencies.hpp
@@ -11,14 +11,14 @@
 class Latencies {
  public:
   // Keeps those of the last `window`, the latest 20,000 of them.
-  explicit Latencies(Time window = 10'000'000) : window_(window) {}
-  void add(Time now, Time latency);
+  explicit Latencies(Microseconds window = 10'000'000) : window_(window) {}
+  void add(Microseconds now, Microseconds latency);
   // The least that `share` (0 to 1) of those kept at `now` do not exceed; -1 where there are none.
-  Time quantile(Time now, double share) const;
+  Microseconds quantile(Microseconds now, double share) const;
 
  private:
-  Time window_;
-  std::deque<std::pair<Time, Time>> kept_;
+  Microseconds window_;
+  std::deque<std::pair<Microseconds, Microseconds>> kept_;
 };
 
 }  // namespace heronvane::standins
--- a/standins/traffic.cpp
+++ b/standins/traffic.cpp
@@ -25,8 +25,8 @@
     throw std::invalid_argument("traffic: needs classes, destinations and a rate above 0");
 }
 
-Time Traffic::gap() {
-  return static_cast<Time>(1e6 * std::exponential_distribution<double>(plan_.per_s)(random_));
+Microseconds Traffic::gap() {
+  return static_cast<Microseconds>(1e6 * std::exponential_distribution<double>(plan_.per_s)(random_));
 }
 
 Message Traffic::draw() {
--- a/standins/traffic.hpp
+++ b/standins/traffic.hpp
@@ -14,17 +14,17 @@
   std::string id;  // of the try that is under way; new at each
   std::string message_class, tenant;
   std::int64_t destination = 0;
-  Time deadline = 0;     // from now on
-  Time until = 0;        // once it is handed in: its deadline on the clients' clock
-  unsigned tries = 0;    // of it so far, the one under way among them
-  std::size_t body = 0;  // bytes
+  Microseconds deadline = 0;  // from now on
+  Microseconds until = 0;     // once it is handed in: its deadline on the clients' clock
+  unsigned tries = 0;         // of it so far, the one under way among them
+  std::size_t body = 0;       // bytes
 };
 
 struct TrafficPlan {
   struct Class {
     std::string name;
     double share = 1;  // weights, here and below: their sum is what counts
-    Time deadline = 5'000'000;
+    Microseconds deadline = 5'000'000;
   };
   struct Destination {
     std::int64_t number = 0;
@@ -41,7 +41,7 @@
  public:
   // Throws std::invalid_argument where the plan names no class or destination, or no rate above 0.
   Traffic(TrafficPlan plan, std::uint64_t seed);
-  Time gap();  // to the next message
+  Microseconds gap();  // to the next message
   Message draw();
   std::string new_id();  // 16 hexadecimal digits
 
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -18,7 +18,7 @@
 
 // ---- Without sockets. ----
 TEST(HeldGauge, CountsByClassAndAge) {
-  constexpr Time kSecond = 1'000'000;
+  constexpr Microseconds kSecond = 1'000'000;
   HeldGauge g;
   EXPECT_EQ(g.counts(0).oldest, 0);
   g.taken(1, "a", 0), g.taken(2, "a", 60 * kSecond), g.taken(3, "b", 87 * kSecond),
--- a/tests/copies/carried_test.cpp
+++ b/tests/copies/carried_test.cpp
@@ -108,7 +108,7 @@
     p.saying = r.saying();
     p.epoch = r.epoch();
     p.part = r.below(1'000), p.last = r.below(2) != 0, p.numbered = r.below(1'000);
-    p.now = static_cast<Time>(r.below(1'000'000)), p.ago = static_cast<Time>(r.below(3)) - 1;
+    p.now = static_cast<Microseconds>(r.below(1'000'000)), p.ago = static_cast<Microseconds>(r.below(3)) - 1;
     p.salt = static_cast<store::Salt>(r.below(1ULL << 32)), p.disk = r.below(1 << 30);
     if (!std::holds_alternative<say::Append>(*p.saying)) p.body = r.text();
     const std::string frame = write_packet(p);
@@ -289,8 +289,8 @@
     ShelfOptions o;
     o.folder = folder / "copies";
     o.limit_bytes = limit;
-    o.now = [] { return Time{1'000'000}; };
-    o.steady = [] { return Time{7}; };
+    o.now = [] { return Microseconds{1'000'000}; };
+    o.steady = [] { return Microseconds{7}; };
     return o;
   }
   Packet word(Saying s) {
--- a/tests/dispatcher_test.cpp
+++ b/tests/dispatcher_test.cpp
@@ -12,13 +12,13 @@
 std::optional<Outcome> serve(const Sent&) { return Outcome::served; }
 
 // The waits between outcome and next try of one message that fails again and again.
-std::vector<Time> waits(Relay& r, int tries, Outcome o) {
-  std::vector<Time> w;
+std::vector<Microseconds> waits(Relay& r, int tries, Outcome o) {
+  std::vector<Microseconds> w;
   const auto id = r.arrive(kSafe, 1, "", 60 * kS);
   for (int i = 0; i < tries; i++) {
     r.run_to(r.now + 20 * kMs);
     r.end(id, o);
-    const Time from = r.now;
+    const Microseconds from = r.now;
     while (r.out.empty() && r.now < from + 10 * kS) r.run_to(r.now + 5 * kMs);
     w.push_back(r.now - from);
   }
@@ -26,7 +26,7 @@
 }
 
 TEST(Delay, GrowsByAStepAndIsJittered) {
-  std::set<Time> firsts;
+  std::set<Microseconds> firsts;
   for (std::uint64_t seed = 1; seed <= 8; seed++) {
     Relay r(plain(), seed);
     r.list({{.id = "a", .destination = 1}});
@@ -43,7 +43,7 @@
   r.list({{.id = "a", .destination = 1}});
   const auto a = r.arrive(kSafe), b = r.arrive(kSafe);
   r.round({r.ending(a, Outcome::error), r.ending(b, Outcome::error)});
-  const Time from = r.now;
+  const Microseconds from = r.now;
   r.run_to(from + 260 * kMs);
   EXPECT_GE(r.sends_of(a) + r.sends_of(b), 3);  // the initial delay, not the next step
 }
@@ -75,9 +75,9 @@
   r.list({{.id = "a", .destination = 1}});
   // Takes ten calls a second, sent twenty.
   double room = 3;
-  Time last = r.now;
+  Microseconds last = r.now;
   int refused = 0, late_refused = 0;
-  const Time from = r.now;
+  const Microseconds from = r.now;
   r.live(20 * kS, 20, kSafe, 1, [&](const Sent&) -> std::optional<Outcome> {
     room = std::min(3.0, room + 10 * static_cast<double>(r.now - last) / kS);
     last = r.now;
@@ -144,7 +144,7 @@
 TEST(Delay, AMessageWithoutAChanceEndsSomeRoundsBeforeItsDeadline) {
   Relay r;
   r.list({{.id = "a", .destination = 1}});
-  const Time deadline = r.now + 6 * kS;
+  const Microseconds deadline = r.now + 6 * kS;
   const auto unsent = r.arrive(kSafe, 2), out = r.arrive(kUnsafe, 1, "", 6 * kS);
   r.run_to(deadline + 1 * kS);
   ASSERT_EQ(r.failed.count(unsent) + r.failed.count(out), 2u);
@@ -311,8 +311,8 @@
   r.list(endpoints);
   std::mt19937 random(7);
   bool outage = false;
-  const auto live = [&](Time span) {
-    for (const Time until = r.now + span; r.now < until; r.run_to(r.now + 100 * kMs)) {
+  const auto live = [&](Microseconds span) {
+    for (const Microseconds until = r.now + span; r.now < until; r.run_to(r.now + 100 * kMs)) {
       for (const auto& sent : std::vector<Sent>(r.out)) {
         const bool lost = random() % 4 == 0 || (outage && sent.endpoint == "a");
         r.end(sent.id, lost ? Outcome::reset : Outcome::served);
@@ -323,7 +323,7 @@
   live(10 * kS);  // until the share of strays is known
   const auto ended = [&] { return r.failed.size() + r.refused.size(); };
   const auto before = ended();
-  const Time from = r.now;
+  const Microseconds from = r.now;
   live(20 * kS);
   EXPECT_LE(ended() - before, 400u) << "of 2000 messages";
   EXPECT_GE(r.sends_between(from, r.now), 2000);
@@ -365,7 +365,7 @@
   r.list({{.id = "a", .destination = 1}});
   r.live(10 * kS, 10, kSafe, 1, serve);
   r.live(4 * kS, 10, kSafe, 1, [](const Sent&) { return std::optional(Outcome::connect_failed); });
-  const Time at = r.now;
+  const Microseconds at = r.now;
   r.change({.id = "b", .destination = 1});
   r.run_to(at + 1 * kS);
   EXPECT_LE(r.sends_between(at, at + 1 * kS, "b"), 6);  // some sixty messages are held
@@ -508,7 +508,7 @@
     r.run_to(r.now + 20 * kS);
   }
   EXPECT_EQ(r.idle_closed["rare"].size(), 3u);
-  for (Time at : r.idle_closed["busy"]) EXPECT_LT(at, 10 * kS);  // until its gaps are known
+  for (Microseconds at : r.idle_closed["busy"]) EXPECT_LT(at, 10 * kS);  // until its gaps are known
 }
 
 TEST(List, IsAskedForAgainWithBackoff) {
@@ -640,7 +640,7 @@
     r.live(10 * kS, 15, kSafe, 1, [&](const Sent&) -> std::optional<Outcome> {
       return ++n % 4 == 0 ? Outcome::error : n % 7 == 0 ? Outcome::full : Outcome::served;
     });
-    std::vector<std::pair<MessageId, Time>> sends;
+    std::vector<std::pair<MessageId, Microseconds>> sends;
     for (const auto& s : r.sent) sends.emplace_back(s.id, s.at);
     return sends;
   };
--- a/tests/fleet/commands_test.cpp
+++ b/tests/fleet/commands_test.cpp
@@ -57,7 +57,7 @@
   std::vector<Action> actions;
   event::Command apply = apply_of(fleet_of({"n0"}));
   apply.request = 9;
-  Time now = second;
+  Microseconds now = second;
   decider.handle(now, apply, actions);
   ASSERT_EQ(of<action::Record>(actions).size(), 1U);
   EXPECT_TRUE(of<action::Record>(actions)[0].fleet.has_value());
--- a/tests/fleet/database_test.cpp
+++ b/tests/fleet/database_test.cpp
@@ -196,7 +196,7 @@
     r.operations[0].state = i == 2 ? OperationState::running : OperationState::done;
     r.instances[0].wanted = 5;  // still runs with the fleet of the fifth
     r.instances[0].config = 5;
-    ASSERT_EQ(db.save(static_cast<Time>(i), r, {}), "");
+    ASSERT_EQ(db.save(static_cast<Microseconds>(i), r, {}), "");
   }
   const Restored r = db.restore(read);
   ASSERT_EQ(r.operations.size(), 4u);  // three that ended, and the one that runs
--- a/tests/fleet/decider_test.cpp
+++ b/tests/fleet/decider_test.cpp
@@ -15,33 +15,33 @@
     world.trace_at.clear();
   }
   ~One() override { EXPECT_EQ(world.broken, std::vector<std::string>()); }
-  std::vector<Time> when(const std::string& what) const {
-    std::vector<Time> times;
+  std::vector<Microseconds> when(const std::string& what) const {
+    std::vector<Microseconds> times;
     for (std::size_t i = 0; i < world.trace.size(); ++i) {
       if (world.trace[i] == what) times.push_back(world.trace_at[i]);
     }
     return times;
   }
-  bool until_phase(Phase phase, Time within) {
+  bool until_phase(Phase phase, Microseconds within) {
     return world.until([&] { return world.phase("n0") == phase; }, within);
   }
   World world{1};
 };
 
 TEST_F(One, ACrashedOneStartsAgainLaterAndLaterWithJitter) {
-  std::vector<Time> waits;
+  std::vector<Microseconds> waits;
   for (int i = 0; i < 10; ++i) {
     ASSERT_TRUE(world.until([&] { return !world.processes.empty(); }, 40 * second));
     world.run(30 * ms);
-    const Time crashed = world.now;
+    const Microseconds crashed = world.now;
     const std::size_t starts = when("spawn n0").size();
     world.crash("n0");
     ASSERT_TRUE(world.until([&] { return when("spawn n0").size() > starts; }, 40 * second));
     waits.push_back(world.now - crashed);
   }
-  Time full = 500 * ms;
+  Microseconds full = 500 * ms;
   bool jitter = false;
-  for (Time wait : waits) {
+  for (Microseconds wait : waits) {
     EXPECT_GE(wait, full / 2);
     EXPECT_LE(wait, full + 100 * ms);  // records and the report take theirs
     jitter = jitter || wait < full * 9 / 10;
@@ -66,7 +66,7 @@
   EXPECT_EQ(world.phase("n0"), Phase::looping);
   ASSERT_TRUE(until_phase(Phase::ready, 60 * second));
   world.run(62 * second);
-  const Time crashed = world.now;
+  const Microseconds crashed = world.now;
   world.crash("n0");
   world.run(50 * ms);
   EXPECT_EQ(world.phase("n0"), Phase::backoff);
@@ -89,7 +89,7 @@
 
 TEST_F(One, ASilentOneIsStalledAfter3AndEndedAfter10Seconds) {
   world.processes["n0"].stalled = true;
-  const Time from = world.now;
+  const Microseconds from = world.now;
   world.run(2 * second);
   EXPECT_EQ(world.phase("n0"), Phase::ready);
   ASSERT_TRUE(until_phase(Phase::stalled, 4 * second));
@@ -142,8 +142,8 @@
       }
     }
   }
-  void pass(Time time) {
-    for (const Time end = now + time; now < end;) {
+  void pass(Microseconds time) {
+    for (const Microseconds end = now + time; now < end;) {
       now += 500 * ms;
       give(event::TimerDue{});
     }
@@ -153,7 +153,7 @@
   }
   const std::string run = "0123456789abcdef";
   std::unique_ptr<Decider> decider;
-  Time now = second;
+  Microseconds now = second;
   int terms = 0, kills = 0, spawns = 0;
 };
 
--- a/tests/fleet/fake_backend.hpp
+++ b/tests/fleet/fake_backend.hpp
@@ -88,7 +88,7 @@
     }
   }
   Decider decider_;
-  Time now_ = 1'000'000;
+  Microseconds now_ = 1'000'000;
   RequestId last_ = 0;
   std::map<RequestId, std::function<void(Verdict)>> requests_;
 };
--- a/tests/fleet/interleavings_test.cpp
+++ b/tests/fleet/interleavings_test.cpp
@@ -207,7 +207,7 @@
   Operator operators[2];
   std::vector<OperationId> ids;
   for (int i = 0; i < 24; ++i) {
-    world.run(static_cast<Time>(world.pick(world.chance() < 0.5 ? 300 : 6000)) * ms);
+    world.run(static_cast<Microseconds>(world.pick(world.chance() < 0.5 ? 300 : 6000)) * ms);
     if (!world.agent()) {
       world.start_agent();
       continue;
--- a/tests/fleet/killed_test.cpp
+++ b/tests/fleet/killed_test.cpp
@@ -38,7 +38,7 @@
 
 // Actions that the operation takes where nobody is killed; -1: it did not complete.
 // kill: at which action; -1: never. away: how long no agent is there.
-int one(const Case& what, int kill, bool stands, Time away) {
+int one(const Case& what, int kill, bool stands, Microseconds away) {
   SCOPED_TRACE(std::string(what.name) + " killed at " + std::to_string(kill) +
                (stands ? ", the record stands" : "") + ", away for " + std::to_string(away / ms) + " ms");
   World world(7);
@@ -91,7 +91,7 @@
   int runs = 0;
   for (int kill = 0; kill < actions; ++kill) {
     for (bool stands : {false, true}) {
-      for (Time away : {50 * ms, 300 * ms, 10 * second}) {
+      for (Microseconds away : {50 * ms, 300 * ms, 10 * second}) {
         one(GetParam(), kill, stands, away);
         ++runs;
         if (HasFailure()) return;
@@ -121,7 +121,7 @@
     world.kill_here = [&](const Action&) {
       if (world.killed >= 12 || world.chance() > 0.08) return false;
       world.record_stands = world.chance() < 0.5;
-      world.at(world.now + static_cast<Time>(world.pick(2000)) * ms, [&] { world.start_agent(); });
+      world.at(world.now + static_cast<Microseconds>(world.pick(2000)) * ms, [&] { world.start_agent(); });
       return true;
     };
     ASSERT_TRUE(world.finish(id));
@@ -173,7 +173,7 @@
   event::Command command;
   command.kind = Kind::restart;
   command.names = {"n0"};
-  Time now = world.now;
+  Microseconds now = world.now;
   anew.handle(now, command, actions);
   RecordId stands = 0;
   auto record = [&] {
--- a/tests/fleet/steps_test.cpp
+++ b/tests/fleet/steps_test.cpp
@@ -73,19 +73,19 @@
 
 TEST_F(Fleet, AStalledOneIsKilledInAnOperationAfter3Seconds) {
   world.processes["n0"].stalled = true;
-  const Time from = world.now;
+  const Microseconds from = world.now;
   const OperationId id = world.finish(world.ask(Kind::drain, {"n0"}));
   EXPECT_EQ(world.operation(id).state, OperationState::done);
   const auto kill = std::find(world.trace.begin(), world.trace.end(), "kill n0");
   ASSERT_NE(kill, world.trace.end());
-  const Time after = world.trace_at[static_cast<std::size_t>(kill - world.trace.begin())] - from;
+  const Microseconds after = world.trace_at[static_cast<std::size_t>(kill - world.trace.begin())] - from;
   EXPECT_GE(after, 2 * second);
   EXPECT_LE(after, 6 * second);
 }
 
 TEST_F(Fleet, OneThatDoesNotGetReadyFailsTheStepAndStopsTheRest) {
   world.how.start_to_ready = 1000 * second;
-  const Time from = world.now;
+  const Microseconds from = world.now;
   const OperationId id = world.finish(world.ask(Kind::restart, {}));
   const Operation& ended = world.operation(id);
   EXPECT_EQ(ended.state, OperationState::failed);
--- a/tests/fleet/world.cpp
+++ b/tests/fleet/world.cpp
@@ -54,9 +54,11 @@
   return at == database.instances.end() ? nullptr : &at->second;
 }
 
-void World::at(Time when, std::function<void()> what) { due_.push({when, order_++, std::move(what)}); }
+void World::at(Microseconds when, std::function<void()> what) {
+  due_.push({when, order_++, std::move(what)});
+}
 
-void World::later(Time delay, Event event) {
+void World::later(Microseconds delay, Event event) {
   at(now + delay, [this, life = life_, event = std::move(event)] {
     if (life == life_ && decider_) give(event);
   });
@@ -73,12 +75,12 @@
   }
 }
 
-void World::run(Time time) {
+void World::run(Microseconds time) {
   until([] { return false; }, time);
 }
 
-bool World::until(const std::function<bool()>& condition, Time within) {
-  const Time end = now + within;
+bool World::until(const std::function<bool()>& condition, Microseconds within) {
+  const Microseconds end = now + within;
   while (!condition()) {
     if (due_.empty() || due_.top().at > end) {
       now = end;
@@ -147,7 +149,7 @@
   }
 }
 
-void World::sleep(Time time) {
+void World::sleep(Microseconds time) {
   now += time;
   std::vector<Due> all;
   while (!due_.empty()) {
@@ -504,7 +506,7 @@
   return yes ? yes->operation.id : 0;
 }
 
-OperationId World::finish(OperationId id, Time within) {
+OperationId World::finish(OperationId id, Microseconds within) {
   return id != 0 && until([&] { return ended(id); }, within) ? id : 0;
 }
 
--- a/tests/fleet/world.hpp
+++ b/tests/fleet/world.hpp
@@ -16,8 +16,8 @@
 
 namespace heronvane::fleet::test {
 
-constexpr Time ms = 1'000;
-constexpr Time second = 1'000'000;
+constexpr Microseconds ms = 1'000;
+constexpr Microseconds second = 1'000'000;
 
 // Instances listen on ports from 8081. One with the part `crashes`, its own or common, crashes as it starts.
 FleetSpec fleet_of(const std::vector<std::string>& names, int max_unavailable = 1);
@@ -38,8 +38,8 @@
 struct Process {
   std::string run;
   int pid = 0;
-  Time started = 0;
-  Time ready_at = 0;
+  Microseconds started = 0;
+  Microseconds ready_at = 0;
   bool draining = false;
   bool stalled = false;
   bool stopping = false;
@@ -57,16 +57,16 @@
 };
 
 struct Behaviour {
-  Time start_to_ready = 200 * ms;
-  Time term_takes = 100 * ms;
-  Time drain_takes = 700 * ms;
+  Microseconds start_to_ready = 200 * ms;
+  Microseconds term_takes = 100 * ms;
+  Microseconds drain_takes = 700 * ms;
   double crash = 0;  // chances each second and process
   double stall = 0;
-  Time stall_for = 15 * second;  // unless it is killed; 0: for ever
+  Microseconds stall_for = 15 * second;  // unless it is killed; 0: for ever
   double record_fails = 0;
   double spawn_fails = 0;
-  Time record_takes = 5 * ms;
-  Time jitter = 0;  // added to what takes time, drawn
+  Microseconds record_takes = 5 * ms;
+  Microseconds jitter = 0;  // added to what takes time, drawn
 };
 
 class World {
@@ -81,13 +81,13 @@
   std::vector<std::string> broken;    // rules that were broken
   std::map<RequestId, Verdict> verdicts;
   std::vector<std::pair<RequestId, Verdict>> told;  // in their order
-  std::map<RequestId, Time> sent_at, told_at;
+  std::map<RequestId, Microseconds> sent_at, told_at;
   std::map<RequestId, event::Command> asked;
   std::map<OperationId, event::Command> accepted;
-  std::vector<std::string> trace;  // actions that act, and
-  std::vector<Time> trace_at;      // when
+  std::vector<std::string> trace;      // actions that act, and
+  std::vector<Microseconds> trace_at;  // when
   bool disk_full = false;
-  Time now = 1'700'000'000 * second;
+  Microseconds now = 1'700'000'000 * second;
 
   // Called before each action that is carried out; true kills the agent there (the action is lost).
   std::function<bool(const Action&)> kill_here;
@@ -102,11 +102,11 @@
   RequestId cancel(OperationId operation);
   void kill_agent();
   void start_agent();
-  void sleep(Time time);  // nothing runs meanwhile
+  void sleep(Microseconds time);  // nothing runs meanwhile
   void crash(const std::string& name);
-  void run(Time time);
+  void run(Microseconds time);
   // Until the condition holds; false: not within that time.
-  bool until(const std::function<bool()>& condition, Time within);
+  bool until(const std::function<bool()>& condition, Microseconds within);
   Phase phase(const std::string& name);
   bool ended(OperationId operation) const;
   const Operation& operation(OperationId id) const { return database.operations.at(id); }
@@ -114,23 +114,23 @@
   OperationId ask(Kind kind, std::vector<std::string> names,
                   std::optional<int> max_unavailable = std::nullopt);
   OperationId apply(const FleetSpec& fleet);
-  OperationId finish(OperationId id, Time within = 300 * second);  // id; 0: it did not end
+  OperationId finish(OperationId id, Microseconds within = 300 * second);  // id; 0: it did not end
   bool at_rest() const;  // no operation runs, each instance is what its row desires
   const Verdict* verdict(RequestId request) const;
-  void at(Time when, std::function<void()> what);
+  void at(Microseconds when, std::function<void()> what);
   double chance() { return std::uniform_real_distribution<>()(random_); }
   std::size_t pick(std::size_t below) { return static_cast<std::size_t>(random_() % below); }
 
  private:
   struct Due {
-    Time at;
+    Microseconds at;
     std::uint64_t order;
     std::function<void()> what;
     bool operator>(const Due& other) const { return std::tie(at, order) > std::tie(other.at, other.order); }
   };
 
   void give(const Event& event);
-  void later(Time delay, Event event);  // to this life of the agent
+  void later(Microseconds delay, Event event);  // to this life of the agent
   void carry_out(const Action& action);
   void act(const action::Record& a);
   void act(const action::WriteConfig& a);
@@ -154,9 +154,10 @@
   void exits(const std::string& name, const std::string& run, int status, int signal);
   void misfortune();
   void expect(bool holds, const std::string& rule);
-  Time some(Time time) {
-    return time +
-           (how.jitter > 0 ? static_cast<Time>(random_() % static_cast<std::uint64_t>(how.jitter)) : 0);
+  Microseconds some(Microseconds time) {
+    return time + (how.jitter > 0
+                       ? static_cast<Microseconds>(random_() % static_cast<std::uint64_t>(how.jitter))
+                       : 0);
   }
   const InstanceRow* row(const std::string& name) const;
 
--- a/tests/fleet_rig/world.cpp
+++ b/tests/fleet_rig/world.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr const char* kUnsafe = "pay-and-order";
-constexpr standins::Time kSafeTime = 1'500'000, kUnsafeTime = 2'500'000;  // deadlines, us
+constexpr standins::Microseconds kSafeTime = 1'500'000, kUnsafeTime = 2'500'000;  // deadlines, us
 
 Habits with(const std::function<void(Habits&)>& change) {
   Habits h;
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -13,7 +13,7 @@
 
 namespace heronvane::dispatch::testing {
 
-constexpr Time kMs = 1'000, kS = 1'000'000;
+constexpr Microseconds kMs = 1'000, kS = 1'000'000;
 
 inline Settings plain() {
   Settings s;
@@ -41,7 +41,7 @@
   MessageId id;
   int attempt;
   EndpointId endpoint;
-  Time at, timeout;
+  Microseconds at, timeout;
 };
 
 // Drives one dispatcher: keeps the clock, counts attempts, fires timers, collects what was done.
@@ -77,7 +77,7 @@
     }
   }
   // Fires the timers due up to `until`, then stands there.
-  void run_to(Time until) {
+  void run_to(Microseconds until) {
     while (true) {
       auto it = std::min_element(timers_.begin(), timers_.end());
       if (it == timers_.end() || *it > until) break;
@@ -89,7 +89,7 @@
   }
   void list(const std::vector<Endpoint>& endpoints) { round({event::ListWhole{endpoints, false}}); }
   void change(const Endpoint& e) { round({event::ListChanges{{e}}}); }
-  MessageId arrive(Class c, DestinationId destination = 1, std::string key = "", Time left = 0) {
+  MessageId arrive(Class c, DestinationId destination = 1, std::string key = "", Microseconds left = 0) {
     event::Arrival a;
     a.id = ++last_id_;
     a.destination = destination;
@@ -100,8 +100,10 @@
     return a.id;
   }
   // Ends the oldest attempt of the message that is out.
-  void end(MessageId id, Outcome outcome, Time told_wait = 0) { round({ending(id, outcome, told_wait)}); }
-  Event ending(MessageId id, Outcome outcome, Time told_wait = 0) {
+  void end(MessageId id, Outcome outcome, Microseconds told_wait = 0) {
+    round({ending(id, outcome, told_wait)});
+  }
+  Event ending(MessageId id, Outcome outcome, Microseconds told_wait = 0) {
     auto it = std::find_if(out.begin(), out.end(), [&](const Sent& s) { return s.id == id; });
     EXPECT_NE(it, out.end()) << "message " << id << " has nothing out";
     event::AttemptEnded e;
@@ -118,8 +120,8 @@
   // Lives through `span` in steps of 50 ms; `decide` ends what is out for 100 ms or more, arrivals come at
   // `rate`.
   template <class Decide>
-  void live(Time span, double rate, Class c, DestinationId destination, Decide decide) {
-    const Time until = now + span;
+  void live(Microseconds span, double rate, Class c, DestinationId destination, Decide decide) {
+    const Microseconds until = now + span;
     double due = 0;
     while (now < until) {
       run_to(now + 50 * kMs);
@@ -138,24 +140,24 @@
     return static_cast<int>(
         std::count_if(sent.begin(), sent.end(), [&](const Sent& s) { return s.id == id; }));
   }
-  int sends_between(Time from, Time to, const EndpointId& e = "") const {
+  int sends_between(Microseconds from, Microseconds to, const EndpointId& e = "") const {
     return static_cast<int>(std::count_if(sent.begin(), sent.end(), [&](const Sent& s) {
       return s.at >= from && s.at < to && (e.empty() || s.endpoint == e);
     }));
   }
 
-  Time now = 1 * kS;
+  Microseconds now = 1 * kS;
   std::vector<Sent> sent, out;
-  std::map<MessageId, Time> refused, failed, cancelled;
-  std::vector<Time> asked;
-  std::map<EndpointId, std::vector<Time>> idle_closed;
-  std::vector<std::pair<Time, std::string>> notes;
+  std::map<MessageId, Microseconds> refused, failed, cancelled;
+  std::vector<Microseconds> asked;
+  std::map<EndpointId, std::vector<Microseconds>> idle_closed;
+  std::vector<std::pair<Microseconds, std::string>> notes;
   std::vector<std::string> log;
 
  private:
   Dispatcher dispatcher_;
   std::map<MessageId, int> attempts_;
-  std::vector<Time> timers_;
+  std::vector<Microseconds> timers_;
   MessageId last_id_ = 0;
 };
 
--- a/tests/kept_connections_test.cpp
+++ b/tests/kept_connections_test.cpp
@@ -43,10 +43,10 @@
   struct One {
     std::string endpoint;
     std::shared_ptr<int> connection;
-    heronvane::dispatch::Time used;
+    heronvane::dispatch::Microseconds used;
   };
   std::vector<One> plain;  // longest idle first
-  for (heronvane::dispatch::Time now = 1; now < 20'000; now++) {
+  for (heronvane::dispatch::Microseconds now = 1; now < 20'000; now++) {
     const std::string endpoint = "e" + std::to_string(random() % 20);
     const auto of = [&](const One& o) { return o.endpoint == endpoint; };
     switch (random() % 6) {
@@ -56,7 +56,7 @@
         kept.put(endpoint, plain.back().connection, now);
         break;
       case 2: {
-        const auto rested = now - static_cast<heronvane::dispatch::Time>(random() % 40);
+        const auto rested = now - static_cast<heronvane::dispatch::Microseconds>(random() % 40);
         const auto found = std::find_if(plain.rbegin(), plain.rend(),
                                         [&](const One& o) { return of(o) && o.used <= rested; });
         const auto taken = kept.take(endpoint, rested);
--- a/tests/kept_test.cpp
+++ b/tests/kept_test.cpp
@@ -11,7 +11,7 @@
 using heronvane::dispatch::Health;
 using heronvane::dispatch::Listing;
 
-constexpr Time kNow = 1'700'000'000'000'000, kHour = 3'600'000'000;
+constexpr Microseconds kNow = 1'700'000'000'000'000, kHour = 3'600'000'000;
 
 struct Facts {
   std::map<std::string, std::string> all;
@@ -142,8 +142,8 @@
   heronvane::dispatch::TargetMemory m;
   m.endpoint = "a", m.wait_left = 10'000'000;
   const std::map<std::string, std::string> facts = {{target_key("a"), write_target(m, kNow)}};
-  const Time later = kNow + 8'000'000;
-  const auto wait = [&](Time gap, RecalledTargets::Which which) -> Time {
+  const Microseconds later = kNow + 8'000'000;
+  const auto wait = [&](Microseconds gap, RecalledTargets::Which which) -> Microseconds {
     const auto r = RecalledTargets(facts, which, later).take("a", later, gap);
     return r ? r->memory.wait_left - r->age : -1;
   };
--- a/tests/lab/catalog_test.cpp
+++ b/tests/lab/catalog_test.cpp
@@ -6,7 +6,7 @@
 namespace heronvane::lab {
 namespace {
 
-constexpr Time kS = 1'000'000;
+constexpr Microseconds kS = 1'000'000;
 
 class CatalogTest : public ::testing::Test {
  protected:
@@ -50,7 +50,7 @@
 TEST_F(CatalogTest, WorksThroughCallsInTurnAndTurnsAwayThoseThatWouldWaitTooLong) {
   Catalog c(options, plan, {"a"});
   int admitted = 0;
-  Time last = 0;
+  Microseconds last = 0;
   for (int i = 0; i < 40; i++)
     if (const auto ready = c.admit(0)) {
       EXPECT_EQ(*ready, last + kS / 10);
--- a/tests/lab/destination_test.cpp
+++ b/tests/lab/destination_test.cpp
@@ -6,7 +6,7 @@
 namespace heronvane::lab {
 namespace {
 
-constexpr Time kS = 1'000'000;
+constexpr Microseconds kS = 1'000'000;
 using standins::Fate;
 
 class DestinationTest : public ::testing::Test {
@@ -19,10 +19,10 @@
     int served = 0, refused = 0, waits = 0, failed = 0, silent = 0;
   };
   // So many calls a second, evenly, for so long from `at` on.
-  Count call(Destination& d, Time at, double per_s, double seconds, Index relay = 0, Index lane = 0) {
+  Count call(Destination& d, Microseconds at, double per_s, double seconds, Index relay = 0, Index lane = 0) {
     Count n;
     for (int i = 0; i < static_cast<int>(per_s * seconds); i++) {
-      const auto fate = d.call(at + static_cast<Time>(i * 1e6 / per_s), lane, relay, 1);
+      const auto fate = d.call(at + static_cast<Microseconds>(i * 1e6 / per_s), lane, relay, 1);
       n.served += std::holds_alternative<standins::fate::Serve>(fate);
       n.refused += std::holds_alternative<standins::fate::Refuse>(fate);
       n.waits += std::holds_alternative<standins::fate::Wait>(fate);
@@ -102,7 +102,7 @@
   d.outage(0, Outage::shut, std::nullopt);
   call(d, 0, 5, 1, 3);  // relay 3 sees the outage
   d.over(5 * kS, Outage::shut, std::nullopt);
-  for (Time at = 5 * kS; at < 8 * kS && d.state(at, 0) == Outage::none; at += 50'000)
+  for (Microseconds at = 5 * kS; at < 8 * kS && d.state(at, 0) == Outage::none; at += 50'000)
     d.call(at, 0, at % 150'000 == 0 ? 4 : 3, 1);
   const auto falls = d.take_falls();
   ASSERT_EQ(falls.size(), 1u);
--- a/tests/lab/figures_test.cpp
+++ b/tests/lab/figures_test.cpp
@@ -6,7 +6,7 @@
 namespace heronvane::lab {
 namespace {
 
-constexpr Time kMs = 1'000, kS = 1'000'000;
+constexpr Microseconds kMs = 1'000, kS = 1'000'000;
 
 class FiguresTest : public ::testing::Test {
  protected:
@@ -19,9 +19,9 @@
     plan.endpoints_at_start = 1;
     run.end = 30 * kS;
   }
-  void message(Time at, Time took) {
+  void message(Microseconds at, Microseconds took) {
     const auto id = "m" + std::to_string(run.history.size());
-    const auto add = [&](Time when, Kind kind) -> Event& {
+    const auto add = [&](Microseconds when, Kind kind) -> Event& {
       auto& e = run.history.emplace_back();
       e.at = when, e.kind = kind, e.id = id, e.relay = 0, e.endpoint = 0, e.destination = 0;
       return e;
@@ -55,8 +55,8 @@
 
 // Full service: worth, p99 and what is held as before, for 2 s.
 TEST_F(FiguresTest, FullServiceComesWhenTheBacklogIsGone) {
-  for (Time at = 0; at < 30 * kS; at += 20 * kMs) {
-    Time took = 50 * kMs;
+  for (Microseconds at = 0; at < 30 * kS; at += 20 * kMs) {
+    Microseconds took = 50 * kMs;
     if (at >= 10 * kS && at < 14 * kS) took = 14 * kS - at + 50 * kMs;  // nothing is served for 4 s
     message(at, took);
   }
@@ -69,7 +69,7 @@
   EXPECT_NEAR(f.before_worth, 50, 1);
 }
 TEST_F(FiguresTest, FullServiceMayNotComeBack) {
-  for (Time at = 0; at < 30 * kS; at += 20 * kMs)
+  for (Microseconds at = 0; at < 30 * kS; at += 20 * kMs)
     message(at, at >= 10 * kS && at % (40 * kMs) == 0 ? 0 : 50 * kMs);
   Strike s;
   s.at = 10 * kS;
@@ -78,7 +78,7 @@
 }
 TEST_F(FiguresTest, ThePeakIsOfCallsOverWhatIsTakenThen) {
   for (int i = 0; i < 30; i++) message(10 * kS + i * 10 * kMs, 20 * kMs);
-  for (Time at = 0; at < 30 * kS; at += 100 * kMs) run.samples.push_back({at, {10.0}, 0, 1});
+  for (Microseconds at = 0; at < 30 * kS; at += 100 * kMs) run.samples.push_back({at, {10.0}, 0, 1});
   const auto f = all();
   EXPECT_NEAR(f.peak_over, 3, 0.01);
   EXPECT_EQ(f.peak_at, "d0 at 10 s");
--- a/tests/lab/judge_test.cpp
+++ b/tests/lab/judge_test.cpp
@@ -6,7 +6,7 @@
 namespace heronvane::lab {
 namespace {
 
-constexpr Time kMs = 1'000, kS = 1'000'000;
+constexpr Microseconds kMs = 1'000, kS = 1'000'000;
 constexpr Index kRelay = 0, kOther = 1;
 
 class Forged : public ::testing::Test {
@@ -19,7 +19,7 @@
     classes = {{"safe", 1, 1, 0, kS, 6 * kS, Effect::safe},
                {"unsafe", 1, 3, 0.3, 2 * kS, 24 * kS, Effect::unsafe}};
   }
-  Event& add(Time at, Kind kind, Index relay = kRelay) {
+  Event& add(Microseconds at, Kind kind, Index relay = kRelay) {
     auto& e = history.emplace_back();
     e.at = at, e.kind = kind, e.relay = relay;
     return e;
@@ -29,28 +29,29 @@
     if (endpoint != kNobody) e.destination = plan.endpoints[endpoint].destination;
   }
   // Handed in and taken on 1 ms later.
-  void taken(Time at, const std::string& id, int message_class = 1, Time deadline = 5 * kS,
+  void taken(Microseconds at, const std::string& id, int message_class = 1, Microseconds deadline = 5 * kS,
              Index relay = kRelay) {
     auto& e = add(at, Kind::sent, kNobody);
     of(e, id);
     e.destination = 0, e.message_class = message_class, e.until = at + deadline;
     of(add(at + kMs, Kind::taken, relay), id);
   }
-  void call(Time at, const std::string& id, std::uint32_t number, Index endpoint = 0, Index relay = kRelay) {
+  void call(Microseconds at, const std::string& id, std::uint32_t number, Index endpoint = 0,
+            Index relay = kRelay) {
     auto& e = add(at, Kind::call, relay);
     of(e, id, number, endpoint);
     e.until = at;
   }
-  void happens(Time at, Kind kind, const std::string& id, std::uint32_t number, Index endpoint = 0,
+  void happens(Microseconds at, Kind kind, const std::string& id, std::uint32_t number, Index endpoint = 0,
                Index relay = kRelay) {
     of(add(at, kind, relay), id, number, endpoint);
   }
-  void delivered(Time at, const std::string& id, std::uint32_t number, Index relay = kRelay) {
+  void delivered(Microseconds at, const std::string& id, std::uint32_t number, Index relay = kRelay) {
     call(at, id, number, 0, relay);
     happens(at + 10 * kMs, Kind::ran, id, number, 0, relay);
     happens(at + 10 * kMs, Kind::answered, id, number, 0, relay);
   }
-  void notice(Time at, const std::string& id, bool deferred = false, Index relay = kRelay) {
+  void notice(Microseconds at, const std::string& id, bool deferred = false, Index relay = kRelay) {
     of(add(at, deferred ? Kind::notice_deferred : Kind::notice_undeliverable, relay), id);
   }
   Verdict verdict() {
@@ -106,7 +107,7 @@
 }
 TEST_F(Forged, AnEndThatIsTakenOverMayComeSoLongAfterAnyLoss) {
   taken(1 * kS, "a");
-  const Time due = history.front().until;
+  const Microseconds due = history.front().until;
   add(2 * kS, Kind::down);
   add(due - 100 * kMs, Kind::down, kOther);  // who had taken it over
   notice(due + 900 * kMs, "a", false, kOther + 1);
@@ -352,7 +353,7 @@
   EXPECT_TRUE(verdict().timed);
 }
 TEST_F(Forged, ALabThatLaggedThroughoutJudgesNoTimes) {
-  for (Time at = 1 * kS; at < 10 * kS; at += kS) add(at, Kind::lag, kNobody).value = 500e3;
+  for (Microseconds at = 1 * kS; at < 10 * kS; at += kS) add(at, Kind::lag, kNobody).value = 500e3;
   taken(20 * kS, "late", 1, 2 * kS);
   notice(25 * kS, "late");
   taken(30 * kS, "lost");  // not a matter of time
--- a/tests/memory_test.cpp
+++ b/tests/memory_test.cpp
@@ -25,7 +25,7 @@
       else
         records[m.endpoint] = m;
   }
-  std::vector<Event> events(Time age = 0) const {
+  std::vector<Event> events(Microseconds age = 0) const {
     std::vector<Event> events;
     for (const auto& [id, m] : records) events.push_back(event::TargetRecalled{m, age});
     return events;
@@ -35,7 +35,7 @@
 std::vector<Endpoint> one() { return {{.id = "a", .destination = 1}}; }
 std::vector<Endpoint> two() { return {{.id = "a", .destination = 1}, {.id = "b", .destination = 1}}; }
 
-Settings brief(Time cold = 10 * kS) {
+Settings brief(Microseconds cold = 10 * kS) {
   auto s = plain();
   s.cold = cold, s.slots = 64, s.open_max = 300;
   return s;
@@ -43,7 +43,7 @@
 
 // Another instance with the same list, `down` later, that took the records back or not.
 Relay reborn(const Relay& before, const Settings& s, const std::vector<Endpoint>& list,
-             const std::vector<Event>& memory, Time down = 0) {
+             const std::vector<Event>& memory, Microseconds down = 0) {
   Relay r(s, 99);
   r.now = before.now + down;
   r.list(list);
@@ -61,7 +61,7 @@
       const auto id = r.arrive(kSafe);
       const auto teller = r.out.at(0).endpoint;
       r.end(id, Outcome::served, 5 * kS);
-      const Time told_at = r.now;
+      const Microseconds told_at = r.now;
       Store store;
       store.keep(r.learned(kAll));
       EXPECT_EQ(store.records.size(), apart ? 1u : 2u);
@@ -84,10 +84,10 @@
 };
 Return come_back(Relay& r, double rate) {
   Return x;
-  const Time from = r.now;
+  const Microseconds from = r.now;
   r.live(20 * kS, rate, kUnsafe, 1, no_connection);
   x.trials = r.sends_between(from, r.now);
-  Time first = 0;
+  Microseconds first = 0;
   r.live(12 * kS, rate, kUnsafe, 1, [&](const Sent&) {
     if (first == 0) first = r.now;
     x.served++;
@@ -98,7 +98,7 @@
   return x;
 }
 TEST(Recall, AClosedEndpointStaysClosedWithTrialsSpacedAsBefore) {
-  for (const Time down : {Time{0}, 60 * kS}) {
+  for (const Microseconds down : {Microseconds{0}, 60 * kS}) {
     Return lived, recalled, forgot;
     for (std::uint64_t seed = 1; seed <= 4; seed++) {
       const auto s = brief();
@@ -148,7 +148,7 @@
     store.keep(r.learned(kAll));
     // Down for long: nobody tried meanwhile, so it is not forgotten over that.
     Relay fresh = reborn(r, s, one(), recall ? store.events(3'600 * kS) : std::vector<Event>{}, 3'600 * kS);
-    const Time from = fresh.now;
+    const Microseconds from = fresh.now;
     for (int i = 0; i < 60; i++) fresh.arrive(kUnsafe);
     fresh.run_to(from + 1 * kS);
     const int sends = fresh.sends_between(from, from + 1 * kS);
@@ -180,7 +180,7 @@
     Relay after = reborn(r, brief(8 * kS), one(), store.events(8 * kS), 8 * kS);  // its time is over
     // More comes in than a returning destination stands.
     const auto sends = [](Relay& x) {
-      const Time from = x.now;
+      const Microseconds from = x.now;
       x.live(2 * kS, 120, kUnsafe, 1, serve);
       return x.sends_between(from, from + 2 * kS);
     };
@@ -195,7 +195,7 @@
 // Takes `rate` calls a second, with a little room.
 struct Limit {
   double rate = 5, room = 1;
-  Time last = 0;
+  Microseconds last = 0;
   auto of(Relay& r) {
     if (last == 0) last = r.now;
     return [this, &r](const Sent&) -> std::optional<Outcome> {
@@ -220,7 +220,7 @@
     EXPECT_EQ(store.records["a"].pace, store.records["b"].pace);  // one limit, told by both
     Relay again = reborn(r, brief(), two(), store.events()), fresh = reborn(r, brief(), two(), {});
     const auto sends = [](Relay& x) {
-      const Time from = x.now;
+      const Microseconds from = x.now;
       x.live(2 * kS, 20, kUnsafe, 1, serve);
       return x.sends_between(from, from + 2 * kS);
     };
@@ -232,12 +232,12 @@
   EXPECT_GT(forgot, lived * 3 / 2);
 }
 TEST(Recall, TheDelayIsKeptAndAges) {
-  const auto wait_after = [](const std::vector<Event>& memory, Time down, const Relay& before) {
+  const auto wait_after = [](const std::vector<Event>& memory, Microseconds down, const Relay& before) {
     Relay r = reborn(before, plain(), one(), memory, down);
     const auto id = r.arrive(kSafe);
     r.run_to(r.now + 10 * kMs);
     r.end(id, Outcome::error);
-    const Time from = r.now;
+    const Microseconds from = r.now;
     while (r.out.empty() && r.now < from + 5 * kS) r.run_to(r.now + 5 * kMs);
     return r.now - from;
   };
@@ -255,7 +255,7 @@
   EXPECT_GE(wait_after(store.events(), 0, r), 700 * kMs);  // a step on top, less the jitter
   EXPECT_LE(wait_after({}, 0, r), 260 * kMs);              // the initial delay
   EXPECT_LE(wait_after(store.events(60 * kS), 60 * kS, r), 260 * kMs);
-  const Time half = wait_after(store.events(2 * kS), 2 * kS, r);  // 0.3 s and a step
+  const Microseconds half = wait_after(store.events(2 * kS), 2 * kS, r);  // 0.3 s and a step
   EXPECT_GE(half, 500 * kMs);
   EXPECT_LE(half, 900 * kMs);
 }
@@ -286,7 +286,7 @@
   TargetMemory m;
   m.endpoint = "a", m.destination = 1, m.wait_left = 3 * kS;
   r.round({event::TargetRecalled{m, 1 * kS}});
-  const Time from = r.now;
+  const Microseconds from = r.now;
   const auto id = r.arrive(kUnsafe);
   r.run_to(from + 2 * kS - 1);
   EXPECT_EQ(r.sends_of(id), 0);
@@ -297,7 +297,7 @@
   Relay r(brief());
   r.list(one());
   r.round({event::TargetRecalled{closed("a"), 0}});
-  const Time from = r.now;
+  const Microseconds from = r.now;
   for (int i = 0; i < 10; i++) r.arrive(kUnsafe);
   for (int i = 0; i < 60; i++) {  // would put its next trial off for ever
     r.run_to(r.now + 100 * kMs);
@@ -324,7 +324,7 @@
   a.pace = 3, a.delay = 0.4, a.refusals = 1, a.refused_age = 2 * kS;     // latest, as c
   b.pace = 0.5, b.delay = 2, b.wait_left = 9 * kS, b.let_through = 0.1;  // older, but its wait holds
   c.pace = 2, c.delay = 0.3, c.refusals = 3, c.let_through = 0.5;
-  std::vector<std::pair<TargetMemory, Time>> records = {{a, 1 * kS}, {b, 4 * kS}, {c, 1 * kS}};
+  std::vector<std::pair<TargetMemory, Microseconds>> records = {{a, 1 * kS}, {b, 4 * kS}, {c, 1 * kS}};
   std::vector<int> order = {0, 1, 2};
   std::set<std::string> ends;
   do {
@@ -359,15 +359,15 @@
   Relay r;
   r.list(one());
   r.round({event::TargetRecalled{m, -1}});
-  const Time from = r.now;
+  const Microseconds from = r.now;
   r.live(60 * kS, 10, kSafe, 1, serve);
   EXPECT_GT(r.sends_between(from, r.now), 300);
-  m.health_age = m.wait_left = m.refused_age = std::numeric_limits<Time>::max();
+  m.health_age = m.wait_left = m.refused_age = std::numeric_limits<Microseconds>::max();
   m.usual_rate = m.delay = m.pace = m.budget = std::numeric_limits<double>::infinity();
   m.refusals = m.fail_run = m.bundle = std::numeric_limits<int>::max();
   Relay huge;
   huge.list(one());
-  huge.round({event::TargetRecalled{m, std::numeric_limits<Time>::max()}});
+  huge.round({event::TargetRecalled{m, std::numeric_limits<Microseconds>::max()}});
   huge.live(10 * kS, 10, kSafe, 1, serve);
   EXPECT_GT(huge.sends_between(0, huge.now), 0);
 }
@@ -382,8 +382,8 @@
   Relay r;
   r.list(one());
   Limit limit;
-  std::vector<Time> at;
-  const Time until = r.now + 20 * kS;
+  std::vector<Microseconds> at;
+  const Microseconds until = r.now + 20 * kS;
   while (r.now < until) {
     r.live(50 * kMs, 20, kSafe, 1, limit.of(r));
     if (!r.learned(kAll).empty()) at.push_back(r.now);
@@ -428,7 +428,7 @@
 }
 TEST(Learned, ATargetBackToNothingIsGivenOnceAsBlank) {
   // By time alone: a delay, and a wait.
-  for (const Time wait : {Time{0}, 4 * kS}) {
+  for (const Microseconds wait : {Microseconds{0}, 4 * kS}) {
     Relay r;
     r.list(two());
     r.end(r.arrive(kSafe), wait > 0 ? Outcome::served : Outcome::error, wait);
@@ -538,14 +538,14 @@
   s.peers = s.cancelling = true;
   s.cold = 3 * kS;
   Dispatcher d(s, seed);
-  Time now = 0;
+  Microseconds now = 0;
   MessageId last = 0;
   std::vector<std::pair<action::Send, int>> out;
   std::map<MessageId, int> attempts;
   std::ostringstream text;
   int mood[6] = {};
   for (int round = 0; round < 1'500; round++) {
-    now += static_cast<Time>(random() % 200) * kMs;
+    now += static_cast<Microseconds>(random() % 200) * kMs;
     std::vector<Event> events;
     if (round % 97 == 0) {
       event::ListWhole list;
@@ -567,7 +567,7 @@
       constexpr Outcome kOutcomes[] = {Outcome::served, Outcome::full, Outcome::connect_failed,
                                        Outcome::error, Outcome::timeout};
       e.outcome = random() % 10 == 0 ? Outcome::served : kOutcomes[mood[send.endpoint[0] - 'a']];
-      e.latency = static_cast<Time>(random() % 400) * kMs;
+      e.latency = static_cast<Microseconds>(random() % 400) * kMs;
       e.closed = e.outcome == Outcome::served;
       if (random() % 30 == 0) e.told_wait = 2 * kS;
       events.push_back(e);
--- a/tests/policy/full_walk.cpp
+++ b/tests/policy/full_walk.cpp
@@ -16,7 +16,7 @@
     : inside_(new Inside{WalkingDispatcher(settings, seed)}) {}
 FullWalk::~FullWalk() = default;
 
-void FullWalk::handle(Time now, const std::vector<Event>& events, std::vector<Action>& actions) {
+void FullWalk::handle(Microseconds now, const std::vector<Event>& events, std::vector<Action>& actions) {
   inside_->dispatcher.handle(now, events, actions);
 }
 
--- a/tests/policy/full_walk.hpp
+++ b/tests/policy/full_walk.hpp
@@ -12,7 +12,7 @@
  public:
   FullWalk(const Settings& settings, std::uint64_t seed);
   ~FullWalk();
-  void handle(Time now, const std::vector<Event>& events, std::vector<Action>& actions);
+  void handle(Microseconds now, const std::vector<Event>& events, std::vector<Action>& actions);
 
  private:
   struct Inside;
--- a/tests/policy/index_test.cpp
+++ b/tests/policy/index_test.cpp
@@ -14,7 +14,7 @@
 namespace heronvane::dispatch::testing {
 namespace {
 
-constexpr Time kFar = 1'000'000'000'000'000;
+constexpr Microseconds kFar = 1'000'000'000'000'000;
 
 std::uint64_t environment(const char* name, std::uint64_t otherwise) {
   const char* const value = std::getenv(name);
@@ -48,7 +48,7 @@
   return out.str();
 }
 
-void note_timers(const std::vector<Action>& actions, Time now, std::multiset<Time>& timers) {
+void note_timers(const std::vector<Action>& actions, Microseconds now, std::multiset<Microseconds>& timers) {
   for (const auto& a : actions)
     if (const auto* t = std::get_if<action::SetTimer>(&a)) timers.insert(now + t->after);
 }
@@ -60,7 +60,7 @@
     RandomStream stream(seed);
     Dispatcher index(stream.settings(), seed);
     FullWalk walk(stream.settings(), seed);
-    std::multiset<Time> walk_timers, index_timers;
+    std::multiset<Microseconds> walk_timers, index_timers;
     while (!stream.done()) {
       const auto next = std::min(walk_timers.empty() ? kFar : *walk_timers.begin(),
                                  index_timers.empty() ? kFar : *index_timers.begin());
--- a/tests/policy/random_stream.cpp
+++ b/tests/policy/random_stream.cpp
@@ -5,8 +5,8 @@
 namespace heronvane::dispatch::testing {
 namespace {
 
-constexpr Time kMs = 1'000, kS = 1'000'000;
-constexpr Time kFar = 3'600 * kS;
+constexpr Microseconds kMs = 1'000, kS = 1'000'000;
+constexpr Microseconds kFar = 3'600 * kS;
 
 }  // namespace
 
@@ -17,11 +17,11 @@
     ClassSettings c;
     c.worth = 1 + static_cast<double>(roll(4));
     c.late_worth = chance(30) ? 0 : chance(10) ? 1 : static_cast<double>(roll(9)) / 10;
-    c.aim = static_cast<Time>(100 + roll(1'500)) * kMs;
-    c.deadline = chance(10) ? c.aim : c.aim + static_cast<Time>(roll(6'000)) * kMs;
+    c.aim = static_cast<Microseconds>(100 + roll(1'500)) * kMs;
+    c.deadline = chance(10) ? c.aim : c.aim + static_cast<Microseconds>(roll(6'000)) * kMs;
     c.effect = static_cast<Effect>(roll(3));
     c.group = static_cast<KeyGroup>(roll(3));
-    c.key_window = static_cast<Time>(1 + roll(5)) * kS;
+    c.key_window = static_cast<Microseconds>(1 + roll(5)) * kS;
     c.ordered = chance(30);
     s.classes.push_back(c);
   }
@@ -36,10 +36,10 @@
   s.open_max = 5 + static_cast<int>(roll(200));
   s.attempts_max = 1 + static_cast<int>(roll(8));
   s.cancelling = chance(70), s.peers = chance(50), s.subscribe = chance(30);
-  s.tick = static_cast<Time>(1 + roll(10)) * kMs;
+  s.tick = static_cast<Microseconds>(1 + roll(10)) * kMs;
   s.answer_slack = 20 * kMs, s.drain_grace = kS;
-  s.settle_after_doubt = static_cast<Time>(roll(2'000)) * kMs;
-  s.overload_for = kS, s.cold = static_cast<Time>(1 + roll(8)) * kS;
+  s.settle_after_doubt = static_cast<Microseconds>(roll(2'000)) * kMs;
+  s.overload_for = kS, s.cold = static_cast<Microseconds>(1 + roll(8)) * kS;
   destinations_ = 1 + roll(chance(20) ? 40 : 5);
   const auto count = destinations_ + roll(2 * destinations_ + 1);
   for (std::uint64_t i = 0; i < count; i++) {
@@ -61,7 +61,8 @@
   a.destination = static_cast<DestinationId>(1 + roll(destinations_ + (chance(2) ? 2 : 0)));
   a.message_class = static_cast<int>(roll(settings_.classes.size()));
   const auto& c = settings_.classes[static_cast<std::size_t>(a.message_class)];
-  a.time_left = chance(60) ? c.deadline : static_cast<Time>(roll(static_cast<std::uint64_t>(2 * c.deadline)));
+  a.time_left =
+      chance(60) ? c.deadline : static_cast<Microseconds>(roll(static_cast<std::uint64_t>(2 * c.deadline)));
   a.tenant = settings_.tenants.empty() ? -1 : static_cast<int>(roll(settings_.tenants.size()));
   if (chance(30)) a.order_key = "k" + std::to_string(roll(4));
   attempts_[a.id] = 0;
@@ -121,7 +122,7 @@
     attempts_[r.message.id] = r.attempts;
     r.tried = r.attempts > 0 && chance(70);
     if (r.attempts > 0 && chance(50)) r.may_have_run_zone = static_cast<int>(roll(2)), r.tried = true;
-    r.may_have_run_ago = static_cast<Time>(roll(3'000)) * kMs;
+    r.may_have_run_ago = static_cast<Microseconds>(roll(3'000)) * kMs;
     events.emplace_back(std::move(r));
   }
   for (auto left = chance(rounds_ == 0 ? 30 : 1) ? 1 + roll(rounds_ == 0 ? 4 : 1) : 0; left > 0; left--) {
@@ -129,24 +130,25 @@
     const auto& e = endpoints_[roll(endpoints_.size())];
     t.memory.endpoint = e.id, t.memory.destination = e.destination;
     t.memory.health = static_cast<Health>(roll(3));
-    t.memory.health_age = static_cast<Time>(roll(5'000)) * kMs;
+    t.memory.health_age = static_cast<Microseconds>(roll(5'000)) * kMs;
     t.memory.usual_rate = static_cast<double>(roll(50)) / 10;
     t.memory.budget = static_cast<double>(roll(10)) / 10;
     t.memory.fail_run = static_cast<int>(roll(4));
-    t.memory.wait_left = chance(30) ? static_cast<Time>(roll(2'000)) * kMs : 0;
+    t.memory.wait_left = chance(30) ? static_cast<Microseconds>(roll(2'000)) * kMs : 0;
     t.memory.pace = chance(30) ? 1 + static_cast<double>(roll(20)) : 0;
     t.memory.refusals = static_cast<int>(roll(4));
     t.memory.let_through = chance(30) ? 0.1 : 1;
-    t.age = static_cast<Time>(roll(4'000)) * kMs;
+    t.age = static_cast<Microseconds>(roll(4'000)) * kMs;
     events.emplace_back(std::move(t));
   }
 }
 
-RandomStream::Round RandomStream::next(Time timer) {
+RandomStream::Round RandomStream::next(Microseconds timer) {
   Round round;
   if (rounds_ > 0) {
-    const Time step = chance(30) ? settings_.tick : static_cast<Time>(roll(chance(10) ? 1'500 : 60)) * kMs;
-    const Time at = now_ + std::max(step, settings_.tick);
+    const Microseconds step =
+        chance(30) ? settings_.tick : static_cast<Microseconds>(roll(chance(10) ? 1'500 : 60)) * kMs;
+    const Microseconds at = now_ + std::max(step, settings_.tick);
     round.timer_alone = timer <= at;
     now_ = std::max(std::min(at, timer), now_ + settings_.tick);
   }
@@ -163,7 +165,7 @@
     e.id = c.id, e.attempt = c.attempt, e.endpoint = c.endpoint, e.outcome = c.outcome;
     e.latency = now_ - c.sent;
     e.closed = c.outcome == Outcome::served;
-    if (c.outcome == Outcome::full && chance(40)) e.told_wait = static_cast<Time>(roll(1'500)) * kMs;
+    if (c.outcome == Outcome::full && chance(40)) e.told_wait = static_cast<Microseconds>(roll(1'500)) * kMs;
     if (e.closed) attempts_.erase(e.id);
     round.events.emplace_back(std::move(e));
     round.timer_alone = false;
@@ -190,7 +192,8 @@
                                Outcome::reset, Outcome::full, Outcome::connect_failed, Outcome::not_sent};
         c.outcome = bad[roll(std::size(bad))];
       }
-      const Time takes = chance(5) ? kFar : static_cast<Time>(roll(chance(20) ? 900 : 60)) * kMs;
+      const Microseconds takes =
+          chance(5) ? kFar : static_cast<Microseconds>(roll(chance(20) ? 900 : 60)) * kMs;
       c.ends = now_ + std::min(takes, s->timeout);
       if (takes >= s->timeout) c.outcome = Outcome::timeout;
       calls_.push_back(c);
--- a/tests/policy/random_stream.hpp
+++ b/tests/policy/random_stream.hpp
@@ -19,11 +19,11 @@
 
   // The next round: its time, which may be as late as `timer` but not later, and what comes in it.
   struct Round {
-    Time at = 0;
+    Microseconds at = 0;
     std::vector<Event> events;
     bool timer_alone = false;  // nothing came but a timer that is due
   };
-  Round next(Time timer);
+  Round next(Microseconds timer);
   // What was decided in it.
   void decided(const std::vector<Action>& actions);
   bool done() const { return rounds_ >= most_rounds_; }
@@ -34,7 +34,7 @@
     MessageId id = 0;
     int attempt = 0;
     EndpointId endpoint;
-    Time sent = 0, ends = 0;
+    Microseconds sent = 0, ends = 0;
     Outcome outcome = Outcome::served;
   };
   std::uint64_t roll(std::uint64_t sides) { return sides == 0 ? 0 : random_() % sides; }
@@ -52,7 +52,7 @@
   std::size_t destinations_ = 1;
   std::vector<Call> calls_;
   std::map<MessageId, int> attempts_;  // of messages that are not over
-  Time now_ = 0;
+  Microseconds now_ = 0;
   MessageId last_id_ = 0;
   int rounds_ = 0, most_rounds_ = 0, busy_ = 0, burst_ = 0;
   std::size_t sends_ = 0;
--- a/tests/policy/rates_test.cpp
+++ b/tests/policy/rates_test.cpp
@@ -29,9 +29,9 @@
 
 TEST(Rate, LookingChangesNothing) {
   Rate often(4), seldom(4);
-  for (Time now = 0; now < 20'000'000; now += 50'000) {
+  for (Microseconds now = 0; now < 20'000'000; now += 50'000) {
     often.add(now), seldom.add(now);
-    for (Time t = now; t < now + 50'000; t += 7'000) (void)often.at(t);
+    for (Microseconds t = now; t < now + 50'000; t += 7'000) (void)often.at(t);
   }
   EXPECT_EQ(often.at(21'000'000), seldom.at(21'000'000));
   EXPECT_NEAR(seldom.at(20'000'000), 20, 1);
--- a/tests/policy/worth_test.cpp
+++ b/tests/policy/worth_test.cpp
@@ -8,7 +8,7 @@
 namespace heronvane::dispatch::testing {
 namespace {
 
-double urgency(const ClassSettings& c, Decay decay, Time past, Time ahead) {
+double urgency(const ClassSettings& c, Decay decay, Microseconds past, Microseconds ahead) {
   const double v = worth_left(c, decay, past);
   return v - worth_left(c, decay, past + ahead) + 0.1 * v;
 }
@@ -19,20 +19,22 @@
   for (int i = 0; i < 300; i++) {
     ClassSettings c;
     c.late_worth = static_cast<double>(random() % 12) / 10;
-    c.aim = static_cast<Time>(1 + random() % 2'000) * 1'000;
-    c.deadline = random() % 8 == 0 ? c.aim / 2 : c.aim + static_cast<Time>(random() % 6'000) * 1'000;
+    c.aim = static_cast<Microseconds>(1 + random() % 2'000) * 1'000;
+    c.deadline = random() % 8 == 0 ? c.aim / 2 : c.aim + static_cast<Microseconds>(random() % 6'000) * 1'000;
     const auto decay = random() % 2 == 0 ? Decay::line : Decay::halves;
-    const auto ahead = static_cast<Time>(random() % static_cast<std::uint64_t>(c.aim / 1'000 + 1)) * 1'000;
+    const auto ahead =
+        static_cast<Microseconds>(random() % static_cast<std::uint64_t>(c.aim / 1'000 + 1)) * 1'000;
     const auto phases = worth_phases(c, decay, ahead);
     ASSERT_FALSE(phases.empty());
     for (std::size_t p = 0; p < phases.size(); p++) {
-      const Time from = p == 0 ? phases[p].from / 1'000 : phases[p].from;
-      const Time until = p + 1 < phases.size() ? phases[p + 1].from : phases[p].from + 10'000'000;
-      const Time low = p == 0 ? until - 10'000'000 : from;
+      const Microseconds from = p == 0 ? phases[p].from / 1'000 : phases[p].from;
+      const Microseconds until = p + 1 < phases.size() ? phases[p + 1].from : phases[p].from + 10'000'000;
+      const Microseconds low = p == 0 ? until - 10'000'000 : from;
       ASSERT_LT(low, until);
       for (int j = 0; j < 50; j++) {
         const auto span = static_cast<std::uint64_t>(until - low);
-        Time a = low + static_cast<Time>(random() % span), b = low + static_cast<Time>(random() % span);
+        Microseconds a = low + static_cast<Microseconds>(random() % span),
+                     b = low + static_cast<Microseconds>(random() % span);
         if (j == 0) a = low;  // both ends belong to it
         if (j == 1) b = until - 1;
         if (a == b) continue;
--- a/tests/recovered_test.cpp
+++ b/tests/recovered_test.cpp
@@ -4,7 +4,8 @@
 namespace heronvane::dispatch::testing {
 namespace {
 
-event::Recovered recovered(MessageId id, Class c, int attempts, bool may_have_run, Time left = 5 * kS) {
+event::Recovered recovered(MessageId id, Class c, int attempts, bool may_have_run,
+                           Microseconds left = 5 * kS) {
   event::Recovered r;
   r.message.id = id, r.message.destination = 1, r.message.message_class = c, r.message.time_left = left;
   r.attempts = attempts, r.tried = attempts > 0;
@@ -98,7 +99,7 @@
   std::size_t sent = 0;
   int by_second[5] = {};
 };
-Tries tries(int refusals, Time wait = 0) {
+Tries tries(int refusals, Microseconds wait = 0) {
   Tries found;
   for (std::uint64_t seed = 1; seed <= 20; seed++) {
     auto s = plain();
@@ -119,14 +120,14 @@
       earlier.emplace_back(m);
     }
     r.list(endpoints);
-    const Time start = r.now;
+    const Microseconds start = r.now;
     r.round(earlier);
     for (int step = 0; step < 50; step++) {
       r.run_to(r.now + 100 * kMs);
       for (const auto& out : std::vector<Sent>(r.out)) r.end(out.id, Outcome::served);
     }
     found.sent += r.sent.size();
-    for (const auto& sent : r.sent) found.by_second[std::min<Time>((sent.at - start) / kS, 4)]++;
+    for (const auto& sent : r.sent) found.by_second[std::min<Microseconds>((sent.at - start) / kS, 4)]++;
   }
   return found;
 }
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -9,7 +9,7 @@
   const auto id = r.arrive(kSafe, 99);  // a destination with no endpoint
   r.run_to(10 * kS);
   ASSERT_EQ(r.refused.count(id) + r.failed.count(id), 1u);
-  const Time at = r.refused.count(id) ? r.refused[id] : r.failed[id];
+  const Microseconds at = r.refused.count(id) ? r.refused[id] : r.failed[id];
   EXPECT_LE(at, 1 * kS + 6 * kS + 20 * kMs);
   EXPECT_EQ(r.sends_of(id), 0);
 }
@@ -75,7 +75,7 @@
   Relay r;
   r.list({{.id = "a", .destination = 1}});
   const auto id = r.arrive(kKeyed);
-  const Time first = r.now;
+  const Microseconds first = r.now;
   r.run_to(r.now + 2 * kS);
   r.end(id, Outcome::timeout);
   r.run_to(r.now + 2 * kS);
@@ -90,14 +90,14 @@
 // Whenever the attempt that may have run ends: the last repeats come shortly before the margin, none behind
 // it.
 TEST(Effects, KeyedRepeatsLeaveTimeForALateWrite) {
-  constexpr Time kWindow = 5 * kS, kMargin = 150 * kMs;
-  Time latest = 0;
+  constexpr Microseconds kWindow = 5 * kS, kMargin = 150 * kMs;
+  Microseconds latest = 0;
   for (std::uint64_t seed = 1; seed <= 20; seed++)
-    for (Time ends = kWindow - 2 * kS; ends < kWindow; ends += 20 * kMs) {
+    for (Microseconds ends = kWindow - 2 * kS; ends < kWindow; ends += 20 * kMs) {
       Relay r(plain(), seed);
       r.list({{.id = "a", .destination = 1}});
       const auto id = r.arrive(kKeyed);
-      const Time first = r.now;
+      const Microseconds first = r.now;
       r.run_to(first + ends);
       r.end(id, Outcome::error);
       r.run_to(first + 2 * kWindow);
@@ -114,7 +114,7 @@
   r.end(id, Outcome::full);  // never ran: no window opens
   r.run_to(r.now + 4 * kS);
   ASSERT_EQ(r.sends_of(id), 2);
-  const Time second = r.sent.back().at;
+  const Microseconds second = r.sent.back().at;
   r.end(id, Outcome::error);
   r.run_to(second + 4 * kS + 900 * kMs);
   EXPECT_EQ(r.sends_of(id), 3);
@@ -174,13 +174,13 @@
   const auto fail = [&](const Sent&) -> std::optional<Outcome> { return symptom; };
   r.live(8 * kS, 10, kSafe, 1, fail);
   EXPECT_LE(r.sends_between(r.now - 3 * kS, r.now), 8) << "calls during the outage";
-  const Time back = r.now;
+  const Microseconds back = r.now;
   r.live(14 * kS, 10, kSafe, 1, serve);
-  Time first = 0;
+  Microseconds first = 0;
   for (const auto& sent : r.sent)
     if (sent.at >= back - 100 * kMs && first == 0) first = sent.at;
   ASSERT_GT(first, 0);
-  for (Time t = back; t < first + 8 * kS; t += 250 * kMs) {
+  for (Microseconds t = back; t < first + 8 * kS; t += 250 * kMs) {
     const double warm = 0.2 + 0.8 * std::max(0.0, static_cast<double>(t + 2 * kS - first) / (8.0 * kS));
     EXPECT_LE(r.sends_between(t, t + 2 * kS), 2 * 10 * std::min(1.0, warm) * 2 + 2) << (t - back) / kMs;
   }
@@ -194,7 +194,7 @@
   Relay r;
   r.list({{.id = "a", .destination = 1}, {.id = "b", .destination = 1}, {.id = "c", .destination = 2}});
   const auto id = r.arrive(kSafe);
-  const Time told = r.now;
+  const Microseconds told = r.now;
   r.end(id, Outcome::full, 2 * kS);
   r.arrive(kUnsafe);
   r.run_to(told + 1500 * kMs);
@@ -212,7 +212,7 @@
   r.list({{.id = "a", .destination = 1}, {.id = "b", .destination = 1}});
   const auto id = r.arrive(kSafe);
   const EndpointId held = r.sent[0].endpoint;
-  const Time told = r.now;
+  const Microseconds told = r.now;
   r.end(id, Outcome::full, 3 * kS);
   for (int i = 0; i < 4; i++) r.arrive(kSafe);
   r.run_to(told + 2900 * kMs);
@@ -258,7 +258,7 @@
     const auto first = r.arrive(kUnsafe, 1, "k");
     const auto second = r.arrive(kSafe, 1, "k");
     r.end(first, o);
-    const Time at = r.now;
+    const Microseconds at = r.now;
     EXPECT_EQ(r.failed.count(first), 1u);
     r.run_to(at + 699 * kMs);
     EXPECT_EQ(r.sends_of(second), 0);
--- a/tests/standins/behaviour_test.cpp
+++ b/tests/standins/behaviour_test.cpp
@@ -8,7 +8,7 @@
 namespace heronvane::standins {
 namespace {
 
-constexpr Time kSecond = 1'000'000;
+constexpr Microseconds kSecond = 1'000'000;
 
 template <class T>
 bool is(const Fate& f) {
@@ -20,7 +20,7 @@
   h.error_share = 0.2, h.reset_share = 0.2;
   Behaviour a(h, 7, 0), b(h, 7, 0), other(h, 8, 0);
   bool differs = false;
-  for (Time t = 0; t < 200; t++) {
+  for (Microseconds t = 0; t < 200; t++) {
     const auto x = a.call(t, 1), y = b.call(t, 1), z = other.call(t, 1);
     ASSERT_EQ(x.index(), y.index());
     if (const auto* s = std::get_if<fate::Serve>(&x)) {
@@ -46,7 +46,7 @@
   h.limit_per_s = 20;
   Behaviour b(h, 1, 0);
   int served = 0;
-  for (Time t = 0; t < 10 * kSecond; t += 10'000) served += is<fate::Serve>(b.call(t, 1));
+  for (Microseconds t = 0; t < 10 * kSecond; t += 10'000) served += is<fate::Serve>(b.call(t, 1));
   // 200, and the burst that stood there at the start.
   EXPECT_GE(served, 195);
   EXPECT_LE(served, 206);
@@ -122,7 +122,7 @@
   Latencies l(kSecond);
   EXPECT_EQ(l.quantile(0, 0.5), -1);
   l.add(0, 1'000'000);  // out of the window by the time asked for
-  for (Time i = 1; i <= 100; i++) l.add(kSecond + i, i);
+  for (Microseconds i = 1; i <= 100; i++) l.add(kSecond + i, i);
   EXPECT_EQ(l.quantile(kSecond + 100, 0.5), 50);
   EXPECT_EQ(l.quantile(kSecond + 100, 0.99), 99);
   EXPECT_EQ(l.quantile(kSecond + 100, 1), 100);
--- a/tests/standins/endpoint_test.cpp
+++ b/tests/standins/endpoint_test.cpp
@@ -37,7 +37,7 @@
   }
 
   net::io_context io;
-  Time now = 0, idle = 5'000'000;
+  Microseconds now = 0, idle = 5'000'000;
   Effects effects;
   std::vector<std::string> answered;
   std::unique_ptr<Endpoint> endpoint;
--- a/tests/standins/traffic_test.cpp
+++ b/tests/standins/traffic_test.cpp
@@ -34,7 +34,7 @@
   std::map<std::string, int> classes, tenants;
   std::map<std::int64_t, int> destinations;
   std::set<std::string> ids;
-  Time passed = 0;
+  Microseconds passed = 0;
   for (int i = 0; i < 10'000; i++) {
     passed += t.gap();
     const auto m = t.draw();
--- a/tests/store/crash_test.cpp
+++ b/tests/store/crash_test.cpp
@@ -35,7 +35,7 @@
 
 Clocks clocks_at(const Oracle& oracle, Moment n) {
   Clocks c;
-  const Time passed = oracle.time_at(n) - c.boottime;
+  const Microseconds passed = oracle.time_at(n) - c.boottime;
   c.pass(passed);
   return c;
 }
--- a/tests/store/format1_test.cpp
+++ b/tests/store/format1_test.cpp
@@ -40,11 +40,13 @@
     n('T').n(number).s(m.id).s(m.message_class).s(m.tenant).n(m.destination).n(m.deadline);
     n(static_cast<char>(m.repeat)).s(m.body).frame();
   }
-  void sent(MessageId number, Time at, int zone) { n('S').n(number).n(at).n(std::int32_t{zone}).frame(); }
+  void sent(MessageId number, Microseconds at, int zone) {
+    n('S').n(number).n(at).n(std::int32_t{zone}).frame();
+  }
   void outcome(MessageId number, int attempt, Outcome o) {
     n('O').n(number).n(std::int32_t{attempt}).n(static_cast<char>(o)).frame();
   }
-  void ending(MessageId number, bool deferred, Time again) {
+  void ending(MessageId number, bool deferred, Microseconds again) {
     n('E').n(number).n(static_cast<char>(deferred)).n(again).frame();
   }
   void over(MessageId number) { n('X').n(number).frame(); }
@@ -56,12 +58,12 @@
   std::string payload_;
 };
 
-constexpr Time kDeadline = 1'700'000'030'000'000;
+constexpr Microseconds kDeadline = 1'700'000'030'000'000;
 
 Message message(MessageId number) {
   Message m;
   m.id = "old" + std::to_string(number), m.message_class = "c", m.tenant = "t", m.destination = 3;
-  m.deadline = kDeadline + static_cast<Time>(number), m.repeat = number % 2 == 0;
+  m.deadline = kDeadline + static_cast<Microseconds>(number), m.repeat = number % 2 == 0;
   m.body = std::string(number * 13 % 300, 'b');
   return m;
 }
@@ -321,7 +323,8 @@
 }
 
 // ---- Clocks. ----
-Time deadline_after(const std::string& boot, Time boottime_passed, Time wall_passed, Time& now, Time& gap) {
+Microseconds deadline_after(const std::string& boot, Microseconds boottime_passed, Microseconds wall_passed,
+                            Microseconds& now, Microseconds& gap) {
   MemoryDisk disk;
   Clocks clocks;
   {
@@ -341,9 +344,9 @@
 }
 
 TEST(Clocks, LastingTimeOverRestarts) {
-  constexpr Time kHour = 3'600'000'000, kSecond = 1'000'000;
-  Time now = 0, gap = 0;
-  for (const Time step : {-kHour, Time{0}, kHour}) {
+  constexpr Microseconds kHour = 3'600'000'000, kSecond = 1'000'000;
+  Microseconds now = 0, gap = 0;
+  for (const Microseconds step : {-kHour, Microseconds{0}, kHour}) {
     EXPECT_EQ(deadline_after("boot", 2 * kSecond, step, now, gap), 28 * kSecond);
     EXPECT_EQ(now, 2 * kSecond);
     EXPECT_EQ(gap, 0);
@@ -360,11 +363,11 @@
 
 // The times of the earlier version are wall time: what they mean is settled by the first start.
 TEST(Clocks, OldDeadlinesStayOverAWallStep) {
-  for (const Time step : {Time{-3'600'000'000}, Time{3'600'000'000}}) {
+  for (const Microseconds step : {Microseconds{-3'600'000'000}, Microseconds{3'600'000'000}}) {
     MemoryDisk disk;
     Clocks clocks;
     disk.put("journal", old_file().bytes);
-    Time left = 0;
+    Microseconds left = 0;
     {
       Store s(disk, options({}, clocks));
       left = s.held().at(1).message.deadline - s.clock().now();
--- a/tests/store/store_test.cpp
+++ b/tests/store/store_test.cpp
@@ -24,7 +24,7 @@
 
 // What a test says of the clocks.
 struct Clocks {
-  Time boottime = 1'000'000, wall = 1'700'000'000'000'000;
+  Microseconds boottime = 1'000'000, wall = 1'700'000'000'000'000;
 };
 
 struct Bench {
--- a/tests/store/tool_test.cpp
+++ b/tests/store/tool_test.cpp
@@ -385,7 +385,7 @@
     crc.process_bytes(payload.data(), payload.size());
     return number(static_cast<std::uint32_t>(payload.size())) + number(crc.checksum()) + payload;
   };
-  const Time deadline = system_clocks().wall + 60'000'000;
+  const Microseconds deadline = system_clocks().wall + 60'000'000;
   std::string journal = "heronvane journal 1\n";
   for (const MessageId n : {1, 2})
     journal += frame("T" + number(n) + text("old-" + std::to_string(n)) + text("c") + text("t") +
--- a/tests/store/workload.cpp
+++ b/tests/store/workload.cpp
@@ -33,7 +33,7 @@
   return x ^ (x >> 31);
 }
 
-Time Oracle::time_at(Moment m) const {
+Microseconds Oracle::time_at(Moment m) const {
   auto it =
       std::upper_bound(times.begin(), times.end(), m, [](Moment x, const auto& t) { return x < t.first; });
   return it == times.begin() ? 1'000'000 : std::prev(it)->second;
@@ -76,7 +76,7 @@
     if (v.wrong.empty()) v.wrong = "message " + std::to_string(number) + ": " + what;
   };
   MessageId told = 0;
-  const Time now = s.clock().now();
+  const Microseconds now = s.clock().now();
   for (const auto& [number, story] : oracle.messages) {
     if (story.taken.acted_by(at)) told = number;
     const Held* h = s.find(number);
@@ -219,7 +219,7 @@
   const bool out = !s.tries.empty() && s.tries.back().ended.added == kNever;
   const bool served = !s.tries.empty() && !out && s.tries.back().outcome == Outcome::served;
   if (s.given_up.acted != kNever || served) {
-    const Time until = std::max(s.message.deadline, store_->clock().now()) + setting_.remember_window;
+    const Microseconds until = std::max(s.message.deadline, store_->clock().now()) + setting_.remember_window;
     store_->over(number);
     s.over.added = disk_.operations();
     s.remember = !s.message.repeat, s.remembered_until = until;
@@ -237,7 +237,7 @@
       oracle_.messages.at(number).tries[attempt].ended.acted = disk_.operations();
     });
   } else if (closing_ || s.tries.size() >= kAttemptsMax || dice_.chance(20)) {
-    s.ending = {dice_.chance(50), static_cast<Time>(dice_.below(1'000'000))};
+    s.ending = {dice_.chance(50), static_cast<Microseconds>(dice_.below(1'000'000))};
     s.given_up.added = disk_.operations();
     store_->ending(number, s.ending);
     added_.push_back([this, number] { oracle_.messages.at(number).given_up.acted = disk_.operations(); });
--- a/tests/store/workload.hpp
+++ b/tests/store/workload.hpp
@@ -44,7 +44,7 @@
 struct TryStory {
   Step sent, ended;  // sent acted on: the call goes out
   Outcome outcome = Outcome::served;
-  Time at = 0;
+  Microseconds at = 0;
 };
 struct Story {
   Message message;
@@ -53,7 +53,7 @@
   std::vector<TryStory> tries;
   Ending ending;
   bool remember = false;
-  Time remembered_until = 0;  // at least
+  Microseconds remembered_until = 0;  // at least
 };
 struct FactStory {
   std::string value;
@@ -64,9 +64,9 @@
 struct Oracle {
   std::map<MessageId, Story> messages;
   std::map<std::string, std::vector<FactStory>> facts;
-  std::vector<std::pair<Moment, Time>> times;  // boottime
+  std::vector<std::pair<Moment, Microseconds>> times;  // boottime
 
-  Time time_at(Moment m) const;
+  Microseconds time_at(Moment m) const;
 };
 
 // Messages from here on are none of the oracle's.
@@ -84,14 +84,14 @@
 Verdict judge(const Store& store, const Oracle& oracle, Moment moment, bool lossy);
 
 struct Clocks {
-  Time boottime = 1'000'000, wall = 1'700'000'000'000'000;
-  void pass(Time t) { boottime += t, wall += t; }
+  Microseconds boottime = 1'000'000, wall = 1'700'000'000'000'000;
+  void pass(Microseconds t) { boottime += t, wall += t; }
 };
 
 struct Setting {
   std::uint64_t limit = 200'000;
   Durability durability = Durability::process;
-  Time remember_window = 1'500'000;
+  Microseconds remember_window = 1'500'000;
 };
 
 Options options(const Setting& setting, const Clocks& clocks, std::string* log = nullptr,
--- a/tools/store/commands.hpp
+++ b/tools/store/commands.hpp
@@ -14,11 +14,11 @@
 // A folder as it was read, by the clocks of this machine.
 struct Folder {
   std::string path;
-  Contents contents;     // without ids whose time was up
-  Time now = 0;          // lasting time
-  Time to_wall = 0;      // from lasting time, in microseconds
-  Anchor anchor;         // the last one; where there is none, as of now
-  bool damaged() const;  // records are missing, or bytes are none
+  Contents contents;         // without ids whose time was up
+  Microseconds now = 0;      // lasting time
+  Microseconds to_wall = 0;  // from lasting time, in microseconds
+  Anchor anchor;             // the last one; where there is none, as of now
+  bool damaged() const;      // records are missing, or bytes are none
 };
 
 // Throws FolderInUse, StoreError, std::system_error.
--- a/tools/store/text.cpp
+++ b/tools/store/text.cpp
@@ -54,7 +54,7 @@
   return true;
 }
 
-std::string duration(Time t) {
+std::string duration(Microseconds t) {
   // Without its sign: the least number has no positive one.
   const std::uint64_t us = t < 0 ? 0 - static_cast<std::uint64_t>(t) : static_cast<std::uint64_t>(t);
   const std::uint64_t s = us / 1'000'000;
@@ -72,7 +72,7 @@
   return (t < 0 ? "-" : "") + std::string(text);
 }
 
-std::string date(Time t) {
+std::string date(Microseconds t) {
   const auto seconds = static_cast<std::time_t>(t / 1'000'000);
   std::tm parts{};
   char text[64];
--- a/tools/store/text.hpp
+++ b/tools/store/text.hpp
@@ -13,9 +13,9 @@
 std::string base64(std::string_view bytes);
 bool is_utf8(std::string_view bytes);
 // "2 h 3 min", "-1.5 s"
-std::string duration(Time microseconds);
+std::string duration(Microseconds microseconds);
 // "2026-01-02 03:04:05 UTC"
-std::string date(Time unix_microseconds);
+std::string date(Microseconds unix_microseconds);
 const char* name_of(Outcome outcome);
 std::string name_of(const MissingRun& run);
 
