--- a/adapter/settings.cpp
+++ b/adapter/settings.cpp
@@ -19,10 +19,11 @@
   c.late_worth = get(v, "LateWorth", path, as_number, 0.0);
   c.aim = get(v, "Target", path, as_span);
   c.deadline = get(v, "Deadline", path, as_span);
-  c.effect = word<Effect>(
-      get(v, "Idempotency", path, as_text),
-      {{"read_like", Effect::safe}, {"idempotency_key", Effect::keyed}, {"non_idempotent", Effect::unsafe}},
-      path + ".Idempotency");
+  c.idempotency = word<Idempotency>(get(v, "Idempotency", path, as_text),
+                                    {{"read_like", Idempotency::idempotent},
+                                     {"idempotency_key", Idempotency::keyed},
+                                     {"non_idempotent", Idempotency::non_idempotent}},
+                                    path + ".Idempotency");
   c.group = word<KeyGroup>(get(v, "Group", path, as_text, "all"),
                            {{"all", KeyGroup::all}, {"zone", KeyGroup::zone}, {"cell", KeyGroup::cell}},
                            path + ".Group");
--- a/bench/scale/module_bench.cpp
+++ b/bench/scale/module_bench.cpp
@@ -27,9 +27,16 @@
 
 Settings settings(std::size_t held) {
   Settings s;
-  s.classes = {
-      {.worth = 1, .late_worth = 0.2, .aim = kS, .deadline = 7'200 * kS, .effect = Effect::safe},
-      {.worth = 3, .late_worth = 0.3, .aim = 2 * kS, .deadline = 7'200 * kS, .effect = Effect::unsafe}};
+  s.classes = {{.worth = 1,
+                .late_worth = 0.2,
+                .aim = kS,
+                .deadline = 7'200 * kS,
+                .idempotency = Idempotency::idempotent},
+               {.worth = 3,
+                .late_worth = 0.3,
+                .aim = 2 * kS,
+                .deadline = 7'200 * kS,
+                .idempotency = Idempotency::non_idempotent}};
   s.kinds = {{}};
   s.slots = 256;
   s.open_max = static_cast<int>(2 * held + 10'000);
--- a/include/heronvane/dispatch/dispatcher.hpp
+++ b/include/heronvane/dispatch/dispatcher.hpp
@@ -23,7 +23,8 @@
 using EndpointId = std::string;
 using DestinationId = std::int64_t;
 
-enum class Effect { safe, keyed, unsafe };       // what a repeat may do
+// What a repeated delivery of a request may do: `keyed` is idempotent by its idempotency key.
+enum class Idempotency { idempotent, keyed, non_idempotent };
 enum class KeyGroup { all, zone, cell };         // which endpoints of a destination drop repeats
 enum class Decay { line, halves };               // how worth falls after the aim
 enum class WeightKind { none, nominal, rough };  // what Endpoint::weight holds
@@ -33,7 +34,7 @@
   double late_worth = 0;              // share of it that is left at the deadline
   Microseconds aim = 1'000'000;       // delivered within this time, it earns the full worth
   Microseconds deadline = 5'000'000;  // how long it may be delivered at all
-  Effect effect = Effect::safe;
+  Idempotency idempotency = Idempotency::idempotent;
   KeyGroup group = KeyGroup::all;
   Microseconds key_window = 0;  // keyed: how long a destination remembers the key
   bool ordered = false;         // messages with the same order key go one at a time
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -51,8 +51,9 @@
   options.memory_bytes = c.memory_bytes;
   options.remembers = [&c](const Message& m) {
     const auto cls = c.names.classes.find(m.message_class);
-    return cls == c.names.classes.end() || c.settings.classes[static_cast<std::size_t>(cls->second)].effect !=
-                                               heronvane::dispatch::Effect::safe;
+    return cls == c.names.classes.end() ||
+           c.settings.classes[static_cast<std::size_t>(cls->second)].idempotency !=
+               heronvane::dispatch::Idempotency::idempotent;
   };
   options.vital_facts = drain_facts();
   options.log = log;
--- a/relay/relay_copies.cpp
+++ b/relay/relay_copies.cpp
@@ -59,8 +59,8 @@
       const Held* const own = known == numbers_.end() ? nullptr : store_.find(known->second);
       const auto cls = config_.names.classes.find(held.message.message_class);
       const bool unsafe = cls == config_.names.classes.end() ||
-                          config_.settings.classes[static_cast<std::size_t>(cls->second)].effect !=
-                              heronvane::dispatch::Effect::safe;
+                          config_.settings.classes[static_cast<std::size_t>(cls->second)].idempotency !=
+                              heronvane::dispatch::Idempotency::idempotent;
       if (own != nullptr && unsafe && held.may_have_run() && !own->ending) in_doubt.push_back(known->second);
       continue;
     }
--- a/src/dispatcher.cpp
+++ b/src/dispatcher.cpp
@@ -694,7 +694,7 @@
     Message& m = messages.at(ev.message.id);
     m.sends = ev.attempts;
     m.may_ran_zone = ev.may_have_run_zone, m.may_ran_sent = now - ev.may_have_run_ago;
-    const bool barred = m.cls->effect == Effect::unsafe && m.may_ran_zone;
+    const bool barred = m.cls->idempotency == Idempotency::non_idempotent && m.may_ran_zone;
     if (!barred && m.sends < set.attempts_max && now < latest_send(m)) return owe(m, !ev.tried);
     finish(m, false);
     forget(messages.find(m.id));
@@ -731,8 +731,8 @@
     return 1;
   }
   bool may_refuse(const Message& m) const {
-    if (m.cls->effect == Effect::safe) return true;
-    if (m.cls->effect == Effect::keyed && m.cls->group == KeyGroup::all) return true;
+    if (m.cls->idempotency == Idempotency::idempotent) return true;
+    if (m.cls->idempotency == Idempotency::keyed && m.cls->group == KeyGroup::all) return true;
     return m.out.empty() && !m.may_ran_zone;
   }
   // For want of room. What an earlier life took on is tried first: what comes in now waits or is refused.
@@ -860,7 +860,7 @@
       // A retry waits the jittered D; one that would come too late, or may not be made, ends here.
       const double d = std::max(delay_now(target_of(e)), kLeast * unit);
       m.ready = now + micros(jittered(d));
-      const bool barred = m.cls->effect == Effect::unsafe && m.may_ran_zone;
+      const bool barred = m.cls->idempotency == Idempotency::non_idempotent && m.may_ran_zone;
       if (barred || m.sends >= set.attempts_max || m.ready >= latest_send(m)) finish(m, false);
     }
     forget(it);
@@ -869,7 +869,7 @@
   Microseconds latest_send(const Message& m) const {
     // Guards against ends that are told too late: a stall of a few rounds just before the deadline.
     Microseconds t = m.deadline - std::max(2 * set.tick, micros(kLeastLeft * shortest_aim));
-    if (m.cls->effect == Effect::keyed && m.may_ran_zone) t = std::min(t, key_end(m));
+    if (m.cls->idempotency == Idempotency::keyed && m.may_ran_zone) t = std::min(t, key_end(m));
     return t;
   }
   // Until when the destination surely knows the key of a message that may have run, for a call that is
@@ -886,7 +886,7 @@
   bool passes(Message& m, EndpointState& e, Gate& gate) {
     Microseconds& when = gate.when;
     if (e.info.listing != Listing::active) return false;
-    const bool keyed_by_zone = m.cls->effect == Effect::keyed && m.cls->group == KeyGroup::zone;
+    const bool keyed_by_zone = m.cls->idempotency == Idempotency::keyed && m.cls->group == KeyGroup::zone;
     if (keyed_by_zone && m.may_ran_zone && e.info.zone != *m.may_ran_zone) return false;
     Target& t = target_of(e);
     const bool own_try = m.owed && !perhaps_shut(t);  // else by the share that is let through
@@ -898,7 +898,8 @@
     // Its health changes with time, whatever else keeps messages from it.
     if (e.health != Health::open) when = std::min(when, e.since + health_span());
     if (ready > now) return when = std::min(when, ready), false;
-    if (e.health == Health::closed && m.cls->effect == Effect::unsafe && e.doubt_run && now < m.aim) {
+    if (e.health == Health::closed && m.cls->idempotency == Idempotency::non_idempotent && e.doubt_run &&
+        now < m.aim) {
       // A trial call that may be lost is no place for a message that can't be repeated.
       return gate.own = true, when = std::min(when, m.aim), false;
     }
@@ -906,8 +907,10 @@
     return !own_try || e.health != Health::open || try_comes(m, t, gate);
   }
   Waiting::LaneKey lane_of(const Message& m) const {
-    const bool one_zone = m.cls->effect == Effect::keyed && m.cls->group == KeyGroup::zone && m.may_ran_zone;
-    return {m.destination, one_zone ? *m.may_ran_zone : -1, m.cls->effect == Effect::unsafe, m.owed};
+    const bool one_zone =
+        m.cls->idempotency == Idempotency::keyed && m.cls->group == KeyGroup::zone && m.may_ran_zone;
+    return {m.destination, one_zone ? *m.may_ran_zone : -1, m.cls->idempotency == Idempotency::non_idempotent,
+            m.owed};
   }
   bool room_in_call(const EndpointState& e) const {
     if (e.open_call == 0) return false;
@@ -980,13 +983,13 @@
     waiting.remove(m);
     touch(m, m.id);
     owe(m, false);
-    const bool unsafe = m.cls->effect == Effect::unsafe;
+    const bool unsafe = m.cls->idempotency == Idempotency::non_idempotent;
     const double aims = seconds(m.cls->aim) * (unsafe ? kUnsafeTimeoutAims : kSafeTimeoutAims);
     const Microseconds timeout =
         std::min(micros(std::max(aims, kTimeoutTimes * e.latency)), m.deadline - now);
     m.out[m.sends++] = e.open_call;
     action::Send a{m.id, e.info.id, timeout, {}};
-    if (m.cls->effect == Effect::keyed && m.may_ran_zone) a.begin_within = key_end(m) - now;
+    if (m.cls->idempotency == Idempotency::keyed && m.may_ran_zone) a.begin_within = key_end(m) - now;
     out->push_back(std::move(a));
   }
 
@@ -997,7 +1000,8 @@
   void give_up(Message& m, bool slots_short) {
     const auto [attempt, call_id] = *m.out.begin();
     const Call& call = calls[call_id];
-    const bool unsafe = m.cls->effect == Effect::unsafe, overtaken = call.sent < call.endpoint->served_sent;
+    const bool unsafe = m.cls->idempotency == Idempotency::non_idempotent,
+               overtaken = call.sent < call.endpoint->served_sent;
     const bool silent = call.sent >= call.endpoint->served_at;  // answers to earlier calls: slow, at work
     if (m.gave_up == attempt || !(overtaken || (slots_short && silent))) return;
     const double least = unsafe ? seconds(m.cls->aim) : 0;
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -17,13 +17,21 @@
 
 inline Settings plain() {
   Settings s;
-  s.classes = {{.worth = 1, .late_worth = 0, .aim = 1 * kS, .deadline = 6 * kS, .effect = Effect::safe},
-               {.worth = 3, .late_worth = 0.3, .aim = 2 * kS, .deadline = 20 * kS, .effect = Effect::unsafe},
+  s.classes = {{.worth = 1,
+                .late_worth = 0,
+                .aim = 1 * kS,
+                .deadline = 6 * kS,
+                .idempotency = Idempotency::idempotent},
+               {.worth = 3,
+                .late_worth = 0.3,
+                .aim = 2 * kS,
+                .deadline = 20 * kS,
+                .idempotency = Idempotency::non_idempotent},
                {.worth = 1,
                 .late_worth = 0.3,
                 .aim = 2 * kS,
                 .deadline = 20 * kS,
-                .effect = Effect::keyed,
+                .idempotency = Idempotency::keyed,
                 .key_window = 5 * kS}};
   s.kinds = {{}};
   s.slots = 16;
--- a/tests/policy/random_stream.cpp
+++ b/tests/policy/random_stream.cpp
@@ -19,7 +19,7 @@
     c.late_worth = chance(30) ? 0 : chance(10) ? 1 : static_cast<double>(roll(9)) / 10;
     c.aim = static_cast<Microseconds>(100 + roll(1'500)) * kMs;
     c.deadline = chance(10) ? c.aim : c.aim + static_cast<Microseconds>(roll(6'000)) * kMs;
-    c.effect = static_cast<Effect>(roll(3));
+    c.idempotency = static_cast<Idempotency>(roll(3));
     c.group = static_cast<KeyGroup>(roll(3));
     c.key_window = static_cast<Microseconds>(1 + roll(5)) * kS;
     c.ordered = chance(30);
