--- a/include/heronvane/dispatch/dispatcher.hpp
+++ b/include/heronvane/dispatch/dispatcher.hpp
@@ -107,7 +107,9 @@
   Microseconds since = 0;
 };
 
-enum class Health { open, closed, ramp };  // ramp: back after an outage, perhaps still cold
+// ejected: gets health checks by single requests alone; slow_start: back after an outage, perhaps still
+// warming up.
+enum class Health { healthy, ejected, slow_start };
 
 // What was learned of an endpoint, and of the target it belongs to: its destination, or the route itself
 // where routes are apart. The default is what is known of a target never called. Times are reckoned from
@@ -116,7 +118,7 @@
   EndpointId endpoint;
   DestinationId destination = 0;
   // The endpoint. What follows its health is meant only where it is not open.
-  Health health = Health::open;
+  Health health = Health::healthy;
   Microseconds health_age = 0;  // in it, or closed anew, for so long
   double usual_rate = 0;        // calls a second of this relay before the trouble
   double budget = 0;            // calls allowed at once, 0 to 1
@@ -134,7 +136,7 @@
 
   // Nothing is known that is worth keeping: a store can drop its record.
   bool blank() const {
-    return health == Health::open && wait_left <= 0 && delay <= 0 && pace <= 0 && let_through >= 1;
+    return health == Health::healthy && wait_left <= 0 && delay <= 0 && pace <= 0 && let_through >= 1;
   }
 };
 
--- a/relay/core/status.cpp
+++ b/relay/core/status.cpp
@@ -42,11 +42,11 @@
 }
 const char* name(Health h) {
   switch (h) {
-    case Health::open:
+    case Health::healthy:
       return "open";
-    case Health::closed:
+    case Health::ejected:
       return "closed";
-    case Health::ramp:
+    case Health::slow_start:
       return "ramp";
   }
   return "";
--- a/relay/core/target_memory.cpp
+++ b/relay/core/target_memory.cpp
@@ -42,7 +42,8 @@
   in >> form >> t.learned >> m.destination >> health >> m.health_age >> m.usual_rate >> m.budget >>
       m.fail_run >> m.fail_share >> m.doubt >> m.bundle >> m.wait_left >> m.delay >> m.pace >> m.refusals >>
       m.refused_age >> m.let_through;
-  if (!in || form != kForm || health < 0 || health > static_cast<int>(Health::ramp)) return std::nullopt;
+  if (!in || form != kForm || health < 0 || health > static_cast<int>(Health::slow_start))
+    return std::nullopt;
   m.endpoint = endpoint;
   m.health = static_cast<Health>(health);
   return t;
--- a/src/dispatcher.cpp
+++ b/src/dispatcher.cpp
@@ -280,14 +280,14 @@
     trials_out += e.trials;
   }
   void close(EndpointState& e, const char* why) {
-    if (e.health == Health::open) {
+    if (e.health == Health::healthy) {
       // Each relay starts anywhere between two of its trials, else those of many would come together.
       e.usual_rate = std::max(e.asked.at(now), kLeastCalls / set.relays), e.budget = uniform(),
       e.budget_at = now;
     }
     save_budget(e);
-    if (e.health != Health::closed) log("closed " + e.info.id + ": " + why), give_by(e, now);
-    e.health = Health::closed;
+    if (e.health != Health::ejected) log("closed " + e.info.id + ": " + why), give_by(e, now);
+    e.health = Health::ejected;
     e.since = now;
     e.next_trial = now + trial_gap(e);
     count_trials(e);
@@ -303,7 +303,7 @@
     const double usual = std::max(e.usual_rate, 1e-9);
     // Not served since: perhaps it returned only now, so no more than was asked of it before, backlog or not.
     const double most = on_trial(e) ? usual : kUnbounded, full = usual * set.fall_multiple * ramp_share();
-    if (e.health != Health::ramp) return Growth(full, most, set.cold_from, 0);
+    if (e.health != Health::slow_start) return Growth(full, most, set.cold_from, 0);
     const double rise = (1 - set.cold_from) / seconds(health_span());
     return Growth(full, most, std::min(1.0, set.cold_from + rise * seconds(e.budget_at - e.since)), rise);
   }
@@ -311,15 +311,15 @@
     return std::min(1.0, e.budget + growth(e).after(seconds(now - e.budget_at)));
   }
   void save_budget(EndpointState& e) {  // before anything changes that its growth hangs on
-    if (e.health != Health::open) e.budget = budget_now(e), e.budget_at = now;
+    if (e.health != Health::healthy) e.budget = budget_now(e), e.budget_at = now;
   }
   Microseconds budget_ready(EndpointState& e) {
-    if (e.health == Health::open) return now;
+    if (e.health == Health::healthy) return now;
     if (now >= e.since + health_span()) {
       save_budget(e);
       // The ramp comes after trials too that the budget never allowed: held messages must not go all at once.
-      const bool warm = e.health == Health::ramp;
-      e.health = warm ? Health::open : Health::ramp, e.since = now;
+      const bool warm = e.health == Health::slow_start;
+      e.health = warm ? Health::healthy : Health::slow_start, e.since = now;
       // A trial call that this frees is for the next round: which message comes first was settled without it.
       if (warm) e.fail_run = 0, e.fail_share = 0, warmed.push_back(&e);
       log((warm ? "warm " : "forgotten ") + e.info.id);
@@ -329,7 +329,7 @@
     Microseconds ready = e.budget_at;
     if (e.budget < 1)
       ready = std::min(e.since + health_span(), e.budget_at + micros(growth(e).until(1 - e.budget)) + 1);
-    return e.health == Health::closed ? std::max(ready, e.next_trial) : ready;
+    return e.health == Health::ejected ? std::max(ready, e.next_trial) : ready;
   }
 
   void call_served(EndpointState& e, Microseconds sent, Microseconds latency) {
@@ -345,11 +345,11 @@
     e.usual += kUsualGain * (seconds(latency) - e.usual);
     e.fail_share *= 1 - kFailMemory;
     delay_down(t), pace_raise(t);
-    if (e.health == Health::closed) {
+    if (e.health == Health::ejected) {
       // Closed on overdue calls alone and they came after all: slow, not out, so nothing is cold.
-      e.health = e.fail_run == 0 && e.fail_share < kMostFail / 2 ? Health::open : Health::ramp;
+      e.health = e.fail_run == 0 && e.fail_share < kMostFail / 2 ? Health::healthy : Health::slow_start;
       e.since = e.budget_at = now;
-      log((e.health == Health::open ? "slow " : "ramp ") + e.info.id);
+      log((e.health == Health::healthy ? "slow " : "ramp ") + e.info.id);
       give_by(e, now);
     }
     for (; e.strays > 0; e.strays--) stray_share += kStrayGain * (1 - stray_share);
@@ -364,15 +364,15 @@
     delay_up(t);
     learn_refusal(t, 0);
     if (t.refusals++ == 0) t.refused_from = now;
-    if (e.health != Health::closed) pace_cut(t), cut_through(t, e, true);
+    if (e.health != Health::ejected) pace_cut(t), cut_through(t, e, true);
     e.doubt_run = false;
     // Shut, not limited: nothing was served between the refusals.
     const bool shut = t.refusals >= kShutRun && now - t.refused_from >= micros(kShutSpan);
-    if (!shut && e.health == Health::open) return;
+    if (!shut && e.health == Health::healthy) return;
     e.fail_run = std::max(e.fail_run, 1);
-    if (e.apart) return shut || e.health == Health::closed ? close(e, "refuses all") : void();
+    if (e.apart) return shut || e.health == Health::ejected ? close(e, "refuses all") : void();
     for (auto* other : destination_of(e.info.destination).endpoints)
-      if (shut || other->health == Health::closed)
+      if (shut || other->health == Health::ejected)
         save_budget(*other), other->fail_run++, close(*other, "refuses all");
   }
   // Where this relay calls seldom, fewer signs must do, else each relay's would come too late.
@@ -389,7 +389,7 @@
     delay_up(target_of(e));
     save_budget(e);
     if (ev.outcome == Outcome::connect_failed && e.fail_run == 0 && !e.calls.empty() && overdue(e) == 0 &&
-        e.health == Health::open) {
+        e.health == Health::healthy) {
       // Connects fail while calls are out and answered: its table of connections may be full.
       e.call_cap = std::max<int>(1, static_cast<int>(e.calls.size()));
       e.capped_at = now;
@@ -411,9 +411,9 @@
     // stray failure: under a limit of calls, small bundles would starve the rest.
     if (chance == 1 || e.fail_run > 1) e.bundle = std::max(1, std::min(e.bundle, taken) / 2);
     const int few = std::max({signs_needed(e), ev.outcome == Outcome::error ? 2 : 1, chance});
-    const int run = e.health == Health::open   ? std::max(kCloseRun, chance)
-                    : e.health == Health::ramp ? std::max(kCloseRun - 1, chance)
-                                               : 1;
+    const int run = e.health == Health::healthy      ? std::max(kCloseRun, chance)
+                    : e.health == Health::slow_start ? std::max(kCloseRun - 1, chance)
+                                                     : 1;
     const double most_fail = kMostFail + (chance > 1 ? stray_share : 0);
     if (e.fail_run >= few || e.fail_run + overdue(e) >= run || e.fail_share > most_fail)
       close(e, ev.outcome == Outcome::connect_failed ? "no connection"
@@ -451,7 +451,7 @@
   // Called after each outcome: nearly always there is nothing to give, or it is due already.
   void give_later(EndpointState& e) {
     const Target& t = target_of(e);
-    const bool known = t.delay > 0 || kept_pace(t) > 0 || t.let_through < 1 || e.health != Health::open;
+    const bool known = t.delay > 0 || kept_pace(t) > 0 || t.let_through < 1 || e.health != Health::healthy;
     if (known || t.given_known) give_by(e, std::max(now, t.looked_at + micros(kGiveGap)));
   }
   double kept_pace(const Target& t) const { return t.pace < kMootPace * set.slots ? t.pace : 0; }
@@ -468,7 +468,8 @@
     m.refusals = t.refusals;
     if (t.refusals > 0) m.refused_age = now - t.refused_from;
     // A ramp that is over is noticed with the next message only.
-    if (e.health == Health::open || (e.health == Health::ramp && now >= e.since + health_span())) return m;
+    if (e.health == Health::healthy || (e.health == Health::slow_start && now >= e.since + health_span()))
+      return m;
     m.health = e.health, m.health_age = now - e.since, m.usual_rate = e.usual_rate;
     m.budget = std::clamp(budget_now(e), 0.0, 1.0);
     m.fail_run = e.fail_run, m.fail_share = e.fail_share, m.doubt = e.doubt_run, m.bundle = e.bundle;
@@ -482,19 +483,20 @@
     const double let_then = std::min(1.0, g.let_through * std::exp(kPaceRaise * seconds(now - g.at)));
     const bool changed = m.blank() || !g.known
                              ? m.blank() == g.known
-                             : (m.health != Health::open && e.since != g.since) || m.refusals != g.refusals ||
+                             : (m.health != Health::healthy && e.since != g.since) ||
+                                   m.refusals != g.refusals ||
                                    differs(m.delay, aged_delay(g.delay, now - g.at)) ||
                                    differs(m.pace, g.pace) || differs(m.let_through, let_then);
     return changed ? std::max(now, g.at + micros(kGiveGap)) : kNever;
   }
   // When what was given of the endpoint is over with time alone; kNever where it takes more than that.
   Microseconds over_at(const EndpointState& e, const Target& t) const {
-    if (!e.given.known || e.health == Health::closed || kept_pace(t) > 0) return kNever;
+    if (!e.given.known || e.health == Health::ejected || kept_pace(t) > 0) return kNever;
     Microseconds at = std::max(t.wait_until, now);
     if (const double d = kept_delay(delay_now(t)); d > 0)
       at = std::max(at, now + micros(std::log2(d / (kLeast * unit)) * kAgingHalfLife * unit));
     at = std::max(at, now + micros(-std::log(let_through(t)) / kPaceRaise));
-    if (e.health == Health::ramp) at = std::max(at, e.since + health_span());
+    if (e.health == Health::slow_start) at = std::max(at, e.since + health_span());
     return at + 1'000;  // rounded up
   }
   std::vector<TargetMemory> learned(Microseconds at, std::size_t most) {
@@ -541,7 +543,7 @@
       for (const EndpointState* e : d.endpoints) {
         if (e->info.listing == Listing::gone || e->info.destination != id) continue;
         const Target& t = e->apart ? e->own : d.target;
-        const bool blank = e->health == Health::open && t.wait_until <= at && t.delay == 0 &&
+        const bool blank = e->health == Health::healthy && t.wait_until <= at && t.delay == 0 &&
                            t.pace == kUnbounded && t.let_through >= 1;
         if (known.size() >= (blank ? most : 4 * most)) continue;
         TargetMemory& m = known.emplace_back(memory_of(*e, t));
@@ -580,8 +582,8 @@
         t.tokens = 0, t.tokens_at = t.raise_at = now;
       }
     }
-    const bool known = m.health == Health::closed || m.health == Health::ramp;
-    if (known && !e.heard && e.health == Health::open && e.fail_run == 0) {
+    const bool known = m.health == Health::ejected || m.health == Health::slow_start;
+    if (known && !e.heard && e.health == Health::healthy && e.fail_run == 0) {
       e.health = m.health;
       e.usual_rate = within(0.0, m.usual_rate, 1e9);
       e.fail_run = within(0, m.fail_run, 1'000), e.fail_share = within(0.0, m.fail_share, 1.0);
@@ -589,8 +591,9 @@
       if (m.bundle > 0) e.bundle = std::min(m.bundle, e.bundle_max);
       // It warms up whoever calls. But none made trials that would have kept it closed; and it may have been
       // closed anew within the gap before the end.
-      e.since = m.health == Health::ramp ? written - health_age
-                                         : now - std::max<Microseconds>(0, health_age - micros(kGiveGap));
+      e.since = m.health == Health::slow_start
+                    ? written - health_age
+                    : now - std::max<Microseconds>(0, health_age - micros(kGiveGap));
       // No more than it could have grown to, and spread as in close().
       e.budget = within(0.0, m.budget, 1.0), e.budget_at = written;
       e.budget = std::min(uniform(), budget_now(e)), e.budget_at = now;
@@ -627,8 +630,8 @@
     // A new endpoint of a destination that is out or returning is no way around its siblings' state.
     const EndpointState* model = nullptr;
     for (const auto* other : siblings)
-      if (model == nullptr || other->health == Health::open) model = other;
-    if (model != nullptr && !e.apart && model->health != Health::open) {
+      if (model == nullptr || other->health == Health::healthy) model = other;
+    if (model != nullptr && !e.apart && model->health != Health::healthy) {
       e.health = model->health, e.since = model->since, e.usual_rate = model->usual_rate;
       e.budget_at = now, e.next_trial = now, e.budget = uniform();
       give_by(e, now);
@@ -778,7 +781,7 @@
     list_changed = false;
     for (auto it = gone.begin(); it != gone.end();) {
       EndpointState& e = endpoints.at(*it);
-      const bool known = e.health != Health::open && now < e.since + health_span();
+      const bool known = e.health != Health::healthy && now < e.since + health_span();
       if (!e.calls.empty() || known || e.own.wait_until > now) {
         ++it;
         continue;
@@ -896,15 +899,15 @@
     if (calls.size() >= static_cast<std::size_t>(set.slots)) return false;
     const Microseconds ready = std::max(budget_ready(e), pace_ready(t));
     // Its health changes with time, whatever else keeps messages from it.
-    if (e.health != Health::open) when = std::min(when, e.since + health_span());
+    if (e.health != Health::healthy) when = std::min(when, e.since + health_span());
     if (ready > now) return when = std::min(when, ready), false;
-    if (e.health == Health::closed && m.cls->idempotency == Idempotency::non_idempotent && e.doubt_run &&
+    if (e.health == Health::ejected && m.cls->idempotency == Idempotency::non_idempotent && e.doubt_run &&
         now < m.aim) {
       // A trial call that may be lost is no place for a message that can't be repeated.
       return gate.own = true, when = std::min(when, m.aim), false;
     }
     if (static_cast<int>(e.calls.size()) >= call_limit(e)) return gate.trial |= on_trial(e), false;
-    return !own_try || e.health != Health::open || try_comes(m, t, gate);
+    return !own_try || e.health != Health::healthy || try_comes(m, t, gate);
   }
   Waiting::LaneKey lane_of(const Message& m) const {
     const bool one_zone =
@@ -931,14 +934,14 @@
     if (e.call_cap > 0) limit = std::min<double>(limit, e.call_cap);
     return std::max(1, static_cast<int>(limit));
   }
-  bool on_trial(const EndpointState& e) const { return e.health != Health::open && e.fail_run > 0; }
+  bool on_trial(const EndpointState& e) const { return e.health != Health::healthy && e.fail_run > 0; }
   bool trial_free() const { return static_cast<double>(trials_out) < std::max(1.0, kTrialSlots * set.slots); }
   // Cheaper first: shorter expected wait there, its fee, the distance.
   double price(const EndpointState& e) const {
     const auto zone = static_cast<std::size_t>(e.info.zone);
     const double fee = e.apart && zone < set.zone_fees.size() ? set.zone_fees[zone] : 0;
     const double load = static_cast<double>(e.calls.size()) + 1 + e.fail_run;
-    return load * e.latency * (e.health == Health::ramp ? 2 : 1) * (1 + fee) +
+    return load * e.latency * (e.health == Health::slow_start ? 2 : 1) * (1 + fee) +
            (e.info.zone == set.zone ? 0 : 0.02);
   }
   bool try_send(Message& m, Gate& gate) {
@@ -954,7 +957,7 @@
     }
     if (best == nullptr) return false;
     Target& t = target_of(*best);
-    const bool by_share = best->health == Health::open && !(m.owed && !perhaps_shut(t));
+    const bool by_share = best->health == Health::healthy && !(m.owed && !perhaps_shut(t));
     gate.chance = !room_in_call(*best) && by_share && !let(t);
     // Another route may take it in the next round.
     if (gate.chance && destination->second.endpoints.size() > 1) wake_by(now);
@@ -970,12 +973,12 @@
       e.calls.push_back({e.open_call, now});
       count_trials(e);
       if (e.bundle > 1) share_call(m, e);
-      if (e.health == Health::open && m.sends == 0) e.asked.add(now);
+      if (e.health == Health::healthy && m.sends == 0) e.asked.add(now);
       e.use_gap += kGapGain * (std::min(seconds(now - e.used_at), kMostGap) - e.use_gap);
       e.used_at = now;
       if (t.pace != kUnbounded) save_tokens(t), t.tokens -= 1;
-      if (e.health != Health::open) save_budget(e), e.budget -= 1;
-      if (e.health == Health::closed) e.next_trial = now + trial_gap(e);
+      if (e.health != Health::healthy) save_budget(e), e.budget -= 1;
+      if (e.health == Health::ejected) e.next_trial = now + trial_gap(e);
       if (overdue(e) > 0) drop_idle(e);
     }
     Call& call = calls[e.open_call];
--- a/src/state.hpp
+++ b/src/state.hpp
@@ -44,7 +44,7 @@
 struct Given {  // what a store holds of an endpoint
   bool known = false;
   Microseconds at = -kNever;
-  Health health = Health::open;
+  Health health = Health::healthy;
   Microseconds since = 0, wait_until = 0;
   double delay = 0, pace = 0, let_through = 1;
   int refusals = 0;
@@ -81,7 +81,7 @@
   bool idle_closed = false;                     // idle connections were dropped in this spell
   double use_gap = 0;                           // between calls, in the mean
   Microseconds used_at = -kNever;               // last time a call began or ended
-  Health health = Health::open;
+  Health health = Health::healthy;
   double usual_rate = 0;   // served calls a second before the trouble
   Microseconds since = 0;  // of the present health
   double budget = 0;       // calls allowed while closed or in the ramp
--- a/tests/kept_test.cpp
+++ b/tests/kept_test.cpp
@@ -126,7 +126,8 @@
 
 TEST(TargetMemory, IsReadAsItWasWritten) {
   heronvane::dispatch::TargetMemory m;
-  m.endpoint = "s 1", m.destination = -7, m.health = Health::ramp, m.health_age = 5, m.usual_rate = 0.125;
+  m.endpoint = "s 1", m.destination = -7, m.health = Health::slow_start, m.health_age = 5,
+  m.usual_rate = 0.125;
   m.budget = 0.5, m.fail_run = 3, m.fail_share = 0.25, m.doubt = true, m.bundle = 4, m.wait_left = 1'000'000;
   m.delay = 0.75, m.pace = 12.5, m.refusals = 2, m.refused_age = 9, m.let_through = 0.5;
   const auto text = write_target(m, kNow);
@@ -156,7 +157,7 @@
 // Of endpoints that went while no relay ran nobody would ever drop it.
 TEST(TargetMemory, WhatWasNotSeenForAWeekIsOutdated) {
   heronvane::dispatch::TargetMemory m;
-  m.health = Health::closed;
+  m.health = Health::ejected;
   const auto text = write_target(m, kNow);
   const std::map<std::string, std::string> facts = {{target_key("a"), text}, {target_key("b"), "what"}};
   const RecalledTargets soon(facts, {true, true}, kNow + 7 * 24 * kHour);
--- a/tests/memory_test.cpp
+++ b/tests/memory_test.cpp
@@ -110,7 +110,7 @@
       store.keep(r.learned(kAll));
       ASSERT_EQ(store.records.count("a"), 1u);
       const TargetMemory m = store.records["a"];
-      EXPECT_EQ(m.health, Health::closed);
+      EXPECT_EQ(m.health, Health::ejected);
       EXPECT_NEAR(m.usual_rate, 20, 5);
       EXPECT_GT(m.fail_run, 0);
       const auto add = [](Return& sum, const Return& x) {
@@ -173,7 +173,7 @@
     Store store;
     store.keep(r.learned(kAll));
     ASSERT_EQ(store.records.count("a"), 1u);
-    ASSERT_EQ(store.records["a"].health, Health::ramp);
+    ASSERT_EQ(store.records["a"].health, Health::slow_start);
     EXPECT_GT(store.records["a"].health_age, 500 * kMs);
     Relay again = reborn(r, brief(8 * kS), one(), store.events()),
           fresh = reborn(r, brief(8 * kS), one(), {});
@@ -262,7 +262,7 @@
 
 TargetMemory closed(const EndpointId& id) {
   TargetMemory m;
-  m.endpoint = id, m.destination = 1, m.health = Health::closed, m.health_age = 1 * kS;
+  m.endpoint = id, m.destination = 1, m.health = Health::ejected, m.health_age = 1 * kS;
   m.usual_rate = 20, m.fail_run = 3, m.delay = 1.5, m.pace = 2;
   return m;
 }
@@ -407,10 +407,10 @@
     for (const auto& m : r.learned(kAll))
       if (seen.empty() || seen.back() != m.health) seen.push_back(m.health);
   }
-  if (!seen.empty() && seen.front() == Health::open) seen.erase(seen.begin());
+  if (!seen.empty() && seen.front() == Health::healthy) seen.erase(seen.begin());
   ASSERT_GE(seen.size(), 2u);
-  EXPECT_EQ(seen[0], Health::closed);
-  EXPECT_EQ(seen[1], Health::ramp);
+  EXPECT_EQ(seen[0], Health::ejected);
+  EXPECT_EQ(seen[1], Health::slow_start);
 }
 TEST(Learned, AChangeOfHealthIsGivenInItsRound) {
   Relay r;
@@ -421,7 +421,7 @@
     if (r.out.empty()) r.arrive(kSafe), r.run_to(r.now + 10 * kMs);
     if (!r.out.empty()) r.end(r.out.front().id, Outcome::connect_failed);
     const bool now_closed = r.logged("closed a");
-    for (const auto& m : r.learned(kAll)) closed_seen |= m.health == Health::closed;
+    for (const auto& m : r.learned(kAll)) closed_seen |= m.health == Health::ejected;
     ASSERT_EQ(closed_seen, now_closed);
   }
   EXPECT_TRUE(closed_seen);
