--- a/adapter/codec.cpp
+++ b/adapter/codec.cpp
@@ -21,7 +21,7 @@
     case 20:
       return Outcome::error;
     case 30:
-      return Outcome::full;
+      return Outcome::rejected;
     case 40:
       return Outcome::timeout;
     case 50:
@@ -37,13 +37,13 @@
   }
 }
 
-Report read_report(const Value& event, const std::string& path) {
-  Report r;
+LoadReport read_report(const Value& event, const std::string& path) {
+  LoadReport r;
   const Value* v = find(event, "HealthInfo");
   if (v == nullptr) return r;
   const std::string where = path + ".HealthInfo";
   as_object(*v, where);
-  r.limit_left = get(*v, "x0", where, as_number, -1.0);
+  r.limit_remaining = get(*v, "x0", where, as_number, -1.0);
   r.limit_rate = get(*v, "x1", where, as_number, -1.0);
   return r;
 }
@@ -58,8 +58,8 @@
       id(w, a.id), text(w, "Endpoint", a.endpoint), number(w, "GiveUpAfter", a.timeout);
     });
   }
-  void operator()(const action::Refuse& a) {
-    line("BUSY", [&](Writer& w) { id(w, a.id), number(w, "ComeBack", a.come_back); });
+  void operator()(const action::Reject& a) {
+    line("BUSY", [&](Writer& w) { id(w, a.id), number(w, "ComeBack", a.retry_after); });
   }
   void operator()(const action::Fail& a) {
     line("END_FAILED", [&](Writer& w) { id(w, a.id); });
@@ -73,17 +73,17 @@
   void operator()(const action::SetTimer& a) {
     line("SLEEP", [&](Writer& w) { number(w, "After", a.after), w.Key("Tag"), w.Uint64(a.token); });
   }
-  void operator()(const action::FetchList&) {
+  void operator()(const action::PollEndpointList&) {
     line("QUERY_ALL", [](Writer&) {});
   }
   void operator()(const action::Subscribe& a) {
     line("FOLLOW", [&](Writer& w) { w.Key("Active"), w.Bool(a.on); });
   }
-  void operator()(const action::Probe& a) {
+  void operator()(const action::CheckHealth& a) {
     line("SOUND_OUT", [&](Writer& w) { text(w, "Endpoint", a.endpoint); });
   }
-  void operator()(const action::TellPeer& a) {
-    line("BROADCAST_TO", [&](Writer& w) { number(w, "Whom", a.whom), text(w, "Body", a.body); });
+  void operator()(const action::SendGossip& a) {
+    line("BROADCAST_TO", [&](Writer& w) { number(w, "Whom", a.peer), text(w, "Body", a.body); });
   }
   void operator()(const action::Log& a) {
     line("PRINT", [&](Writer& w) { text(w, "Msg", a.text); });
@@ -187,7 +187,7 @@
 
   Event sync(const Value& v, const std::string& path, const Tables& tables) {
     const std::string how = get(v, "How", path, as_text);
-    if (how == "X") return event::ListFailed{};
+    if (how == "X") return event::EndpointListFailed{};
     const auto it = pools.find(get(v, "RosterId", path, as_integer));
     if (it == pools.end()) malformed(path + ".RosterId", "no such POOL was given");
     std::vector<Endpoint> list;
@@ -196,16 +196,16 @@
       list.back().zone = position(tables.zones, entry.zone);
       list.back().kind = position(tables.kinds, entry.kind);
     }
-    if (how == "D") return event::ListChanges{std::move(list)};
-    if (how == "F") return event::ListWhole{std::move(list), false};
-    if (how == "C") return event::ListWhole{std::move(list), true};
+    if (how == "D") return event::EndpointListUpdate{std::move(list)};
+    if (how == "F") return event::EndpointListSnapshot{std::move(list), false};
+    if (how == "C") return event::EndpointListSnapshot{std::move(list), true};
     malformed(path + ".How", ("unknown word '" + how + "'").c_str());
   }
 
   Event read_event(const std::string& kind, const Value& v, const Tables& tables) {
     if (kind == "SYNC") return sync(v, kind, tables);
     if (kind == "KNOCK") {
-      event::Arrival e;
+      event::RequestArrived e;
       e.id = get(v, "Rid", kind, as_natural);
       e.destination = get(v, "Dest", kind, as_integer);
       const std::string cls = get(v, "TierClass", kind, as_text);
@@ -226,18 +226,19 @@
       e.endpoint = get(v, "Endpoint", kind, as_text);
       e.outcome = get(v, "Result", kind, read_outcome);
       e.latency = get(v, "DelaySeen", kind, as_span, 0);
-      e.closed = get(v, "Closed", kind, as_bool, false);
-      if (e.outcome == Outcome::full) e.told_wait = get(v, "RemarkMs", kind, as_span_ms, 0);
-      e.report = read_report(v, kind);
+      e.request_completed = get(v, "Closed", kind, as_bool, false);
+      if (e.outcome == Outcome::rejected) e.retry_after = get(v, "RemarkMs", kind, as_span_ms, 0);
+      e.load_report = read_report(v, kind);
       return e;
     }
-    if (kind == "HANGUP") return event::Withdrawn{get(v, "Rid", kind, as_natural)};
-    if (kind == "REMINDER") return event::TimerDue{get(v, "Tag", kind, as_natural)};
+    if (kind == "HANGUP") return event::RequestWithdrawn{get(v, "Rid", kind, as_natural)};
+    if (kind == "REMINDER") return event::TimerExpired{get(v, "Tag", kind, as_natural)};
     if (kind == "ECHO") {
-      return event::ProbeEnded{get(v, "Endpoint", kind, as_text), get(v, "Result", kind, read_outcome),
-                               get(v, "DelaySeen", kind, as_span, 0), read_report(v, kind)};
+      return event::HealthCheckEnded{get(v, "Endpoint", kind, as_text), get(v, "Result", kind, read_outcome),
+                                     get(v, "DelaySeen", kind, as_span, 0), read_report(v, kind)};
     }
-    if (kind == "HEARD") return event::PeerNote{get(v, "From", kind, as_int), get(v, "Body", kind, as_text)};
+    if (kind == "HEARD")
+      return event::GossipReceived{get(v, "From", kind, as_int), get(v, "Body", kind, as_text)};
     malformed(kind, "unknown message kind");
   }
 
--- a/bench/scale/module_bench.cpp
+++ b/bench/scale/module_bench.cpp
@@ -27,22 +27,22 @@
 
 Settings settings(std::size_t held) {
   Settings s;
-  s.classes = {{.worth = 1,
-                .late_worth = 0.2,
-                .aim = kS,
+  s.classes = {{.priority_weight = 1,
+                .weight_at_deadline = 0.2,
+                .latency_objective = kS,
                 .deadline = 7'200 * kS,
                 .idempotency = Idempotency::idempotent},
-               {.worth = 3,
-                .late_worth = 0.3,
-                .aim = 2 * kS,
+               {.priority_weight = 3,
+                .weight_at_deadline = 0.3,
+                .latency_objective = 2 * kS,
                 .deadline = 7'200 * kS,
                 .idempotency = Idempotency::non_idempotent}};
   s.kinds = {{}};
-  s.slots = 256;
-  s.open_max = static_cast<int>(2 * held + 10'000);
-  s.attempts_max = 1'000'000;
-  s.tick = 5 * kMs;
-  s.cancelling = true;
+  s.max_concurrent_calls = 256;
+  s.max_in_flight = static_cast<int>(2 * held + 10'000);
+  s.max_attempts = 1'000'000;
+  s.min_decision_interval = 5 * kMs;
+  s.cancellation = true;
   return s;
 }
 
@@ -59,7 +59,7 @@
   World(std::size_t destinations, std::size_t held) : dispatcher_(settings(held), 1) {
     dead_ = held == 0 ? 0 : std::max<std::size_t>(1, destinations / 10);
     good_ = std::min(kMostGood, destinations - dead_);
-    event::ListWhole whole;
+    event::EndpointListSnapshot whole;
     for (std::size_t d = 0; d < destinations; d++)
       for (int i = 0; i < 2; i++) whole.endpoints.push_back(endpoint(d, i));
     events_.emplace_back(std::move(whole));
@@ -83,7 +83,7 @@
         e.attempt = attempts_[s->id]++;
         const bool dead = std::strtoull(s->endpoint.c_str() + 8, nullptr, 10) < dead_;
         e.outcome = dead ? Outcome::connect_failed : Outcome::served;
-        e.closed = !dead;
+        e.request_completed = !dead;
         if (!dead) served_++, attempts_.erase(s->id);
         events_.emplace_back(std::move(e));
       }
@@ -93,7 +93,7 @@
 
  private:
   void arrive(std::size_t destination) {
-    event::Arrival a;
+    event::RequestArrived a;
     a.id = ++last_, a.destination = static_cast<DestinationId>(destination);
     a.message_class = static_cast<int>(last_ % 2);
     a.time_left = 7'200 * kS;
@@ -131,7 +131,7 @@
     const auto told = directory.take(
         list, [](const EndpointId&) {}, [](const heronvane::Member&) {});
     actions.clear();
-    dispatcher.handle(kS + i * 5 * kMs, {event::ListChanges{told.endpoints}}, actions);
+    dispatcher.handle(kS + i * 5 * kMs, {event::EndpointListUpdate{told.endpoints}}, actions);
   }
 }
 
@@ -158,7 +158,7 @@
   }
   std::vector<Action> actions;
   {
-    std::vector<Event> events{event::ListWhole{directory.all(), false}};
+    std::vector<Event> events{event::EndpointListSnapshot{directory.all(), false}};
     dispatcher.handle(kS, events, actions);
   }
   malloc_trim(0);
@@ -175,7 +175,7 @@
   std::vector<Action> actions;
   const auto nothing = [](const auto&) {};
   directory.take(all(destinations), nothing, nothing);
-  dispatcher.handle(kS, {event::ListWhole{directory.all(), false}}, actions);
+  dispatcher.handle(kS, {event::EndpointListSnapshot{directory.all(), false}}, actions);
   std::size_t oldest = 0, newest = destinations;
   Microseconds now = 2 * kS;
   MessageId id = 0;
@@ -188,15 +188,15 @@
         list.members.push_back(member(newest, w));
       }
       const auto told = directory.take(list, nothing, nothing);
-      event::Arrival a;
+      event::RequestArrived a;
       a.id = ++id, a.destination = static_cast<DestinationId>(newest), a.time_left = 60 * kS;
       actions.clear();
-      dispatcher.handle(now += 5 * kMs, {event::ListChanges{told.endpoints}, a}, actions);
+      dispatcher.handle(now += 5 * kMs, {event::EndpointListUpdate{told.endpoints}, a}, actions);
       std::vector<Event> events;
       for (const auto& action : actions)
         if (const auto* s = std::get_if<action::Send>(&action)) {
           event::AttemptEnded e;
-          e.id = s->id, e.endpoint = s->endpoint, e.latency = kMs, e.closed = true;
+          e.id = s->id, e.endpoint = s->endpoint, e.latency = kMs, e.request_completed = true;
           events.emplace_back(std::move(e));
         }
       actions.clear();
@@ -206,7 +206,8 @@
     if ((minute + 1) % (15 * hours) == 0)
       std::printf("%zu destinations, quarter %d: %.0f bytes each, %zu kept by the module\n", destinations,
                   (minute + 1) / (15 * hours),
-                  static_cast<double>(heap()) / static_cast<double>(destinations), dispatcher.kept());
+                  static_cast<double>(heap()) / static_cast<double>(destinations),
+                  dispatcher.retained_objects());
   }
 }
 
@@ -228,7 +229,7 @@
     std::vector<Action> actions;
     directory.take(
         all(destinations), [](const EndpointId&) {}, [](const heronvane::Member&) {});
-    dispatcher.handle(0, {event::ListWhole{directory.all(), false}}, actions);
+    dispatcher.handle(0, {event::EndpointListSnapshot{directory.all(), false}}, actions);
     measured_changes(directory, dispatcher, destinations, std::atoi(argv[3]));
   } else if (what == "memory" && argc == 3) {
     memory(number(argv[2]));
--- a/fleet/agent.cpp
+++ b/fleet/agent.cpp
@@ -152,7 +152,7 @@
 }
 
 void Agent::start() {
-  events_.push_back(event::TimerDue{});
+  events_.push_back(event::TimerExpired{});
   adopt(found_);
   found_.clear();
   pump();
@@ -363,7 +363,7 @@
 void Agent::perform(const action::SetTimer& a) {
   timer_.expires_at(started_steady_ + std::chrono::microseconds(a.at - started_));
   timer_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](error_code bad) {
-    if (!bad && !alive.expired()) happened(event::TimerDue{});
+    if (!bad && !alive.expired()) happened(event::TimerExpired{});
   });
 }
 
--- a/fleet/decider.cpp
+++ b/fleet/decider.cpp
@@ -426,7 +426,7 @@
   drive_instance(now, e.name, actions);
 }
 
-void Decider::State::on(Microseconds now, const event::TimerDue&, Actions& actions) {
+void Decider::State::on(Microseconds now, const event::TimerExpired&, Actions& actions) {
   if (now >= timer_at) timer_at = 0;
   drive_all(now, actions);
 }
--- a/fleet/decider.hpp
+++ b/fleet/decider.hpp
@@ -218,13 +218,13 @@
 struct FolderGone {
   std::string name;
 };  // its state folder is no more
-struct TimerDue {};
+struct TimerExpired {};
 }  // namespace event
 
 using Event =
     std::variant<event::Command, event::Cancel, event::Recorded, event::RecordFailed, event::Spawned,
                  event::SpawnFailed, event::Exited, event::StatusSeen, event::StatusMissed, event::Answered,
-                 event::Adopted, event::NotFound, event::FolderGone, event::TimerDue>;
+                 event::Adopted, event::NotFound, event::FolderGone, event::TimerExpired>;
 
 // ---- actions ----
 
@@ -385,7 +385,7 @@
   Decider& operator=(Decider&&) noexcept;
 
   // `now` never goes back. Actions are appended. The first call may come with any event; the agent sends
-  // TimerDue once at its start. Events of unknown names or old runs change nothing.
+  // TimerExpired once at its start. Events of unknown names or old runs change nothing.
   void handle(Microseconds now, const Event& event, std::vector<Action>& actions);
 
   // Views of what is recorded, valid until the next handle().
--- a/fleet/state.hpp
+++ b/fleet/state.hpp
@@ -129,7 +129,7 @@
   void on(Microseconds now, const event::Adopted& e, Actions& actions);
   void on(Microseconds now, const event::NotFound& e, Actions& actions);
   void on(Microseconds now, const event::FolderGone& e, Actions& actions);
-  void on(Microseconds now, const event::TimerDue& e, Actions& actions);
+  void on(Microseconds now, const event::TimerExpired& e, Actions& actions);
   void ended(Microseconds now, const std::string& name, Seen::End end, Actions& actions);
   Seen* process(const std::string& name, const std::string& run);  // nullptr: not the run of the row
 
--- a/include/heronvane/dispatch/dispatcher.hpp
+++ b/include/heronvane/dispatch/dispatcher.hpp
@@ -25,24 +25,24 @@
 
 // What a repeated delivery of a request may do: `keyed` is idempotent by its idempotency key.
 enum class Idempotency { idempotent, keyed, non_idempotent };
-enum class KeyGroup { all, zone, cell };         // which endpoints of a destination drop repeats
-enum class Decay { line, halves };               // how worth falls after the aim
+enum class KeyScope { all, zone, cell };         // which endpoints of a destination drop repeats
+enum class WeightDecay { linear, half_life };    // how worth falls after the aim
 enum class WeightKind { none, nominal, rough };  // what Endpoint::weight holds
 
 struct ClassSettings {
-  double worth = 1;                   // full worth of a message
-  double late_worth = 0;              // share of it that is left at the deadline
-  Microseconds aim = 1'000'000;       // delivered within this time, it earns the full worth
-  Microseconds deadline = 5'000'000;  // how long it may be delivered at all
+  double priority_weight = 1;                  // full worth of a message
+  double weight_at_deadline = 0;               // share of it that is left at the deadline
+  Microseconds latency_objective = 1'000'000;  // delivered within this time, it earns the full worth
+  Microseconds deadline = 5'000'000;           // how long it may be delivered at all
   Idempotency idempotency = Idempotency::idempotent;
-  KeyGroup group = KeyGroup::all;
+  KeyScope key_scope = KeyScope::all;
   Microseconds key_window = 0;  // keyed: how long a destination remembers the key
   bool ordered = false;         // messages with the same order key go one at a time
 };
 
-struct KindSettings {         // a kind of destination
-  bool routes_apart = false;  // each endpoint has its own limit, pace and outages
-  int bundle_max = 1;         // messages in one call at most
+struct KindSettings {                // a kind of destination
+  bool per_endpoint_limits = false;  // each endpoint has its own limit, pace and outages
+  int max_batch_size = 1;            // messages in one call at most
 };
 
 struct TenantSettings {
@@ -53,44 +53,44 @@
   std::vector<ClassSettings> classes;
   std::vector<KindSettings> kinds;
   std::vector<TenantSettings> tenants;  // may be empty
-  std::vector<double> zone_fees;        // price of a route apart, by zone; may be empty
-  Decay decay = Decay::line;
+  std::vector<double> zone_costs;       // price of a route apart, by zone; may be empty
+  WeightDecay decay = WeightDecay::linear;
   WeightKind weights = WeightKind::none;
-  double over_share_worth = 1;  // worth beyond a tenant's share, as a fraction
-  int relays = 1;               // how many relays share the destinations
-  int rank = 0;                 // which of them this is
-  int zone = 0;                 // where this relay stands
-  int slots = 1;                // calls out at once
-  int open_max = 1;             // messages held at once
-  int attempts_max = 1;         // attempts for one message
-  bool second_copies = false;   // two attempts of a message may be out together
-  bool cancelling = false;
-  bool probes = false;
-  bool peers = false;
-  bool subscribe = false;     // list changes come only to those that subscribed
-  Microseconds tick = 1'000;  // least time between rounds
+  double over_quota_weight = 1;  // worth beyond a tenant's share, as a fraction
+  int relays = 1;                // how many relays share the destinations
+  int relay_index = 0;           // which of them this is
+  int zone = 0;                  // where this relay stands
+  int max_concurrent_calls = 1;  // calls out at once
+  int max_in_flight = 1;         // messages held at once
+  int max_attempts = 1;          // attempts for one message
+  bool hedging = false;          // two attempts of a message may be out together
+  bool cancellation = false;
+  bool health_checks = false;
+  bool gossip = false;
+  bool list_subscription = false;              // list changes come only to those that subscribed
+  Microseconds min_decision_interval = 1'000;  // least time between rounds
   Microseconds connect_timeout = 1'000'000;
-  Microseconds connection_idle = 10'000'000;  // idle connections close by themselves after this
-  Microseconds retry_after_max = 0;           // longest advised absence that a client obeys
-  Microseconds answer_slack = 0;              // final answers are accepted so long past the deadline
+  Microseconds connection_idle_timeout = 10'000'000;  // idle connections close by themselves after this
+  Microseconds retry_after_max = 0;                   // longest advised absence that a client obeys
+  Microseconds answer_grace = 0;                      // final answers are accepted so long past the deadline
   Microseconds drain_grace = 0;
-  Microseconds must_ask_in = 0;           // 0: no such rule
-  Microseconds settle_after_doubt = 0;    // rest of an order key after an attempt in doubt
-  double fall_multiple = 2;               // times present capacity that topples a cold destination
-  Microseconds overload_for = 1'000'000;  // when kept up for so long
-  double cold_from = 0.2;                 // share of capacity right after an outage
-  Microseconds cold = 10'000'000;         // warm after this at the latest
+  Microseconds max_poll_interval = 0;           // 0: no such rule
+  Microseconds key_quiet_period = 0;            // rest of an order key after an attempt in doubt
+  double collapse_factor = 2;                   // times present capacity that topples a cold destination
+  Microseconds collapse_period = 1'000'000;     // when kept up for so long
+  double slow_start_min_share = 0.2;            // share of capacity right after an outage
+  Microseconds slow_start_window = 10'000'000;  // warm after this at the latest
 };
 
 // Throws std::invalid_argument naming the setting that makes no sense.
 void validate(const Settings& settings);
 
-enum class Outcome { served, error, full, timeout, connect_failed, reset, cancelled, not_sent };
+enum class Outcome { served, error, rejected, timeout, connect_failed, reset, cancelled, not_sent };
 
 // Load report of a destination; a negative value was not reported.
-struct Report {
-  double limit_left = -1;  // share of the limit that is left
-  double limit_rate = -1;  // calls a second that the limit allows; 0 where there is none
+struct LoadReport {
+  double limit_remaining = -1;  // share of the limit that is left
+  double limit_rate = -1;       // calls a second that the limit allows; 0 where there is none
 };
 
 enum class Listing { active, draining, gone };
@@ -114,42 +114,43 @@
 // What was learned of an endpoint, and of the target it belongs to: its destination, or the route itself
 // where routes are apart. The default is what is known of a target never called. Times are reckoned from
 // the `now` at which it is given out.
-struct TargetMemory {
+struct LearnedState {
   EndpointId endpoint;
   DestinationId destination = 0;
   // The endpoint. What follows its health is meant only where it is not open.
   Health health = Health::healthy;
-  Microseconds health_age = 0;  // in it, or closed anew, for so long
-  double usual_rate = 0;        // calls a second of this relay before the trouble
-  double budget = 0;            // calls allowed at once, 0 to 1
-  int fail_run = 0;             // failed calls since the last serve
-  double fail_share = 0;        // share of failing calls, 0 to 1
-  bool doubt = false;           // the last failed call may have run
-  int bundle = 0;               // messages trusted to one call; 0: unknown
+  Microseconds time_in_health = 0;              // in it, or closed anew, for so long
+  double baseline_rate = 0;                     // calls a second of this relay before the trouble
+  double slow_start_budget = 0;                 // calls allowed at once, 0 to 1
+  int consecutive_failures = 0;                 // failed calls since the last serve
+  double failure_rate = 0;                      // share of failing calls, 0 to 1
+  bool last_failure_possibly_executed = false;  // the last failed call may have run
+  int batch_size = 0;                           // messages trusted to one call; 0: unknown
   // The target.
-  Microseconds wait_left = 0;    // of a told wait
-  double delay = 0;              // the LIMD delay in seconds, as aged; 0: none worth keeping
-  double pace = 0;               // calls a second of this relay; 0: unbounded
-  int refusals = 0;              // since the last serve
-  Microseconds refused_age = 0;  // how long ago the first of them was
-  double let_through = 1;        // share of attempts let through after refusals, above 0
+  Microseconds retry_after_left = 0;     // of a told wait
+  double backoff_delay = 0;              // the LIMD delay in seconds, as aged; 0: none worth keeping
+  double send_rate = 0;                  // calls a second of this relay; 0: unbounded
+  int consecutive_rejections = 0;        // since the last serve
+  Microseconds first_rejection_age = 0;  // how long ago the first of them was
+  double admission_probability = 1;      // share of attempts let through after refusals, above 0
 
   // Nothing is known that is worth keeping: a store can drop its record.
   bool blank() const {
-    return health == Health::healthy && wait_left <= 0 && delay <= 0 && pace <= 0 && let_through >= 1;
+    return health == Health::healthy && retry_after_left <= 0 && backoff_delay <= 0 && send_rate <= 0 &&
+           admission_probability >= 1;
   }
 };
 
 namespace event {
-struct ListWhole {
+struct EndpointListSnapshot {
   std::vector<Endpoint> endpoints;
   bool cached = false;
 };  // cached: as last seen
-struct ListChanges {
+struct EndpointListUpdate {
   std::vector<Endpoint> endpoints;
 };
-struct ListFailed {};
-struct Arrival {
+struct EndpointListFailed {};
+struct RequestArrived {
   MessageId id = 0;
   DestinationId destination = 0;
   int message_class = 0;
@@ -161,25 +162,25 @@
 // A message that this relay had taken on in an earlier life, with what is known of its attempts. One that was
 // not tried yet goes before what comes in now, and is tried in its time where a wait, an outage or a pace
 // does not keep it back all along.
-struct Recovered {
-  Arrival message;     // time_left may be below 0
-  int attempts = 0;    // made so far; further ones count on from there
-  bool tried = false;  // one of them may have reached an endpoint
+struct RequestRecovered {
+  RequestArrived message;  // time_left may be below 0
+  int attempts = 0;        // made so far; further ones count on from there
+  bool tried = false;      // one of them may have reached an endpoint
   // Where one of them may have run (also one whose outcome was never seen): the first such, and how long ago.
-  std::optional<int> may_have_run_zone;
-  Microseconds may_have_run_ago = 0;
+  std::optional<int> possibly_executed_zone;
+  Microseconds possibly_executed_age = 0;
 };
-// What an earlier life of this relay had learned (Dispatcher::learned), `age` ago (at least 0). Comes after
-// the list that names its endpoint, best in the same round; ignored where the endpoint is not listed. Where
-// endpoints share a target and the destination is another now, its part is ignored. Values out of range are
-// brought into it.
+// What an earlier life of this relay had learned (Dispatcher::take_changed_state), `age` ago (at least 0).
+// Comes after the list that names its endpoint, best in the same round; ignored where the endpoint is not
+// listed. Where endpoints share a target and the destination is another now, its part is ignored. Values out
+// of range are brought into it.
 // - Of the records of a target's endpoints the latest counts for the target, in whatever order they come.
 // - Nothing overwrites what is newer: only the first record of an endpoint counts, its part only until a call
 //   there has ended, the target's until one at the target has. But a told wait holds in any case.
 // - In the time that passed waits run off, the delay ages and a ramp goes on. A closed endpoint stays as it
 //   was, for nobody looked after it; its next trial comes after a whole jittered delay.
-struct TargetRecalled {
-  TargetMemory memory;
+struct LearnedStateRestored {
+  LearnedState state;
   Microseconds age = 0;
 };
 struct AttemptEnded {
@@ -188,31 +189,32 @@
   EndpointId endpoint;
   Outcome outcome = Outcome::served;
   Microseconds latency = 0;
-  bool closed = false;         // the message is over
-  Microseconds told_wait = 0;  // nothing to that destination for so long, whatever the outcome
-  Report report;
+  bool request_completed = false;  // the message is over
+  Microseconds retry_after = 0;    // nothing to that destination for so long, whatever the outcome
+  LoadReport load_report;
 };
-struct Withdrawn {
+struct RequestWithdrawn {
   MessageId id = 0;
 };
-struct TimerDue {
+struct TimerExpired {
   std::uint64_t token = 0;
 };
-struct ProbeEnded {
+struct HealthCheckEnded {
   EndpointId endpoint;
   Outcome outcome = Outcome::served;
   Microseconds latency = 0;
-  Report report;
+  LoadReport load_report;
 };
-struct PeerNote {
+struct GossipReceived {
   int from = 0;
   std::string body;
 };
 }  // namespace event
 
-using Event = std::variant<event::ListWhole, event::ListChanges, event::ListFailed, event::Arrival,
-                           event::Recovered, event::TargetRecalled, event::AttemptEnded, event::Withdrawn,
-                           event::TimerDue, event::ProbeEnded, event::PeerNote>;
+using Event = std::variant<event::EndpointListSnapshot, event::EndpointListUpdate, event::EndpointListFailed,
+                           event::RequestArrived, event::RequestRecovered, event::LearnedStateRestored,
+                           event::AttemptEnded, event::RequestWithdrawn, event::TimerExpired,
+                           event::HealthCheckEnded, event::GossipReceived>;
 
 namespace action {
 // Attempts of a message count from 0 in the order of their sends.
@@ -222,11 +224,11 @@
   Microseconds timeout = 0;
   // Its call may begin within this alone, for its destination forgets the message's key then: one whose
   // connection is not up by then ends as not sent. Nothing where it may begin whenever.
-  std::optional<Microseconds> begin_within;
+  std::optional<Microseconds> start_within;
 };
-struct Refuse {
+struct Reject {
   MessageId id = 0;
-  Microseconds come_back = 0;
+  Microseconds retry_after = 0;
 };  // final; handing it in again is harmless
 struct Fail {
   MessageId id = 0;
@@ -242,15 +244,15 @@
   Microseconds after = 0;
   std::uint64_t token = 0;
 };
-struct FetchList {};
+struct PollEndpointList {};
 struct Subscribe {
   bool on = true;
 };
-struct Probe {
+struct CheckHealth {
   EndpointId endpoint;
 };
-struct TellPeer {
-  int whom = -1;
+struct SendGossip {
+  int peer = -1;
   std::string body;
 };  // -1: every peer
 struct Log {
@@ -258,9 +260,9 @@
 };
 }  // namespace action
 
-using Action = std::variant<action::Send, action::Refuse, action::Fail, action::Cancel, action::CloseIdle,
-                            action::SetTimer, action::FetchList, action::Subscribe, action::Probe,
-                            action::TellPeer, action::Log>;
+using Action = std::variant<action::Send, action::Reject, action::Fail, action::Cancel, action::CloseIdle,
+                            action::SetTimer, action::PollEndpointList, action::Subscribe,
+                            action::CheckHealth, action::SendGossip, action::Log>;
 
 class Dispatcher {
  public:
@@ -280,19 +282,19 @@
   // only when they are large. What is blank again, or left the list, is given once as blank; that the time
   // of a wait, a delay or a ramp is up comes so too. A change of a target is given for each of its
   // endpoints. Costs what has changed, not what is listed. Changes no decision.
-  std::vector<TargetMemory> learned(Microseconds now, std::size_t most);
+  std::vector<LearnedState> take_changed_state(Microseconds now, std::size_t most);
 
   // For an observer: what is known now of each endpoint that is listed, in the order of the destinations.
   // Those of which nothing is known (blank) are left out once `most` entries are in `known`; all others
   // once there are four times as many. Changes nothing.
-  void targets(Microseconds now, std::size_t most, std::vector<TargetMemory>& known) const;
+  void endpoint_states(Microseconds now, std::size_t most, std::vector<LearnedState>& known) const;
 
   // How many messages are ready to go and were not sent.
-  std::size_t waiting() const;
+  std::size_t queued_requests() const;
 
   // How many endpoints, destinations, messages, order keys, calls and changes to give out are kept: a gauge
   // of memory.
-  std::size_t kept() const;
+  std::size_t retained_objects() const;
 
  private:
   struct State;
--- a/relay/answer.cpp
+++ b/relay/answer.cpp
@@ -89,8 +89,8 @@
 }
 
 // "x0=0.4,x1=25"
-heronvane::dispatch::Report AnswerReader::report() const {
-  heronvane::dispatch::Report report;
+heronvane::dispatch::LoadReport AnswerReader::report() const {
+  heronvane::dispatch::LoadReport report;
   const auto text = parser_->get()["X-Load"];
   for (std::size_t at = 0; at < text.size();) {
     const auto end = std::min(text.find(',', at), text.size());
@@ -98,7 +98,7 @@
     const auto equals = field.find('=');
     const auto v =
         equals == beast::string_view::npos ? std::nullopt : finite_number(field.substr(equals + 1));
-    if (v && *v >= 0 && field.substr(0, equals) == "x0") report.limit_left = *v;
+    if (v && *v >= 0 && field.substr(0, equals) == "x0") report.limit_remaining = *v;
     if (v && *v >= 0 && field.substr(0, equals) == "x1") report.limit_rate = *v;
     at = end + 1;
   }
--- a/relay/answer.hpp
+++ b/relay/answer.hpp
@@ -39,7 +39,7 @@
   bool line_busy() const { return parser_->get()["X-Line-Busy"] == "1"; }
   const std::string& body() const { return parser_->get().body(); }
   Microseconds told_wait() const;  // 0: none
-  heronvane::dispatch::Report report() const;
+  heronvane::dispatch::LoadReport report() const;
 
  private:
   using Parser = boost::beast::http::response_parser<boost::beast::http::string_body>;
--- a/relay/calls.cpp
+++ b/relay/calls.cpp
@@ -96,7 +96,7 @@
   Microseconds answer_due = 0;  // for the rest of an answer that has begun; 0: none has
   bool sound = false;           // the connection may be used again
   Microseconds told_wait = 0;
-  heronvane::dispatch::Report report;
+  heronvane::dispatch::LoadReport report;
 
   // One message is delivered by the answer's first line, several by the whole of it.
   bool delivered() const { return messages.size() == 1 && answer.says_ok(); }
@@ -291,10 +291,10 @@
       call->messages.size() > 1 ? answered_bundle(call) : end_all(call, Outcome::served, true);
       break;
     case 429:
-      end_all(call, Outcome::full);
+      end_all(call, Outcome::rejected);
       break;
     case 503:
-      end_all(call, answer.line_busy() ? Outcome::not_sent : Outcome::full);
+      end_all(call, answer.line_busy() ? Outcome::not_sent : Outcome::rejected);
       break;
     case 504:
       end_all(call, Outcome::not_sent);
@@ -342,7 +342,7 @@
     if (state == "done")
       end(call, i, Outcome::served, true);
     else if (state == "busy")
-      end(call, i, Outcome::full);
+      end(call, i, Outcome::rejected);
     else if (state == "void")
       end(call, i, Outcome::not_sent, true);
     else if (state == "used_up")
@@ -390,9 +390,9 @@
   e.endpoint = call->endpoint;
   e.outcome = outcome;
   e.latency = steady_now() - call->sent;
-  e.closed = closed;
-  e.told_wait = call->told_wait;
-  e.report = call->report;
+  e.request_completed = closed;
+  e.retry_after = call->told_wait;
+  e.load_report = call->report;
   if (--call->left == 0) {
     call->stage = Call::Stage::done;
     call->timer.cancel();
--- a/relay/config.cpp
+++ b/relay/config.cpp
@@ -79,7 +79,8 @@
   c.settings = read_settings(settings, path + ".settings", c.names);
   heronvane::dispatch::validate(c.settings);
   // However many calls may be out, each needs a descriptor.
-  c.settings.slots = std::min(c.settings.slots, static_cast<int>(c.endpoint_connections));
+  c.settings.max_concurrent_calls =
+      std::min(c.settings.max_concurrent_calls, static_cast<int>(c.endpoint_connections));
   if (const Value* report = find(settings, "Report"))
     c.reports_in_answers = get(*report, "How", path + ".settings.Report", as_text, "none") == "answers";
   c.generation = get(v, "generation", path, as_integer, std::int64_t{0});
@@ -113,7 +114,8 @@
   if (c.own.copies.on)
     c.client_connections -= std::min(c.client_connections / 2, kCopiesFiles / 2),
         c.endpoint_connections -= std::min(c.endpoint_connections / 2, kCopiesFiles / 2);
-  c.settings.slots = std::min(c.settings.slots, static_cast<int>(c.endpoint_connections));
+  c.settings.max_concurrent_calls =
+      std::min(c.settings.max_concurrent_calls, static_cast<int>(c.endpoint_connections));
   return c;
 }
 
--- a/relay/core/message.hpp
+++ b/relay/core/message.hpp
@@ -35,7 +35,7 @@
   int zone = -1;                   // of its endpoint; -1: unknown
   std::optional<Outcome> outcome;  // none: not seen, so it may have run
   bool may_have_run() const {
-    return !outcome || !(*outcome == Outcome::full || *outcome == Outcome::connect_failed ||
+    return !outcome || !(*outcome == Outcome::rejected || *outcome == Outcome::connect_failed ||
                          *outcome == Outcome::not_sent);
   }
   bool may_have_reached() const {
--- a/relay/core/status.cpp
+++ b/relay/core/status.cpp
@@ -57,7 +57,7 @@
       return "served";
     case Outcome::error:
       return "error";
-    case Outcome::full:
+    case Outcome::rejected:
       return "full";
     case Outcome::timeout:
       return "timeout";
@@ -97,9 +97,10 @@
     w.StartObject();
     field(w, "endpoint", t.known.endpoint), field(w, "destination", t.known.destination);
     field(w, "listing", name(t.listing)), field(w, "health", name(t.known.health));
-    w.Key("pace"), w.Double(shown(t.known.pace));
-    field(w, "delay_ms", static_cast<std::int64_t>(std::isfinite(t.known.delay) ? t.known.delay * 1e3 : 0));
-    field(w, "wait_ms", ms(t.known.wait_left));
+    w.Key("pace"), w.Double(shown(t.known.send_rate));
+    field(w, "delay_ms",
+          static_cast<std::int64_t>(std::isfinite(t.known.backoff_delay) ? t.known.backoff_delay * 1e3 : 0));
+    field(w, "wait_ms", ms(t.known.retry_after_left));
     w.EndObject();
   }
   w.EndArray();
--- a/relay/core/status.hpp
+++ b/relay/core/status.hpp
@@ -15,7 +15,7 @@
 
 struct Status {
   struct Target {
-    heronvane::dispatch::TargetMemory known;
+    heronvane::dispatch::LearnedState known;
     heronvane::dispatch::Listing listing = heronvane::dispatch::Listing::active;
   };
   std::string name, run, version, trouble;
--- a/relay/core/target_memory.cpp
+++ b/relay/core/target_memory.cpp
@@ -9,8 +9,8 @@
 
 using heronvane::dispatch::EndpointId;
 using heronvane::dispatch::Health;
+using heronvane::dispatch::LearnedState;
 using heronvane::dispatch::Microseconds;
-using heronvane::dispatch::TargetMemory;
 
 namespace {
 
@@ -22,14 +22,15 @@
 
 std::string target_key(const EndpointId& endpoint) { return kPrefix + endpoint; }
 
-std::string write_target(const TargetMemory& m, Microseconds learned) {
+std::string write_target(const LearnedState& m, Microseconds learned) {
   std::ostringstream out;
   out.imbue(std::locale::classic());
   out.precision(9);
   out << kForm << ' ' << learned << ' ' << m.destination << ' ' << static_cast<int>(m.health) << ' '
-      << m.health_age << ' ' << m.usual_rate << ' ' << m.budget << ' ' << m.fail_run << ' ' << m.fail_share
-      << ' ' << m.doubt << ' ' << m.bundle << ' ' << m.wait_left << ' ' << m.delay << ' ' << m.pace << ' '
-      << m.refusals << ' ' << m.refused_age << ' ' << m.let_through;
+      << m.time_in_health << ' ' << m.baseline_rate << ' ' << m.slow_start_budget << ' '
+      << m.consecutive_failures << ' ' << m.failure_rate << ' ' << m.last_failure_possibly_executed << ' '
+      << m.batch_size << ' ' << m.retry_after_left << ' ' << m.backoff_delay << ' ' << m.send_rate << ' '
+      << m.consecutive_rejections << ' ' << m.first_rejection_age << ' ' << m.admission_probability;
   return out.str();
 }
 
@@ -37,11 +38,12 @@
   std::istringstream in(text);
   in.imbue(std::locale::classic());
   LearnedTarget t;
-  TargetMemory& m = t.memory;
+  LearnedState& m = t.memory;
   int form = 0, health = 0;
-  in >> form >> t.learned >> m.destination >> health >> m.health_age >> m.usual_rate >> m.budget >>
-      m.fail_run >> m.fail_share >> m.doubt >> m.bundle >> m.wait_left >> m.delay >> m.pace >> m.refusals >>
-      m.refused_age >> m.let_through;
+  in >> form >> t.learned >> m.destination >> health >> m.time_in_health >> m.baseline_rate >>
+      m.slow_start_budget >> m.consecutive_failures >> m.failure_rate >> m.last_failure_possibly_executed >>
+      m.batch_size >> m.retry_after_left >> m.backoff_delay >> m.send_rate >> m.consecutive_rejections >>
+      m.first_rejection_age >> m.admission_probability;
   if (!in || form != kForm || health < 0 || health > static_cast<int>(Health::slow_start))
     return std::nullopt;
   m.endpoint = endpoint;
@@ -63,23 +65,23 @@
   }
 }
 
-std::optional<heronvane::dispatch::event::TargetRecalled> RecalledTargets::take(const EndpointId& endpoint,
-                                                                                Microseconds now,
-                                                                                Microseconds gap) {
+std::optional<heronvane::dispatch::event::LearnedStateRestored> RecalledTargets::take(
+    const EndpointId& endpoint, Microseconds now, Microseconds gap) {
   const auto it = targets_.find(endpoint);
   if (it == targets_.end()) return std::nullopt;
   LearnedTarget t = std::move(it->second);
   targets_.erase(it);
   if (!which_.health) {
-    const Microseconds wait = t.memory.wait_left;
+    const Microseconds wait = t.memory.retry_after_left;
     const auto destination = t.memory.destination;
     t.memory = {};
-    t.memory.endpoint = endpoint, t.memory.destination = destination, t.memory.wait_left = wait;
+    t.memory.endpoint = endpoint, t.memory.destination = destination, t.memory.retry_after_left = wait;
   }
-  if (!which_.waits) t.memory.wait_left = 0;
-  if (t.memory.wait_left > 0) t.memory.wait_left += gap;
+  if (!which_.waits) t.memory.retry_after_left = 0;
+  if (t.memory.retry_after_left > 0) t.memory.retry_after_left += gap;
   if (t.memory.blank()) return std::nullopt;
-  return heronvane::dispatch::event::TargetRecalled{t.memory, std::max<Microseconds>(now - t.learned, 0)};
+  return heronvane::dispatch::event::LearnedStateRestored{t.memory,
+                                                          std::max<Microseconds>(now - t.learned, 0)};
 }
 
 }  // namespace heronvane
--- a/relay/core/target_memory.hpp
+++ b/relay/core/target_memory.hpp
@@ -14,10 +14,10 @@
 std::string target_key(const heronvane::dispatch::EndpointId& endpoint);
 
 // With the moment when it was learned, in lasting time; nothing where the text is no such thing.
-std::string write_target(const heronvane::dispatch::TargetMemory& memory,
+std::string write_target(const heronvane::dispatch::LearnedState& memory,
                          heronvane::dispatch::Microseconds learned);
 struct LearnedTarget {
-  heronvane::dispatch::TargetMemory memory;
+  heronvane::dispatch::LearnedState memory;
   heronvane::dispatch::Microseconds learned = 0;
 };
 std::optional<LearnedTarget> read_target(const heronvane::dispatch::EndpointId& endpoint,
@@ -39,7 +39,7 @@
 
   // What was learned of an endpoint that is listed now, as an event at `now`; once. `gap`: of the time since
   // then, what only the wall clock vouches for; no wait is shortened by it.
-  std::optional<heronvane::dispatch::event::TargetRecalled> take(
+  std::optional<heronvane::dispatch::event::LearnedStateRestored> take(
       const heronvane::dispatch::EndpointId& endpoint, heronvane::dispatch::Microseconds now,
       heronvane::dispatch::Microseconds gap);
   std::size_t size() const { return targets_.size(); }
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -29,9 +29,9 @@
 
 CallLimits call_limits(const Config& c) {
   CallLimits limits;
-  limits.slots = static_cast<std::size_t>(c.settings.slots);
+  limits.slots = static_cast<std::size_t>(c.settings.max_concurrent_calls);
   limits.connect_timeout = c.settings.connect_timeout;
-  limits.idle = c.settings.connection_idle;
+  limits.idle = c.settings.connection_idle_timeout;
   limits.connections = c.endpoint_connections;
   limits.reports = c.reports_in_answers;
   limits.wait_for_rest = !c.own.relay.early_rounds;
@@ -47,7 +47,7 @@
 store::Options store_options(const Config& c) {
   store::Options options;
   options.limit_bytes = c.disk_bytes;
-  options.attempts_max = c.settings.attempts_max;
+  options.attempts_max = c.settings.max_attempts;
   options.memory_bytes = c.memory_bytes;
   options.remembers = [&c](const Message& m) {
     const auto cls = c.names.classes.find(m.message_class);
@@ -114,14 +114,15 @@
           [this] { return turned(); }),
       platform_(
           io, config.discovery, config.names, config.known.index, most_list(config),
-          [this](MemberList list) { listed(std::move(list)); }, [this] { happened(event::ListFailed{}); },
+          [this](MemberList list) { listed(std::move(list)); },
+          [this] { happened(event::EndpointListFailed{}); },
           [this](const std::vector<MessageId>& ids) {
             for (const MessageId id : ids) over(id);
             settle();
           }),
       recent_(longest_deadline(config.settings)),
       refused_(io, "messages refused"),
-      round_gap_(config.settings.tick, config.own.relay.early_rounds),
+      round_gap_(config.settings.min_decision_interval, config.own.relay.early_rounds),
       drain_(read_drain(store_.facts())),
       generation_(config.generation),
       beat_timer_(io),
@@ -135,7 +136,7 @@
   directory_.take(
       known_, [](const EndpointId&) {}, [this](const Member& m) { calls_.locate(m.endpoint.id, m.address); });
   for (const auto& m : config.known.members) directory_.name(m.endpoint.destination);
-  events_.push_back(event::ListWhole{directory_.all(), true});
+  events_.push_back(event::EndpointListSnapshot{directory_.all(), true});
   for (const auto& key : recalled_.outdated()) store_.keep(key, {});
   store_.on_sync([this] { synced(); });
   start_drained();
@@ -164,14 +165,14 @@
 
 std::unique_ptr<Peers> Relay::hear_peers() {
   const auto& s = config_.settings;
-  if (!s.peers || !config_.peer_listen) return nullptr;
+  if (!s.gossip || !config_.peer_listen) return nullptr;
   const auto heard = [this](int from, std::string body) {
     // They would pile up while the module is not asked; any may be lost.
     if (unwritten_ || frozen_) return;
-    happened(event::PeerNote{from, std::move(body)});
+    happened(event::GossipReceived{from, std::move(body)});
   };
   try {
-    return std::make_unique<Peers>(io_, *config_.peer_listen, config_.peers, config_.peers_all, s.rank,
+    return std::make_unique<Peers>(io_, *config_.peer_listen, config_.peers, config_.peers_all, s.relay_index,
                                    heard);
   } catch (const boost::system::system_error& e) {
     const auto& address = *config_.peer_listen;
@@ -193,8 +194,8 @@
       *folder_, [this](std::function<void()> done) { net::post(io_, std::move(done)); });
 }
 
-event::Arrival Relay::arrival(MessageId id, const Message& m) const {
-  event::Arrival a;
+event::RequestArrived Relay::arrival(MessageId id, const Message& m) const {
+  event::RequestArrived a;
   a.id = id;
   a.destination = m.destination;
   a.message_class = config_.names.classes.at(m.message_class);
@@ -228,7 +229,7 @@
     return list_told_ ? reply({404, 0, "unknown destination"}) : refuse(reply, "no list of destinations yet");
   message.deadline = store_.clock().now() + left;
   const std::size_t open = arrived_.size() + store_.open();
-  if (open >= static_cast<std::size_t>(config_.settings.open_max))
+  if (open >= static_cast<std::size_t>(config_.settings.max_in_flight))
     return refuse(reply, "open messages at their bound");
   if (unwritten_) return refuse(reply, "the folder can't be written");
   if (!store_.admit(message)) return refuse(reply, "no room in the folder or memory");
@@ -257,28 +258,28 @@
 void Relay::ended(const event::AttemptEnded& outcome) {
   event::AttemptEnded e = outcome;
   if (HERONVANE_DEFECT("resend-in-doubt") && (e.outcome == Outcome::error || e.outcome == Outcome::reset))
-    e.outcome = Outcome::full;
-  if (HERONVANE_DEFECT("ignore-wait")) e.told_wait = 0;
+    e.outcome = Outcome::rejected;
+  if (HERONVANE_DEFECT("ignore-wait")) e.retry_after = 0;
 #ifdef HERONVANE_FAIL_POINTS
-  if (e.closed && HERONVANE_DEFECT_NOW("end-after-delivery")) tell_late(e.id, {});
+  if (e.request_completed && HERONVANE_DEFECT_NOW("end-after-delivery")) tell_late(e.id, {});
 #endif
   HERONVANE_POINT("outcome.came");
-  if (e.closed)
+  if (e.request_completed)
     over(e.id);
   else if (store_.find(e.id) != nullptr)
     store_.outcome(e.id, e.attempt, e.outcome);
   settle_soon();
   happened(e);
-  if (dispatcher_.waiting() > 0) schedule(true);
+  if (dispatcher_.queued_requests() > 0) schedule(true);
   // Guards against calls whose connections come up after the wait was told.
-  if (e.told_wait > 0) hold_back(e.endpoint);
+  if (e.retry_after > 0) hold_back(e.endpoint);
 }
 
 void Relay::hold_back(const EndpointId& endpoint) {
   const auto* const told = directory_.find(endpoint);
   if (told == nullptr) return;
   const auto kind = static_cast<std::size_t>(told->kind);
-  const bool apart = kind < config_.settings.kinds.size() && config_.settings.kinds[kind].routes_apart;
+  const bool apart = kind < config_.settings.kinds.size() && config_.settings.kinds[kind].per_endpoint_limits;
   if (apart) return keep_from(endpoint);
   for (const auto& id : std::vector<EndpointId>(directory_.of(told->destination))) keep_from(id);
 }
@@ -326,7 +327,7 @@
   if (listed_later_.empty()) return;
   const auto part = std::move(listed_later_.front());
   listed_later_.pop_front();
-  happened(event::ListChanges{part});
+  happened(event::EndpointListUpdate{part});
   recall(part);
 }
 
@@ -385,8 +386,8 @@
   for (const auto& a : actions) {
     if (const auto* x = std::get_if<action::Send>(&a))
       send(plan, *x);
-    else if (const auto* r = std::get_if<action::Refuse>(&a))
-      finish(plan, r->id, {true, r->come_back});
+    else if (const auto* r = std::get_if<action::Reject>(&a))
+      finish(plan, r->id, {true, r->retry_after});
     else if (const auto* f = std::get_if<action::Fail>(&a))
       finish(plan, f->id, {false, 0});
     else if (const auto* c = std::get_if<action::Cancel>(&a))
@@ -395,12 +396,12 @@
       calls_.close_idle(i->endpoint);
     else if (const auto* t = std::get_if<action::SetTimer>(&a))
       set_timer(t->after, t->token);
-    else if (std::holds_alternative<action::FetchList>(a))
+    else if (std::holds_alternative<action::PollEndpointList>(a))
       platform_.fetch();
     else if (const auto* s = std::get_if<action::Subscribe>(&a))
       s->on ? platform_.watch() : platform_.unwatch();
-    else if (const auto* n = std::get_if<action::TellPeer>(&a))
-      peers_ ? peers_->tell(n->whom, n->body) : void();
+    else if (const auto* n = std::get_if<action::SendGossip>(&a))
+      peers_ ? peers_->tell(n->peer, n->body) : void();
     else if (const auto* l = std::get_if<action::Log>(&a))
       log(l->text);
   }
@@ -413,14 +414,14 @@
   const int zone = endpoint == nullptr ? -1 : endpoint->zone;
   const auto kind = endpoint == nullptr ? std::size_t{0} : static_cast<std::size_t>(endpoint->kind);
   const auto& kinds = config_.settings.kinds;
-  const auto most = static_cast<std::size_t>(kind < kinds.size() ? kinds[kind].bundle_max : 1);
+  const auto most = static_cast<std::size_t>(kind < kinds.size() ? kinds[kind].max_batch_size : 1);
   Outgoing one{a.id,
                static_cast<int>(held->attempts.size()),
                a.timeout,
                held->message.id,
                held->message.body,
                held->message.idempotency_key,
-               a.begin_within ? last_round_ + *a.begin_within : 0};
+               a.start_within ? last_round_ + *a.start_within : 0};
   store_.sent(a.id, store_.clock().now(), zone);
   // Sends of one round to one endpoint travel as one call, up to so many.
   const auto [open, first] = filling_.try_emplace(a.endpoint, plan.calls.size());
@@ -471,7 +472,7 @@
   if (store_.find(e.id) != nullptr)
     store_.outcome(e.id, e.attempt, e.outcome);
   else
-    e.closed = true;
+    e.request_completed = true;
   happened(e);
 }
 
@@ -496,7 +497,7 @@
     if (std::exchange(list_missed_, false)) {
       listed_later_.clear();
       const auto all = directory_.all();
-      happened(event::ListWhole{all, false});
+      happened(event::EndpointListSnapshot{all, false});
       recall(all);
     }
     schedule();  // what came meanwhile is decided on now
@@ -550,7 +551,7 @@
   for (const MessageId id : overdue) {
     if (!store_.find(id)->ending) {
       store_.ending(id, {false, 0});
-      happened(event::Withdrawn{id});
+      happened(event::RequestWithdrawn{id});
     }
     const Held& held = *store_.find(id);
     platform_.notice(id, held.message.id, *held.ending);
@@ -564,7 +565,7 @@
     if (a.id == 0) continue;
     refused_.add("its record could not be written in time");
     over(a.id, false);
-    happened(event::Withdrawn{a.id});
+    happened(event::RequestWithdrawn{a.id});
   }
 }
 
@@ -633,7 +634,7 @@
   module_timer_.set(span(timers_.begin()->first - steady_now()), [this] {
     const Microseconds now = steady_now();
     while (!timers_.empty() && timers_.begin()->first <= now) {
-      happened(event::TimerDue{timers_.begin()->second});
+      happened(event::TimerExpired{timers_.begin()->second});
       timers_.erase(timers_.begin());
     }
     arm_timers();
--- a/relay/relay.hpp
+++ b/relay/relay.hpp
@@ -141,7 +141,7 @@
   bool copied() const { return !copies_ || (copies_->ready() && !copies_->is_short()); }
 
   bool ready() const;
-  heronvane::dispatch::event::Arrival arrival(MessageId id, const Message& m) const;
+  heronvane::dispatch::event::RequestArrived arrival(MessageId id, const Message& m) const;
 
   boost::asio::io_context& io_;
   const Config& config_;
--- a/relay/relay_admin.cpp
+++ b/relay/relay_admin.cpp
@@ -106,10 +106,10 @@
   s.fence = drain_.fence;
   s.held = store_.held().size(), s.given_up = s.held - store_.open();
   s.counts = gauge_.counts(store_.clock().now());
-  s.calls = calls_.out(), s.slots = static_cast<std::size_t>(config_.settings.slots);
+  s.calls = calls_.out(), s.slots = static_cast<std::size_t>(config_.settings.max_concurrent_calls);
   s.clients = intake_->clients();
-  std::vector<heronvane::dispatch::TargetMemory> known;
-  dispatcher_.targets(steady_now(), kMostTargets, known);
+  std::vector<heronvane::dispatch::LearnedState> known;
+  dispatcher_.endpoint_states(steady_now(), kMostTargets, known);
   for (auto& k : known) {
     const auto* const told = directory_.find(k.endpoint);
     s.targets.push_back({std::move(k), told == nullptr ? heronvane::dispatch::Listing::gone : told->listing});
--- a/relay/relay_copies.cpp
+++ b/relay/relay_copies.cpp
@@ -40,7 +40,7 @@
     if (held == nullptr) continue;
     for (std::size_t i = 0; i < held->attempts.size(); i++)
       if (!held->attempts[i].outcome) calls_.cancel(id, static_cast<int>(i));
-    if (!held->ending) happened(heronvane::dispatch::event::Withdrawn{id});
+    if (!held->ending) happened(heronvane::dispatch::event::RequestWithdrawn{id});
     over(id, false);
   }
 }
@@ -71,7 +71,7 @@
   for (const MessageId id : unknown) finish(plan, id, {});
   // It may have run over there: it must not run here.
   for (const MessageId id : in_doubt) {
-    happened(heronvane::dispatch::event::Withdrawn{id});
+    happened(heronvane::dispatch::event::RequestWithdrawn{id});
     finish(plan, id, {});
   }
   for (const MessageId id : drop) store_.over(id, false);
--- a/relay/relay_lifecycle.cpp
+++ b/relay/relay_lifecycle.cpp
@@ -61,19 +61,19 @@
     return true;
   }
   if (config_.names.classes.count(held.message.message_class) == 0) return false;
-  event::Recovered r;
+  event::RequestRecovered r;
   r.message = arrival(id, held.message);
   r.attempts = static_cast<int>(held.attempts.size());
   r.tried = held.doubt;
   for (const auto& a : held.attempts) {
     r.tried = r.tried || a.may_have_reached();
-    if (!a.may_have_run() || r.may_have_run_zone) continue;
-    r.may_have_run_zone = a.zone;
-    r.may_have_run_ago = std::max<Microseconds>(now - a.sent, 0);
+    if (!a.may_have_run() || r.possibly_executed_zone) continue;
+    r.possibly_executed_zone = a.zone;
+    r.possibly_executed_age = std::max<Microseconds>(now - a.sent, 0);
   }
   // Called at a time and place that no record tells.
-  if (held.doubt) r.may_have_run_zone = -1, r.may_have_run_ago = kLongAgo;
-  if (HERONVANE_DEFECT("forget-attempt")) r.may_have_run_zone.reset();
+  if (held.doubt) r.possibly_executed_zone = -1, r.possibly_executed_age = kLongAgo;
+  if (HERONVANE_DEFECT("forget-attempt")) r.possibly_executed_zone.reset();
   events_.push_back(std::move(r));
   return true;
 }
@@ -96,7 +96,7 @@
   const Microseconds now = store_.clock().now();
   // The rest is for endpoints that drain or are gone: these bind.
   constexpr unsigned kTargetPart = 50;
-  for (const auto& memory : dispatcher_.learned(last_round_, kMostTargets)) {
+  for (const auto& memory : dispatcher_.take_changed_state(last_round_, kMostTargets)) {
     const std::string key = target_key(memory.endpoint);
     const std::string value = memory.blank() ? std::string() : write_target(memory, now);
     // Better nothing than what is not so any more.
--- a/src/dispatcher.cpp
+++ b/src/dispatcher.cpp
@@ -113,7 +113,7 @@
   std::vector<Action>* out = nullptr;
   std::map<EndpointId, EndpointState> endpoints;
   std::map<DestinationId, DestinationState> destinations;
-  std::unordered_map<MessageId, Message> messages;
+  std::unordered_map<MessageId, Request> messages;
   std::size_t live = 0;                                 // of them, those that are not over
   Waiting waiting;                                      // those that are ready to go
   std::set<std::pair<Microseconds, MessageId>> agenda;  // when time alone changes something for a message
@@ -149,8 +149,8 @@
   }
 
   static double shortest_aim_of(const Settings& s) {
-    double shortest = seconds(s.classes[0].aim);
-    for (const auto& c : s.classes) shortest = std::min(shortest, seconds(c.aim));
+    double shortest = seconds(s.classes[0].latency_objective);
+    for (const auto& c : s.classes) shortest = std::min(shortest, seconds(c.latency_objective));
     return shortest;
   }
   // Messages of one class, within their tenant's share and beyond it, owed or not, keep their order for long.
@@ -166,7 +166,7 @@
   double jittered(double d) { return d * (1 + kJitter * (2 * uniform() - 1)); }
   double burst_of(const TenantSettings& t) const { return 2 + 2 * t.quota_per_s / set.relays; }
   void log(const std::string& text) { out->push_back(action::Log{text}); }
-  void wake_by(Microseconds t) { wake = std::min(wake, std::max(t, now + set.tick)); }
+  void wake_by(Microseconds t) { wake = std::min(wake, std::max(t, now + set.min_decision_interval)); }
 
   DestinationState& destination_of(DestinationId id) {
     const auto [it, fresh] = destinations.try_emplace(id);
@@ -214,17 +214,17 @@
   // others where notes are allowed. Guards against a limit that hundreds of relays overrun, each with a call
   // a minute and no rate of its own to pace by. A note is a hint: it closes nothing; its effect grows back.
   // May hold messages needlessly for a few seconds where a refusal was a passing clump's.
-  double let_through(const Target& t) const {
-    return std::min(1.0, t.let_through * std::exp(kPaceRaise * seconds(now - t.let_at)));
+  double admission_probability(const Target& t) const {
+    return std::min(1.0, t.admission_probability * std::exp(kPaceRaise * seconds(now - t.let_at)));
   }
   void cut_through(Target& t, const EndpointState& e, bool own) {
     const double cut = std::clamp(2 * after_refusal[t.kind], kThroughCut, 1.0);
     // Where most calls after a refusal are served, waiting D is enough.
     if (cut >= 1 || now - t.let_at < micros(kCutGap)) return;
-    t.let_through = std::max(kLeastThrough, let_through(t) * cut);
+    t.admission_probability = std::max(kLeastThrough, admission_probability(t) * cut);
     t.let_at = now;
-    const bool tell = own && set.peers && now >= tell_at && now - t.told_at >= micros(shortest_aim);
-    if (tell) out->push_back(action::TellPeer{-1, kNoteRefused + e.info.id});
+    const bool tell = own && set.gossip && now >= tell_at && now - t.told_at >= micros(shortest_aim);
+    if (tell) out->push_back(action::SendGossip{-1, kNoteRefused + e.info.id});
     if (tell) tell_at = now + micros(jittered(kTellGap * set.relays));
     if (tell || !own) t.told_at = now;
   }
@@ -234,14 +234,15 @@
   bool serves_us(const Target& t) const { return t.served.at(now) * kRateMemory >= kFewServes; }
   // Whether this attempt is let through; else the target is held for a while.
   bool let(Target& t) {
-    double share = let_through(t);
+    double share = admission_probability(t);
     // No more than it stands when it returns cold.
-    if (perhaps_shut(t)) share = std::min(share, set.fall_multiple * ramp_share() * set.cold_from);
+    if (perhaps_shut(t))
+      share = std::min(share, set.collapse_factor * ramp_share() * set.slow_start_min_share);
     if (serves_us(t) || uniform() < share) return true;
     t.hold_until = now + micros(jittered(kMost * unit));
     return wake_by(t.hold_until), false;
   }
-  void on(const event::PeerNote& ev) {
+  void on(const event::GossipReceived& ev) {
     if (ev.body.rfind(kNoteRefused, 0) != 0) return;
     const auto it = endpoints.find(ev.body.substr(kNoteRefused.size()));
     if (it == endpoints.end()) return;
@@ -282,7 +283,7 @@
   void close(EndpointState& e, const char* why) {
     if (e.health == Health::healthy) {
       // Each relay starts anywhere between two of its trials, else those of many would come together.
-      e.usual_rate = std::max(e.asked.at(now), kLeastCalls / set.relays), e.budget = uniform(),
+      e.baseline_rate = std::max(e.asked.at(now), kLeastCalls / set.relays), e.budget = uniform(),
       e.budget_at = now;
     }
     save_budget(e);
@@ -298,14 +299,15 @@
   // Calls a second that an endpoint out or returning may get from this relay: its part, by its own first
   // tries, of what the endpoint stands for sure. No floor: with hundreds of relays that each see a call a
   // minute, floors of one call each would push it over. What is known of an outage ages out.
-  Microseconds health_span() const { return std::max(set.cold, micros(shortest_aim)); }
+  Microseconds health_span() const { return std::max(set.slow_start_window, micros(shortest_aim)); }
   Growth growth(const EndpointState& e) const {
-    const double usual = std::max(e.usual_rate, 1e-9);
+    const double usual = std::max(e.baseline_rate, 1e-9);
     // Not served since: perhaps it returned only now, so no more than was asked of it before, backlog or not.
-    const double most = on_trial(e) ? usual : kUnbounded, full = usual * set.fall_multiple * ramp_share();
-    if (e.health != Health::slow_start) return Growth(full, most, set.cold_from, 0);
-    const double rise = (1 - set.cold_from) / seconds(health_span());
-    return Growth(full, most, std::min(1.0, set.cold_from + rise * seconds(e.budget_at - e.since)), rise);
+    const double most = on_trial(e) ? usual : kUnbounded, full = usual * set.collapse_factor * ramp_share();
+    if (e.health != Health::slow_start) return Growth(full, most, set.slow_start_min_share, 0);
+    const double rise = (1 - set.slow_start_min_share) / seconds(health_span());
+    return Growth(full, most, std::min(1.0, set.slow_start_min_share + rise * seconds(e.budget_at - e.since)),
+                  rise);
   }
   double budget_now(const EndpointState& e) const {
     return std::min(1.0, e.budget + growth(e).after(seconds(now - e.budget_at)));
@@ -321,7 +323,7 @@
       const bool warm = e.health == Health::slow_start;
       e.health = warm ? Health::healthy : Health::slow_start, e.since = now;
       // A trial call that this frees is for the next round: which message comes first was settled without it.
-      if (warm) e.fail_run = 0, e.fail_share = 0, warmed.push_back(&e);
+      if (warm) e.consecutive_failures = 0, e.failure_rate = 0, warmed.push_back(&e);
       log((warm ? "warm " : "forgotten ") + e.info.id);
       give_by(e, now);
       if (warm) return now;
@@ -343,19 +345,20 @@
     if (e.usual == 0) e.usual = seconds(latency);
     slowness += kSlownessGain * (std::min(seconds(latency) / std::max(e.usual, 1e-3), kMostSlow) - slowness);
     e.usual += kUsualGain * (seconds(latency) - e.usual);
-    e.fail_share *= 1 - kFailMemory;
+    e.failure_rate *= 1 - kFailMemory;
     delay_down(t), pace_raise(t);
     if (e.health == Health::ejected) {
       // Closed on overdue calls alone and they came after all: slow, not out, so nothing is cold.
-      e.health = e.fail_run == 0 && e.fail_share < kMostFail / 2 ? Health::healthy : Health::slow_start;
+      e.health = e.consecutive_failures == 0 && e.failure_rate < kMostFail / 2 ? Health::healthy
+                                                                               : Health::slow_start;
       e.since = e.budget_at = now;
       log((e.health == Health::healthy ? "slow " : "ramp ") + e.info.id);
       give_by(e, now);
     }
     for (; e.strays > 0; e.strays--) stray_share += kStrayGain * (1 - stray_share);
     stray_share *= 1 - kStrayGain;
-    e.fail_run = 0, e.idle_closed = false;
-    e.bundle = std::min(e.bundle + 1, e.bundle_max);
+    e.consecutive_failures = 0, e.idle_closed = false;
+    e.bundle = std::min(e.bundle + 1, e.max_batch_size);
     if (e.call_cap > 0 && now - e.capped_at > micros(2)) e.call_cap++, e.capped_at = now;
   }
   void call_refused(EndpointState& e) {
@@ -369,11 +372,11 @@
     // Shut, not limited: nothing was served between the refusals.
     const bool shut = t.refusals >= kShutRun && now - t.refused_from >= micros(kShutSpan);
     if (!shut && e.health == Health::healthy) return;
-    e.fail_run = std::max(e.fail_run, 1);
+    e.consecutive_failures = std::max(e.consecutive_failures, 1);
     if (e.apart) return shut || e.health == Health::ejected ? close(e, "refuses all") : void();
     for (auto* other : destination_of(e.info.destination).endpoints)
       if (shut || other->health == Health::ejected)
-        save_budget(*other), other->fail_run++, close(*other, "refuses all");
+        save_budget(*other), other->consecutive_failures++, close(*other, "refuses all");
   }
   // Where this relay calls seldom, fewer signs must do, else each relay's would come too late.
   int signs_needed(EndpointState& e) const {
@@ -388,17 +391,17 @@
   void call_failed(EndpointState& e, const event::AttemptEnded& ev, int taken) {
     delay_up(target_of(e));
     save_budget(e);
-    if (ev.outcome == Outcome::connect_failed && e.fail_run == 0 && !e.calls.empty() && overdue(e) == 0 &&
-        e.health == Health::healthy) {
+    if (ev.outcome == Outcome::connect_failed && e.consecutive_failures == 0 && !e.calls.empty() &&
+        overdue(e) == 0 && e.health == Health::healthy) {
       // Connects fail while calls are out and answered: its table of connections may be full.
       e.call_cap = std::max<int>(1, static_cast<int>(e.calls.size()));
       e.capped_at = now;
     }
-    e.fail_run++;
+    e.consecutive_failures++;
     if (ev.outcome == Outcome::reset || ev.outcome == Outcome::error)
       e.strays = std::min(e.strays + 1, kStraysOfOne);
     e.doubt_run = ev.outcome != Outcome::connect_failed;
-    e.fail_share += kFailMemory * (1 - e.fail_share);
+    e.failure_rate += kFailMemory * (1 - e.failure_rate);
     if (ev.outcome == Outcome::timeout || ev.outcome == Outcome::cancelled) {
       e.latency = std::max(e.latency, std::min(e.latency * 2, seconds(ev.latency)));
       drop_idle(e);
@@ -409,13 +412,14 @@
     // A call's messages share its fate: failing calls take fewer along. Guards against whole bundles lost
     // to a doubtful endpoint, and against one that stumbles over large bundles only. Not where it may be a
     // stray failure: under a limit of calls, small bundles would starve the rest.
-    if (chance == 1 || e.fail_run > 1) e.bundle = std::max(1, std::min(e.bundle, taken) / 2);
+    if (chance == 1 || e.consecutive_failures > 1) e.bundle = std::max(1, std::min(e.bundle, taken) / 2);
     const int few = std::max({signs_needed(e), ev.outcome == Outcome::error ? 2 : 1, chance});
     const int run = e.health == Health::healthy      ? std::max(kCloseRun, chance)
                     : e.health == Health::slow_start ? std::max(kCloseRun - 1, chance)
                                                      : 1;
     const double most_fail = kMostFail + (chance > 1 ? stray_share : 0);
-    if (e.fail_run >= few || e.fail_run + overdue(e) >= run || e.fail_share > most_fail)
+    if (e.consecutive_failures >= few || e.consecutive_failures + overdue(e) >= run ||
+        e.failure_rate > most_fail)
       close(e, ev.outcome == Outcome::connect_failed ? "no connection"
                : ev.outcome == Outcome::error        ? "errors"
                                                      : "silent");
@@ -433,7 +437,7 @@
   void drop_unused() {
     for (const auto& id : ended_at) {
       EndpointState& e = endpoints.at(id);
-      if (e.use_gap * set.relays > seconds(set.connection_idle) * kIdleSpared)
+      if (e.use_gap * set.relays > seconds(set.connection_idle_timeout) * kIdleSpared)
         out->push_back(action::CloseIdle{id});
     }
     ended_at.clear();
@@ -451,42 +455,49 @@
   // Called after each outcome: nearly always there is nothing to give, or it is due already.
   void give_later(EndpointState& e) {
     const Target& t = target_of(e);
-    const bool known = t.delay > 0 || kept_pace(t) > 0 || t.let_through < 1 || e.health != Health::healthy;
+    const bool known =
+        t.delay > 0 || kept_pace(t) > 0 || t.admission_probability < 1 || e.health != Health::healthy;
     if (known || t.given_known) give_by(e, std::max(now, t.looked_at + micros(kGiveGap)));
   }
-  double kept_pace(const Target& t) const { return t.pace < kMootPace * set.slots ? t.pace : 0; }
+  double kept_pace(const Target& t) const {
+    return t.pace < kMootPace * set.max_concurrent_calls ? t.pace : 0;
+  }
   // A retry waits the least D in any case, and a busy target never gets under it.
   double kept_delay(double d) const { return d > 1.001 * kLeast * unit ? d : 0; }
   double aged_delay(double d, Microseconds age) const {
     return kept_delay(d * std::exp2(-seconds(age) / (kAgingHalfLife * unit)));
   }
-  TargetMemory memory_of(const EndpointState& e, const Target& t) const {
-    TargetMemory m;
+  LearnedState memory_of(const EndpointState& e, const Target& t) const {
+    LearnedState m;
     m.endpoint = e.info.id, m.destination = e.info.destination;
-    m.wait_left = std::max<Microseconds>(0, t.wait_until - now);
-    m.delay = kept_delay(delay_now(t)), m.pace = kept_pace(t), m.let_through = let_through(t);
-    m.refusals = t.refusals;
-    if (t.refusals > 0) m.refused_age = now - t.refused_from;
+    m.retry_after_left = std::max<Microseconds>(0, t.wait_until - now);
+    m.backoff_delay = kept_delay(delay_now(t)), m.send_rate = kept_pace(t),
+    m.admission_probability = admission_probability(t);
+    m.consecutive_rejections = t.refusals;
+    if (t.refusals > 0) m.first_rejection_age = now - t.refused_from;
     // A ramp that is over is noticed with the next message only.
     if (e.health == Health::healthy || (e.health == Health::slow_start && now >= e.since + health_span()))
       return m;
-    m.health = e.health, m.health_age = now - e.since, m.usual_rate = e.usual_rate;
-    m.budget = std::clamp(budget_now(e), 0.0, 1.0);
-    m.fail_run = e.fail_run, m.fail_share = e.fail_share, m.doubt = e.doubt_run, m.bundle = e.bundle;
+    m.health = e.health, m.time_in_health = now - e.since, m.baseline_rate = e.baseline_rate;
+    m.slow_start_budget = std::clamp(budget_now(e), 0.0, 1.0);
+    m.consecutive_failures = e.consecutive_failures, m.failure_rate = e.failure_rate,
+    m.last_failure_possibly_executed = e.doubt_run, m.batch_size = e.bundle;
     return m;
   }
   // When `m` may be given: now, later, or never where it tells nothing new.
-  Microseconds give_at(const EndpointState& e, const TargetMemory& m) const {
+  Microseconds give_at(const EndpointState& e, const LearnedState& m) const {
     const Given& g = e.given;
-    if (m.health != g.health || (m.wait_left > 0 && now + m.wait_left > g.wait_until)) return now;
+    if (m.health != g.health || (m.retry_after_left > 0 && now + m.retry_after_left > g.wait_until))
+      return now;
     const auto differs = [](double a, double b) { return std::abs(a - b) > kGiveShare * std::max(a, b); };
-    const double let_then = std::min(1.0, g.let_through * std::exp(kPaceRaise * seconds(now - g.at)));
+    const double let_then =
+        std::min(1.0, g.admission_probability * std::exp(kPaceRaise * seconds(now - g.at)));
     const bool changed = m.blank() || !g.known
                              ? m.blank() == g.known
                              : (m.health != Health::healthy && e.since != g.since) ||
-                                   m.refusals != g.refusals ||
-                                   differs(m.delay, aged_delay(g.delay, now - g.at)) ||
-                                   differs(m.pace, g.pace) || differs(m.let_through, let_then);
+                                   m.consecutive_rejections != g.refusals ||
+                                   differs(m.backoff_delay, aged_delay(g.delay, now - g.at)) ||
+                                   differs(m.send_rate, g.pace) || differs(m.admission_probability, let_then);
     return changed ? std::max(now, g.at + micros(kGiveGap)) : kNever;
   }
   // When what was given of the endpoint is over with time alone; kNever where it takes more than that.
@@ -495,13 +506,13 @@
     Microseconds at = std::max(t.wait_until, now);
     if (const double d = kept_delay(delay_now(t)); d > 0)
       at = std::max(at, now + micros(std::log2(d / (kLeast * unit)) * kAgingHalfLife * unit));
-    at = std::max(at, now + micros(-std::log(let_through(t)) / kPaceRaise));
+    at = std::max(at, now + micros(-std::log(admission_probability(t)) / kPaceRaise));
     if (e.health == Health::slow_start) at = std::max(at, e.since + health_span());
     return at + 1'000;  // rounded up
   }
-  std::vector<TargetMemory> learned(Microseconds at, std::size_t most) {
+  std::vector<LearnedState> take_changed_state(Microseconds at, std::size_t most) {
     now = std::max(now, at);
-    std::vector<TargetMemory> given;
+    std::vector<LearnedState> given;
     for (; !swept.empty() && given.size() < most; swept.pop_front())
       given.emplace_back().endpoint = swept.front().first, given.back().destination = swept.front().second;
     while (given.size() < most && !dirty.empty() && dirty.begin()->at <= now) {
@@ -520,15 +531,22 @@
     return given;
   }
   void give_target(Target& t, const std::vector<EndpointState*>& of, std::size_t most,
-                   std::vector<TargetMemory>& given) {
+                   std::vector<LearnedState>& given) {
     t.given_known = false, t.looked_at = now;
     for (EndpointState* e : of) {
       if (&target_of(*e) != &t) continue;  // moved
-      TargetMemory m = memory_of(*e, t);
+      LearnedState m = memory_of(*e, t);
       Microseconds next = give_at(*e, m);
       if (next <= now && given.size() < most) {
-        e->given = Given{!m.blank(), now,    m.health,      e->since,  now + m.wait_left,
-                         m.delay,    m.pace, m.let_through, m.refusals};
+        e->given = Given{!m.blank(),
+                         now,
+                         m.health,
+                         e->since,
+                         now + m.retry_after_left,
+                         m.backoff_delay,
+                         m.send_rate,
+                         m.admission_probability,
+                         m.consecutive_rejections};
         given.push_back(std::move(m));
         next = kNever;
       }
@@ -538,64 +556,67 @@
     }
   }
   // Costs what is listed, little where nothing is known of it.
-  void targets(Microseconds at, std::size_t most, std::vector<TargetMemory>& known) const {
+  void endpoint_states(Microseconds at, std::size_t most, std::vector<LearnedState>& known) const {
     for (const auto& [id, d] : destinations)
       for (const EndpointState* e : d.endpoints) {
         if (e->info.listing == Listing::gone || e->info.destination != id) continue;
         const Target& t = e->apart ? e->own : d.target;
         const bool blank = e->health == Health::healthy && t.wait_until <= at && t.delay == 0 &&
-                           t.pace == kUnbounded && t.let_through >= 1;
+                           t.pace == kUnbounded && t.admission_probability >= 1;
         if (known.size() >= (blank ? most : 4 * most)) continue;
-        TargetMemory& m = known.emplace_back(memory_of(*e, t));
+        LearnedState& m = known.emplace_back(memory_of(*e, t));
         // As of the last round, but for what runs off by itself.
-        m.wait_left = std::max<Microseconds>(0, t.wait_until - std::max(at, now));
+        m.retry_after_left = std::max<Microseconds>(0, t.wait_until - std::max(at, now));
       }
   }
-  void on(const event::TargetRecalled& ev) {
-    const auto it = endpoints.find(ev.memory.endpoint);
+  void on(const event::LearnedStateRestored& ev) {
+    const auto it = endpoints.find(ev.state.endpoint);
     if (it == endpoints.end() || it->second.info.listing == Listing::gone) return;
     EndpointState& e = it->second;
     if (e.recalled) return;
     e.recalled = true;
-    const TargetMemory& m = ev.memory;
+    const LearnedState& m = ev.state;
     // Guards against records of another make: not a number counts as the least.
     const auto within = [](auto least, auto x, auto most) { return x > least ? std::min(x, most) : least; };
     const Microseconds age = within(Microseconds{0}, ev.age, kNever / 4), written = now - age;
-    const Microseconds health_age = within(Microseconds{0}, m.health_age, kNever / 4);
+    const Microseconds time_in_health = within(Microseconds{0}, m.time_in_health, kNever / 4);
     Target& t = target_of(e);
     if (e.apart || m.destination == e.info.destination) {
-      t.wait_until = std::max(t.wait_until, written + within(Microseconds{0}, m.wait_left, kNever / 4));
+      t.wait_until =
+          std::max(t.wait_until, written + within(Microseconds{0}, m.retry_after_left, kNever / 4));
       if (!t.heard && written >= t.recalled) {
         if (t.let_at <= t.recalled) {  // else told by a peer since
-          const double let = within(kLeastThrough, m.let_through, 1.0);
-          t.let_through = written > t.recalled ? let : std::min(t.let_through, let), t.let_at = written;
+          const double let = within(kLeastThrough, m.admission_probability, 1.0);
+          t.admission_probability = written > t.recalled ? let : std::min(t.admission_probability, let),
+          t.let_at = written;
         }
         // Of one age: the more careful of both.
         if (written > t.recalled) t.delay = 0, t.pace = kUnbounded, t.refusals = 0, t.refused_from = now;
         t.recalled = t.delay_at = written;
-        t.delay = std::max(t.delay, within(0.0, m.delay, kMost * unit));
-        if (m.pace > 0) t.pace = std::min(t.pace, m.pace);
-        t.refusals = std::max(t.refusals, within(0, m.refusals, 1'000));
+        t.delay = std::max(t.delay, within(0.0, m.backoff_delay, kMost * unit));
+        if (m.send_rate > 0) t.pace = std::min(t.pace, m.send_rate);
+        t.refusals = std::max(t.refusals, within(0, m.consecutive_rejections, 1'000));
         if (t.refusals > 0)
           t.refused_from =
-              std::min(t.refused_from, written - within(Microseconds{0}, m.refused_age, kNever / 4));
+              std::min(t.refused_from, written - within(Microseconds{0}, m.first_rejection_age, kNever / 4));
         t.tokens = 0, t.tokens_at = t.raise_at = now;
       }
     }
     const bool known = m.health == Health::ejected || m.health == Health::slow_start;
-    if (known && !e.heard && e.health == Health::healthy && e.fail_run == 0) {
+    if (known && !e.heard && e.health == Health::healthy && e.consecutive_failures == 0) {
       e.health = m.health;
-      e.usual_rate = within(0.0, m.usual_rate, 1e9);
-      e.fail_run = within(0, m.fail_run, 1'000), e.fail_share = within(0.0, m.fail_share, 1.0);
-      e.doubt_run = m.doubt;
-      if (m.bundle > 0) e.bundle = std::min(m.bundle, e.bundle_max);
+      e.baseline_rate = within(0.0, m.baseline_rate, 1e9);
+      e.consecutive_failures = within(0, m.consecutive_failures, 1'000),
+      e.failure_rate = within(0.0, m.failure_rate, 1.0);
+      e.doubt_run = m.last_failure_possibly_executed;
+      if (m.batch_size > 0) e.bundle = std::min(m.batch_size, e.max_batch_size);
       // It warms up whoever calls. But none made trials that would have kept it closed; and it may have been
       // closed anew within the gap before the end.
       e.since = m.health == Health::slow_start
-                    ? written - health_age
-                    : now - std::max<Microseconds>(0, health_age - micros(kGiveGap));
+                    ? written - time_in_health
+                    : now - std::max<Microseconds>(0, time_in_health - micros(kGiveGap));
       // No more than it could have grown to, and spread as in close().
-      e.budget = within(0.0, m.budget, 1.0), e.budget_at = written;
+      e.budget = within(0.0, m.slow_start_budget, 1.0), e.budget_at = written;
       e.budget = std::min(uniform(), budget_now(e)), e.budget_at = now;
       e.next_trial = now + trial_gap(e);
       log("recalled " + e.info.id);
@@ -618,8 +639,8 @@
     const auto place = std::min(static_cast<std::size_t>(std::max(info.kind, 0)), set.kinds.size());
     const KindSettings kind = place < set.kinds.size() ? set.kinds[place] : KindSettings{};
     e.own.kind = destination_of(info.destination).target.kind = place;
-    e.apart = kind.routes_apart, e.bundle_max = kind.bundle_max;
-    if (fresh) e.bundle = e.bundle_max, e.use_gap = set.relays, e.asked.start(now);
+    e.apart = kind.per_endpoint_limits, e.max_batch_size = kind.max_batch_size;
+    if (fresh) e.bundle = e.max_batch_size, e.use_gap = set.relays, e.asked.start(now);
     auto& siblings = destinations.at(info.destination).endpoints;
     if (from != info.destination) {
       std::erase(destinations.at(from).endpoints, &e);
@@ -632,13 +653,13 @@
     for (const auto* other : siblings)
       if (model == nullptr || other->health == Health::healthy) model = other;
     if (model != nullptr && !e.apart && model->health != Health::healthy) {
-      e.health = model->health, e.since = model->since, e.usual_rate = model->usual_rate;
+      e.health = model->health, e.since = model->since, e.baseline_rate = model->baseline_rate;
       e.budget_at = now, e.next_trial = now, e.budget = uniform();
       give_by(e, now);
     }
     siblings.push_back(&e);
   }
-  void on(const event::ListWhole& ev) {
+  void on(const event::EndpointListSnapshot& ev) {
     for (auto& [id, e] : endpoints) e.info.listing = Listing::gone;
     list_changed = true;
     for (const auto& info : ev.endpoints) take(info);
@@ -646,16 +667,16 @@
       if (e.info.listing == Listing::gone) gone.insert(id);
     if (!ev.cached)
       ask_gap = kAskAgain;
-    else if (set.subscribe)
+    else if (set.list_subscription)
       ask_at = now;
   }
-  void on(const event::ListChanges& ev) {
+  void on(const event::EndpointListUpdate& ev) {
     for (const auto& info : ev.endpoints) take(info);
     ask_gap = kAskAgain;
   }
   // A list that is told behind it is no sign that the next one will come: it may have waited to be told, be
   // one of several parts, or the answer to another question. So it is asked again whatever comes.
-  void on(const event::ListFailed&) {
+  void on(const event::EndpointListFailed&) {
     ask_at = now + micros(jittered(ask_gap));
     ask_gap = std::min(2 * ask_gap, kAskAgainMost);
   }
@@ -666,58 +687,59 @@
   }
 
   // ---- Messages. ----
-  double value(const Message& m, Microseconds t) const {
-    return m.worth * worth_left(*m.cls, set.decay, t - m.aim);
+  double value(const Request& m, Microseconds t) const {
+    return m.priority_weight * worth_left(*m.cls, set.decay, t - m.latency_objective);
   }
   // What waiting one more short aim would lose, and a little for what is there to win.
-  double urgency(const Message& m, Microseconds answer) const {
+  double urgency(const Request& m, Microseconds answer) const {
     const double v = value(m, answer);
     return v - value(m, answer + micros(shortest_aim)) + 0.1 * v;
   }
-  void on(const event::Arrival& ev) {
+  void on(const event::RequestArrived& ev) {
     const auto [it, fresh] = messages.try_emplace(ev.id);
-    Message& m = it->second;
+    Request& m = it->second;
     live += fresh;
     waiting.remove(m);
     touch(m, ev.id);
     m.id = ev.id, m.destination = ev.destination, m.key = ev.order_key;
     m.cls = &set.classes[static_cast<std::size_t>(ev.message_class)];
     m.deadline = now + ev.time_left, m.ready = now, m.owed = false;
-    m.aim = m.deadline - m.cls->deadline + m.cls->aim;
+    m.latency_objective = m.deadline - m.cls->deadline + m.cls->latency_objective;
     const double share = share_left(ev.tenant);
-    m.worth = m.cls->worth * share;
+    m.priority_weight = m.cls->priority_weight * share;
     m.group = 4 * static_cast<std::size_t>(ev.message_class) + (share != 1);
     if (!m.cls->ordered) m.key.clear();
     if (!m.key.empty()) keys[m.key].line.push_back(m.id);
   }
   // Back from an earlier life. An attempt that may have run bars an unsafe message from all but failing; at
   // once, for no outcome of that life will come any more.
-  void on(const event::Recovered& ev) {
+  void on(const event::RequestRecovered& ev) {
     on(ev.message);
-    Message& m = messages.at(ev.message.id);
+    Request& m = messages.at(ev.message.id);
     m.sends = ev.attempts;
-    m.may_ran_zone = ev.may_have_run_zone, m.may_ran_sent = now - ev.may_have_run_ago;
+    m.may_ran_zone = ev.possibly_executed_zone, m.may_ran_sent = now - ev.possibly_executed_age;
     const bool barred = m.cls->idempotency == Idempotency::non_idempotent && m.may_ran_zone;
-    if (!barred && m.sends < set.attempts_max && now < latest_send(m)) return owe(m, !ev.tried);
+    if (!barred && m.sends < set.max_attempts && now < latest_send(m)) return owe(m, !ev.tried);
     finish(m, false);
     forget(messages.find(m.id));
   }
   // What an earlier life left untried is tried before what comes in now, once.
-  static void owe(Message& m, bool owed) {
+  static void owe(Request& m, bool owed) {
     if (owed == std::exchange(m.owed, owed)) return;
-    m.worth *= owed ? kOwedFirst : 1 / kOwedFirst;
+    m.priority_weight *= owed ? kOwedFirst : 1 / kOwedFirst;
     owed ? m.group += 2 : m.group -= 2;
   }
   // Whether the share that is let through keeps it back. An owed message's one try comes at a moment drawn
   // evenly from what it has left: the shares of hundreds of relays that came back together are far below one
   // call each in its time, while what they have to try is bounded by what they held.
-  bool try_comes(Message& m, const Target& t, Gate& gate) {
-    const double share = let_through(t);
+  bool try_comes(Request& m, const Target& t, Gate& gate) {
+    const double share = admission_probability(t);
     if (share >= 1 || serves_us(t)) return true;
     if (m.try_at == kNever) m.try_at = now + micros(kTryWithin * uniform() * seconds(latest_send(m) - now));
     if (now >= m.try_at) return true;
     gate.own = true;
-    gate.when = std::min({gate.when, m.try_at, t.let_at + micros(-std::log(t.let_through) / kPaceRaise) + 1});
+    gate.when = std::min(
+        {gate.when, m.try_at, t.let_at + micros(-std::log(t.admission_probability) / kPaceRaise) + 1});
     return false;
   }
   // Beyond its share a tenant's messages are worth little; the share is split over the relays.
@@ -729,34 +751,34 @@
     const double tokens = share_tokens[i] + quota * seconds(now - share_at[i]);
     share_tokens[i] = std::min(tokens, burst_of(set.tenants[i]));
     share_at[i] = now;
-    if (share_tokens[i] < 1) return set.over_share_worth;
+    if (share_tokens[i] < 1) return set.over_quota_weight;
     share_tokens[i] -= 1;
     return 1;
   }
-  bool may_refuse(const Message& m) const {
+  bool may_refuse(const Request& m) const {
     if (m.cls->idempotency == Idempotency::idempotent) return true;
-    if (m.cls->idempotency == Idempotency::keyed && m.cls->group == KeyGroup::all) return true;
+    if (m.cls->idempotency == Idempotency::keyed && m.cls->key_scope == KeyScope::all) return true;
     return m.out.empty() && !m.may_ran_zone;
   }
   // For want of room. What an earlier life took on is tried first: what comes in now waits or is refused.
-  bool may_hand_back(const Message& m) const { return may_refuse(m) && !m.owed; }
-  void finish(Message& m, bool again) {
+  bool may_hand_back(const Request& m) const { return may_refuse(m) && !m.owed; }
+  void finish(Request& m, bool again) {
     if (m.over) return;
     end(m);
     if (again && may_refuse(m))
-      out->push_back(action::Refuse{m.id, micros(unit * kInitial)});
+      out->push_back(action::Reject{m.id, micros(unit * kInitial)});
     else
       out->push_back(action::Fail{m.id});
   }
-  void end(Message& m) {
+  void end(Request& m) {
     live -= !m.over;
     m.over = true;
     waiting.remove(m);
     touch(m, m.id);
   }
   // Forgets a message that is over and has nothing out, and lets the next of its key step up.
-  void forget(std::unordered_map<MessageId, Message>::iterator it) {
-    Message& m = it->second;
+  void forget(std::unordered_map<MessageId, Request>::iterator it) {
+    Request& m = it->second;
     if (!m.over || !m.out.empty()) return;
     if (!m.key.empty()) {
       auto& line = keys[m.key].line;
@@ -804,21 +826,21 @@
       it = bare.erase(it);
     }
   }
-  void on(const event::Withdrawn& ev) {
+  void on(const event::RequestWithdrawn& ev) {
     auto it = messages.find(ev.id);
     if (it == messages.end()) return;
     end(it->second);
     forget(it);
   }
-  void on(const event::TimerDue&) {
+  void on(const event::TimerExpired&) {
     if (now >= timer_at) timer_at = kNever;
   }
-  void on(const event::ProbeEnded&) {}
+  void on(const event::HealthCheckEnded&) {}
 
   void on(const event::AttemptEnded& ev) {
     auto it = messages.find(ev.id);
     if (it == messages.end()) return;
-    Message& m = it->second;
+    Request& m = it->second;
     auto attempt = m.out.find(ev.attempt);
     if (attempt == m.out.end()) return;
     auto call_it = calls.find(attempt->second);
@@ -826,7 +848,7 @@
     EndpointState& e = *call.endpoint;
     const Microseconds sent = call.sent;
     Microseconds& wait_until = target_of(e).wait_until;
-    if (ev.told_wait > 0) wait_until = std::max(wait_until, now + ev.told_wait), give_by(e, now);
+    if (ev.retry_after > 0) wait_until = std::max(wait_until, now + ev.retry_after), give_by(e, now);
     m.out.erase(attempt);
     touch(m, ev.id);
     const bool last = --call.left == 0;
@@ -838,7 +860,7 @@
       e.heard = target_of(e).heard = true;
       if (ev.outcome == Outcome::served)
         call_served(e, sent, ev.latency);
-      else if (ev.outcome == Outcome::full)
+      else if (ev.outcome == Outcome::rejected)
         call_refused(e);
       else
         call_failed(e, ev, call.messages);
@@ -848,70 +870,70 @@
     count_trials(e);
     waiting.news(e.info.destination);
 
-    const bool never_ran = ev.outcome == Outcome::full || ev.outcome == Outcome::connect_failed ||
+    const bool never_ran = ev.outcome == Outcome::rejected || ev.outcome == Outcome::connect_failed ||
                            ev.outcome == Outcome::not_sent;
     if (!never_ran && (!m.may_ran_zone || sent < m.may_ran_sent))
       m.may_ran_zone = e.info.zone, m.may_ran_sent = sent;
     const bool doubt =
         ev.outcome == Outcome::timeout || ev.outcome == Outcome::reset || ev.outcome == Outcome::cancelled;
     if (doubt && !m.key.empty()) {
-      keys[m.key].rest_until = now + set.settle_after_doubt;
-      resting.emplace_back(now + set.settle_after_doubt, m.key);
+      keys[m.key].rest_until = now + set.key_quiet_period;
+      resting.emplace_back(now + set.key_quiet_period, m.key);
     }
-    if (ev.closed || ev.outcome == Outcome::served) end(m);
+    if (ev.request_completed || ev.outcome == Outcome::served) end(m);
     if (!m.over && m.out.empty()) {
       // A retry waits the jittered D; one that would come too late, or may not be made, ends here.
       const double d = std::max(delay_now(target_of(e)), kLeast * unit);
       m.ready = now + micros(jittered(d));
       const bool barred = m.cls->idempotency == Idempotency::non_idempotent && m.may_ran_zone;
-      if (barred || m.sends >= set.attempts_max || m.ready >= latest_send(m)) finish(m, false);
+      if (barred || m.sends >= set.max_attempts || m.ready >= latest_send(m)) finish(m, false);
     }
     forget(it);
   }
   // After this a send can't be made any more: the deadline, or the end of the key's window.
-  Microseconds latest_send(const Message& m) const {
+  Microseconds latest_send(const Request& m) const {
     // Guards against ends that are told too late: a stall of a few rounds just before the deadline.
-    Microseconds t = m.deadline - std::max(2 * set.tick, micros(kLeastLeft * shortest_aim));
+    Microseconds t = m.deadline - std::max(2 * set.min_decision_interval, micros(kLeastLeft * shortest_aim));
     if (m.cls->idempotency == Idempotency::keyed && m.may_ran_zone) t = std::min(t, key_end(m));
     return t;
   }
   // Until when the destination surely knows the key of a message that may have run, for a call that is
   // written as late as it may be after it was decided on. A window that is shorter than that allows no
   // repeat.
-  Microseconds key_end(const Message& m) const {
-    return m.may_ran_sent + m.cls->key_window - std::max(set.tick, kWriteDelay);
+  Microseconds key_end(const Request& m) const {
+    return m.may_ran_sent + m.cls->key_window - std::max(set.min_decision_interval, kWriteDelay);
   }
 
   // ---- The gate. Every send passes here; it tells when to look again. ----
   // What it says of a message holds for all of its lane, but for what it calls the message's own; and until
   // the time it tells, unless something happens at the destination or, where it wants one, a trial call is
   // free.
-  bool passes(Message& m, EndpointState& e, Gate& gate) {
+  bool passes(Request& m, EndpointState& e, Gate& gate) {
     Microseconds& when = gate.when;
     if (e.info.listing != Listing::active) return false;
-    const bool keyed_by_zone = m.cls->idempotency == Idempotency::keyed && m.cls->group == KeyGroup::zone;
+    const bool keyed_by_zone = m.cls->idempotency == Idempotency::keyed && m.cls->key_scope == KeyScope::zone;
     if (keyed_by_zone && m.may_ran_zone && e.info.zone != *m.may_ran_zone) return false;
     Target& t = target_of(e);
     const bool own_try = m.owed && !perhaps_shut(t);  // else by the share that is let through
     const Microseconds held = own_try ? t.wait_until : std::max(t.wait_until, t.hold_until);
     if (held > now) return when = std::min(when, held), false;
     if (room_in_call(e)) return true;
-    if (calls.size() >= static_cast<std::size_t>(set.slots)) return false;
+    if (calls.size() >= static_cast<std::size_t>(set.max_concurrent_calls)) return false;
     const Microseconds ready = std::max(budget_ready(e), pace_ready(t));
     // Its health changes with time, whatever else keeps messages from it.
     if (e.health != Health::healthy) when = std::min(when, e.since + health_span());
     if (ready > now) return when = std::min(when, ready), false;
     if (e.health == Health::ejected && m.cls->idempotency == Idempotency::non_idempotent && e.doubt_run &&
-        now < m.aim) {
+        now < m.latency_objective) {
       // A trial call that may be lost is no place for a message that can't be repeated.
-      return gate.own = true, when = std::min(when, m.aim), false;
+      return gate.own = true, when = std::min(when, m.latency_objective), false;
     }
     if (static_cast<int>(e.calls.size()) >= call_limit(e)) return gate.trial |= on_trial(e), false;
     return !own_try || e.health != Health::healthy || try_comes(m, t, gate);
   }
-  Waiting::LaneKey lane_of(const Message& m) const {
+  Waiting::LaneKey lane_of(const Request& m) const {
     const bool one_zone =
-        m.cls->idempotency == Idempotency::keyed && m.cls->group == KeyGroup::zone && m.may_ran_zone;
+        m.cls->idempotency == Idempotency::keyed && m.cls->key_scope == KeyScope::zone && m.may_ran_zone;
     return {m.destination, one_zone ? *m.may_ran_zone : -1, m.cls->idempotency == Idempotency::non_idempotent,
             m.owed};
   }
@@ -923,29 +945,34 @@
   // Bulkhead: one endpoint's calls out, so that a silent or slow one can't hold the slots of the rest.
   int call_limit(EndpointState& e) {
     // Trials are spaced; all of them out together may hold a part of the slots only.
-    if (on_trial(e)) return trial_free() ? set.slots : 0;
+    if (on_trial(e)) return trial_free() ? set.max_concurrent_calls : 0;
     const int late = overdue(e);
-    const double most = late > 0 || e.fail_run > 0 ? std::max(1.0, set.slots * kDoubtSlots)
-                                                   : std::max(1.0, std::ceil(set.slots * kTargetSlots));
+    const double most = late > 0 || e.consecutive_failures > 0
+                            ? std::max(1.0, set.max_concurrent_calls * kDoubtSlots)
+                            : std::max(1.0, std::ceil(set.max_concurrent_calls * kTargetSlots));
     // A slot is free again only in the round after the answer: without the tick, calls that are answered at
     // once would justify no slots, and a round would send hardly more than the base.
-    const double turn = e.latency + seconds(set.tick);
+    const double turn = e.latency + seconds(set.min_decision_interval);
     double limit = std::min(most, kBaseCalls + 3 * e.served.at(now) * turn);
     if (e.call_cap > 0) limit = std::min<double>(limit, e.call_cap);
     return std::max(1, static_cast<int>(limit));
   }
-  bool on_trial(const EndpointState& e) const { return e.health != Health::healthy && e.fail_run > 0; }
-  bool trial_free() const { return static_cast<double>(trials_out) < std::max(1.0, kTrialSlots * set.slots); }
+  bool on_trial(const EndpointState& e) const {
+    return e.health != Health::healthy && e.consecutive_failures > 0;
+  }
+  bool trial_free() const {
+    return static_cast<double>(trials_out) < std::max(1.0, kTrialSlots * set.max_concurrent_calls);
+  }
   // Cheaper first: shorter expected wait there, its fee, the distance.
   double price(const EndpointState& e) const {
     const auto zone = static_cast<std::size_t>(e.info.zone);
-    const double fee = e.apart && zone < set.zone_fees.size() ? set.zone_fees[zone] : 0;
-    const double load = static_cast<double>(e.calls.size()) + 1 + e.fail_run;
+    const double fee = e.apart && zone < set.zone_costs.size() ? set.zone_costs[zone] : 0;
+    const double load = static_cast<double>(e.calls.size()) + 1 + e.consecutive_failures;
     return load * e.latency * (e.health == Health::slow_start ? 2 : 1) * (1 + fee) +
            (e.info.zone == set.zone ? 0 : 0.02);
   }
-  bool try_send(Message& m, Gate& gate) {
-    if (m.sends >= set.attempts_max || now >= latest_send(m)) return false;
+  bool try_send(Request& m, Gate& gate) {
+    if (m.sends >= set.max_attempts || now >= latest_send(m)) return false;
     EndpointState* best = nullptr;
     double best_price = 0;
     const auto destination = destinations.find(m.destination);
@@ -965,7 +992,7 @@
     send(m, *best);
     return true;
   }
-  void send(Message& m, EndpointState& e) {
+  void send(Request& m, EndpointState& e) {
     Target& t = target_of(e);
     if (!room_in_call(e)) {
       e.open_call = next_call++;
@@ -987,12 +1014,12 @@
     touch(m, m.id);
     owe(m, false);
     const bool unsafe = m.cls->idempotency == Idempotency::non_idempotent;
-    const double aims = seconds(m.cls->aim) * (unsafe ? kUnsafeTimeoutAims : kSafeTimeoutAims);
+    const double aims = seconds(m.cls->latency_objective) * (unsafe ? kUnsafeTimeoutAims : kSafeTimeoutAims);
     const Microseconds timeout =
         std::min(micros(std::max(aims, kTimeoutTimes * e.latency)), m.deadline - now);
     m.out[m.sends++] = e.open_call;
     action::Send a{m.id, e.info.id, timeout, {}};
-    if (m.cls->idempotency == Idempotency::keyed && m.may_ran_zone) a.begin_within = key_end(m) - now;
+    if (m.cls->idempotency == Idempotency::keyed && m.may_ran_zone) a.start_within = key_end(m) - now;
     out->push_back(std::move(a));
   }
 
@@ -1000,18 +1027,18 @@
   // the long time-out that slow destinations need. Given up are calls that later ones have overtaken and,
   // while slots are short, sooner, also those since whose send nothing was served there. Unsafe messages,
   // which it loses, have an aim's time first. May cut a call that is merely heavy.
-  void give_up(Message& m, bool slots_short) {
+  void give_up(Request& m, bool slots_short) {
     const auto [attempt, call_id] = *m.out.begin();
     const Call& call = calls[call_id];
     const bool unsafe = m.cls->idempotency == Idempotency::non_idempotent,
                overtaken = call.sent < call.endpoint->served_sent;
     const bool silent = call.sent >= call.endpoint->served_at;  // answers to earlier calls: slow, at work
     if (m.gave_up == attempt || !(overtaken || (slots_short && silent))) return;
-    const double least = unsafe ? seconds(m.cls->aim) : 0;
+    const double least = unsafe ? seconds(m.cls->latency_objective) : 0;
     const double times = slots_short ? kOverdueTimes : kTimeoutTimes;
     double after = times * call.endpoint->latency + kOverdueMore;
     // Later it is worth less; but where all destinations answer slowly, patience is cheaper than cutting.
-    if (slots_short) after = std::min(after, seconds(m.cls->aim)) * std::max(1.0, slowness);
+    if (slots_short) after = std::min(after, seconds(m.cls->latency_objective)) * std::max(1.0, slowness);
     const Microseconds due = call.sent + micros(std::max(least, after));
     if (now < due) return wake_by(due);
     m.gave_up = attempt;
@@ -1020,23 +1047,23 @@
 
   // ---- What goes next. ----
   // Messages that come after this one may go in its call, whatever kept them before.
-  void share_call(const Message& with, EndpointState& e) {
+  void share_call(const Request& with, EndpointState& e) {
     begun.push_back(&e);
     const Microseconds ahead = now + micros(kFirstLatency);
     const double u = urgency(with, ahead);
     waiting.reopen(with.destination, [&](const Waiting::Entry& other) {
-      const double v = urgency(static_cast<const Message&>(other), ahead);
+      const double v = urgency(static_cast<const Request&>(other), ahead);
       return v < u || (v == u && other.id > with.id);
     });
   }
-  void touch(Message& m, MessageId id) {
+  void touch(Request& m, MessageId id) {
     if (!std::exchange(m.touched, true)) touched.push_back(id);
   }
-  Microseconds last_of(const Message& m) const {
-    return m.out.empty() ? latest_send(m) : m.deadline - 2 * set.tick;
+  Microseconds last_of(const Request& m) const {
+    return m.out.empty() ? latest_send(m) : m.deadline - 2 * set.min_decision_interval;
   }
   // When its key lets it go: kNever where others come first.
-  Microseconds turn(const Message& m) const {
+  Microseconds turn(const Request& m) const {
     if (m.key.empty()) return now;
     const KeyLine& k = keys.at(m.key);
     return k.line.front() != m.id ? kNever : m.sends == 0 ? k.rest_until : now;
@@ -1045,10 +1072,10 @@
 #include HERONVANE_FULL_WALK
 #else
   void dispatch() {
-    const bool slots_short = calls.size() >= static_cast<std::size_t>(set.slots);
+    const bool slots_short = calls.size() >= static_cast<std::size_t>(set.max_concurrent_calls);
     const std::size_t held_then = live;
     for (; !agenda.empty() && agenda.begin()->first <= now; agenda.erase(agenda.begin())) {
-      Message& m = messages.at(agenda.begin()->second);
+      Request& m = messages.at(agenda.begin()->second);
       m.due = kNever;
       touch(m, m.id);
     }
@@ -1063,7 +1090,7 @@
     std::sort(due.begin(), due.end());
     due.erase(std::unique(due.begin(), due.end()), due.end());
     for (const MessageId id : due) {
-      Message& m = messages.at(id);
+      Request& m = messages.at(id);
       if (now < last_of(m)) {
         give_up(m, slots_short);
         continue;
@@ -1072,16 +1099,16 @@
       ended.push_back(id);
     }
     const auto urgent = [&](const Waiting::Entry& e) {
-      return urgency(static_cast<const Message&>(e), ahead);
+      return urgency(static_cast<const Request&>(e), ahead);
     };
     const auto unlucky = send_open(urgent);
     fill_calls(urgent);
-    for (Message* m : unlucky) waiting.enter(*m, lane_of(*m));
+    for (Request* m : unlucky) waiting.enter(*m, lane_of(*m));
     // Buffer nearly full: hand back what is worth least, rather than have the next ones turned away.
-    const auto most = std::max<std::size_t>(static_cast<std::size_t>(kBufferFull * set.open_max), 1);
+    const auto most = std::max<std::size_t>(static_cast<std::size_t>(kBufferFull * set.max_in_flight), 1);
     if (held_then > most)
       for (auto* e : waiting.least(held_then - most, urgent)) {
-        Message& m = static_cast<Message&>(*e);
+        Request& m = static_cast<Request&>(*e);
         // What an earlier life took on is tried before it is handed back: what comes in now waits or is
         // refused.
         if (!may_hand_back(m)) continue;
@@ -1093,14 +1120,16 @@
       if (const auto it = messages.find(id); it != messages.end()) plan(it->second);
     touched.clear();
     // Short from now on: some that are out may be given up sooner.
-    if (set.cancelling && !slots_short && calls.size() >= static_cast<std::size_t>(set.slots)) wake_by(now);
+    if (set.cancellation && !slots_short &&
+        calls.size() >= static_cast<std::size_t>(set.max_concurrent_calls))
+      wake_by(now);
     if (!agenda.empty()) wake_by(agenda.begin()->first);
     if (waiting.next_look() < kNever) wake_by(waiting.next_look());
   }
   // Those in flight that may be given up.
   std::vector<MessageId> overdue_messages(bool slots_short) const {
     std::vector<MessageId> found;
-    if (!set.cancelling) return found;
+    if (!set.cancellation) return found;
     for (const auto& [id, call] : calls) {
       const bool overtaken = call.sent < call.endpoint->served_sent,
                  silent = call.sent >= call.endpoint->served_at;
@@ -1114,12 +1143,12 @@
     return found;
   }
   // Waits from now on, if its time has come and it does not wait already.
-  void line_up(Message& m, Microseconds ahead) {
+  void line_up(Request& m, Microseconds ahead) {
     if (!m.out.empty() || m.ready > now) return;
     if (!m.listed()) waiting.list(m, ahead);
     if (m.lane() == nullptr && turn(m) <= now) waiting.enter(m, lane_of(m));
   }
-  void plan(Message& m) {
+  void plan(Request& m) {
     m.touched = false;
     Microseconds at = m.over ? kNever : last_of(m);
     if (!m.over && m.out.empty() && m.lane() == nullptr) at = std::min(at, std::max(m.ready, turn(m)));
@@ -1130,13 +1159,13 @@
   }
   // Those that were tried in vain, and are to be tried in the next round.
   template <class Urgency>
-  std::vector<Message*> send_open(const Urgency& urgent) {
+  std::vector<Request*> send_open(const Urgency& urgent) {
     waiting.open_due(now);
-    std::vector<Message*> again;
-    while (calls.size() < static_cast<std::size_t>(set.slots)) {
+    std::vector<Request*> again;
+    while (calls.size() < static_cast<std::size_t>(set.max_concurrent_calls)) {
       auto* const first = waiting.best(urgent, trial_free());
       if (first == nullptr) break;
-      Message& m = static_cast<Message&>(*first);
+      Request& m = static_cast<Request&>(*first);
       Gate gate;
       if (try_send(m, gate)) continue;
       if (gate.chance || (gate.own && gate.trial))
@@ -1182,7 +1211,7 @@
   void handle(Microseconds at, const std::vector<Event>& events, std::vector<Action>& actions) {
     now = std::max(now, at), out = &actions, wake = kNever;
     for (const auto& ev : events) std::visit([this](const auto& e) { on(e); }, ev);
-    if (set.subscribe) ask();
+    if (set.list_subscription) ask();
     dispatch();
     if (!warmed.empty()) wake_by(now);
     for (EndpointState* e : std::exchange(warmed, {})) count_trials(*e);
@@ -1204,20 +1233,20 @@
 Dispatcher::Dispatcher(Dispatcher&&) noexcept = default;
 Dispatcher& Dispatcher::operator=(Dispatcher&&) noexcept = default;
 
-std::size_t Dispatcher::kept() const {
+std::size_t Dispatcher::retained_objects() const {
   const State& s = *state_;
   return s.endpoints.size() + s.destinations.size() + s.messages.size() + s.keys.size() + s.calls.size() +
          s.resting.size() + s.dirty.size() + s.swept.size();
 }
 
-std::size_t Dispatcher::waiting() const { return state_->waiting.size(); }
+std::size_t Dispatcher::queued_requests() const { return state_->waiting.size(); }
 
-std::vector<TargetMemory> Dispatcher::learned(Microseconds now, std::size_t most) {
-  return state_->learned(now, most);
+std::vector<LearnedState> Dispatcher::take_changed_state(Microseconds now, std::size_t most) {
+  return state_->take_changed_state(now, most);
 }
 
-void Dispatcher::targets(Microseconds now, std::size_t most, std::vector<TargetMemory>& known) const {
-  state_->targets(now, most, known);
+void Dispatcher::endpoint_states(Microseconds now, std::size_t most, std::vector<LearnedState>& known) const {
+  state_->endpoint_states(now, most, known);
 }
 
 void Dispatcher::handle(Microseconds now, const std::vector<Event>& events, std::vector<Action>& actions) {
--- a/src/settings.cpp
+++ b/src/settings.cpp
@@ -12,25 +12,26 @@
   };
   need(!s.classes.empty(), "classes: at least one is needed");
   for (const auto& c : s.classes) {
-    need(c.aim > 0, "classes.aim: must be above 0");
+    need(c.latency_objective > 0, "classes.aim: must be above 0");
     need(c.deadline > 0, "classes.deadline: must be above 0");
-    need(c.worth >= 0 && c.late_worth >= 0, "classes.worth and late_worth: must not be negative");
+    need(c.priority_weight >= 0 && c.weight_at_deadline >= 0,
+         "classes.worth and late_worth: must not be negative");
     need(c.key_window >= 0, "classes.key_window: must not be negative");
   }
-  for (const auto& k : s.kinds) need(k.bundle_max >= 1, "kinds.bundle_max: must be 1 or more");
+  for (const auto& k : s.kinds) need(k.max_batch_size >= 1, "kinds.bundle_max: must be 1 or more");
   for (const auto& t : s.tenants) need(t.quota_per_s >= 0, "tenants.quota_per_s: must not be negative");
   need(s.relays >= 1, "relays: must be 1 or more");
-  need(s.slots >= 1, "slots: must be 1 or more");
-  need(s.open_max >= 1, "open_max: must be 1 or more");
-  need(s.attempts_max >= 1, "attempts_max: must be 1 or more");
-  need(s.tick >= 0, "tick: must not be negative");
+  need(s.max_concurrent_calls >= 1, "slots: must be 1 or more");
+  need(s.max_in_flight >= 1, "open_max: must be 1 or more");
+  need(s.max_attempts >= 1, "attempts_max: must be 1 or more");
+  need(s.min_decision_interval >= 0, "tick: must not be negative");
   need(s.connect_timeout >= 0, "connect_timeout: must not be negative");
-  need(s.connection_idle >= 0, "connection_idle: must not be negative");
-  need(s.drain_grace >= 0 && s.must_ask_in >= 0 && s.settle_after_doubt >= 0 && s.answer_slack >= 0,
+  need(s.connection_idle_timeout >= 0, "connection_idle: must not be negative");
+  need(s.drain_grace >= 0 && s.max_poll_interval >= 0 && s.key_quiet_period >= 0 && s.answer_grace >= 0,
        "drain_grace, must_ask_in, settle_after_doubt, answer_slack: must not be negative");
-  need(s.fall_multiple > 0, "fall_multiple: must be above 0");
-  need(s.overload_for >= 0 && s.cold >= 0, "overload_for and cold: must not be negative");
-  need(s.cold_from >= 0 && s.cold_from <= 1, "cold_from: must lie between 0 and 1");
+  need(s.collapse_factor > 0, "fall_multiple: must be above 0");
+  need(s.collapse_period >= 0 && s.slow_start_window >= 0, "overload_for and cold: must not be negative");
+  need(s.slow_start_min_share >= 0 && s.slow_start_min_share <= 1, "cold_from: must lie between 0 and 1");
 }
 
 }  // namespace heronvane::dispatch
--- a/src/state.hpp
+++ b/src/state.hpp
@@ -31,7 +31,8 @@
   Rate served{kRateMemory};
   int refusals = 0;  // since the last serve
   std::size_t kind = 0;
-  double let_through = 1;  // share of attempts let through after refusals that this relay or others met
+  double admission_probability =
+      1;  // share of attempts let through after refusals that this relay or others met
   Microseconds let_at = -kNever, told_at = -kNever, hold_until = 0;
   Microseconds refused_from = 0;
   bool heard = false;                // a call ended in this life
@@ -46,7 +47,7 @@
   Microseconds at = -kNever;
   Health health = Health::healthy;
   Microseconds since = 0, wait_until = 0;
-  double delay = 0, pace = 0, let_through = 1;
+  double delay = 0, pace = 0, admission_probability = 1;
   int refusals = 0;
 };
 
@@ -67,14 +68,14 @@
   Endpoint info;
   Target own;  // used where routes are apart
   bool apart = false;
-  int bundle_max = 1, bundle = 1;                // messages in a call: at most, and as trusted now
+  int max_batch_size = 1, bundle = 1;            // messages in a call: at most, and as trusted now
   std::vector<OutCall> calls;                    // oldest first
   std::size_t trials = 0;                        // of them, as counted in the state's
   double latency = kFirstLatency;                // recent, stretched by calls without an answer
   double usual = 0;                              // long-run latency of the served ones
   Rate served{kRateMemory}, asked{kLongMemory};  // calls served; first tries while open
-  double fail_share = 0;
-  int fail_run = 0;                             // failed calls since the last serve
+  double failure_rate = 0;
+  int consecutive_failures = 0;                 // failed calls since the last serve
   int strays = 0;                               // resets and errors among them
   Microseconds served_at = 0, served_sent = 0;  // last serve, and the newest send among those served
   bool doubt_run = false;                       // the last failure may have run
@@ -82,9 +83,9 @@
   double use_gap = 0;                           // between calls, in the mean
   Microseconds used_at = -kNever;               // last time a call began or ended
   Health health = Health::healthy;
-  double usual_rate = 0;   // served calls a second before the trouble
-  Microseconds since = 0;  // of the present health
-  double budget = 0;       // calls allowed while closed or in the ramp
+  double baseline_rate = 0;  // served calls a second before the trouble
+  Microseconds since = 0;    // of the present health
+  double budget = 0;         // calls allowed while closed or in the ramp
   Microseconds budget_at = 0, next_trial = 0;
   int call_cap = 0;  // calls out at which connects failed; 0: unknown
   Microseconds capped_at = 0;
@@ -106,10 +107,10 @@
   std::vector<MessageId> with;
 };
 
-struct Message : Waiting::Entry {  // which has its id and its aim
+struct Request : Waiting::Entry {  // which has its id and its aim
   const ClassSettings* cls = nullptr;
   DestinationId destination = 0;
-  double worth = 0;
+  double priority_weight = 0;
   Microseconds deadline = 0, ready = 0;
   std::string key;
   int sends = 0, gave_up = -1;       // attempts made; the last one that was cancelled
--- a/src/waiting.cpp
+++ b/src/waiting.cpp
@@ -21,18 +21,18 @@
     case Phase::Order::by_id:
       return {0, e.id, &e};
     case Phase::Order::earlier_aim:
-      return {e.aim, e.id, &e};
+      return {e.latency_objective, e.id, &e};
     case Phase::Order::later_aim:
-      return {-e.aim, e.id, &e};
+      return {-e.latency_objective, e.id, &e};
   }
   return {};
 }
 
 // Finds its cell from the present one on.
 void Waiting::step(Entry& e, Microseconds at) {
-  while (cells_[e.cell_].until <= at - e.aim) e.cell_++;
+  while (cells_[e.cell_].until <= at - e.latency_objective) e.cell_++;
   const Microseconds until = cells_[e.cell_].until;
-  e.step_at_ = until < kNever ? e.aim + until : kNever;
+  e.step_at_ = until < kNever ? e.latency_objective + until : kNever;
   if (e.step_at_ < kNever) steps_.emplace(e.step_at_, &e);
 }
 
--- a/src/waiting.hpp
+++ b/src/waiting.hpp
@@ -37,7 +37,7 @@
   // A message's place here; the message owns it, and it must stay where it is while it is listed.
   struct Entry {
     MessageId id = 0;
-    Microseconds aim = 0;
+    Microseconds latency_objective = 0;
     std::size_t group = 0;
 
     bool listed() const { return listed_; }
--- a/src/worth.cpp
+++ b/src/worth.cpp
@@ -12,25 +12,31 @@
 
 constexpr Microseconds kNever = std::numeric_limits<Microseconds>::max() / 4;
 
-enum class Part { full, falling, least, none };  // of the curve: at the aim, between, at late_worth, too late
+enum class Part {
+  full,
+  falling,
+  least,
+  none
+};  // of the curve: at the aim, between, at weight_at_deadline, too late
 
 }  // namespace
 
-double worth_left(const ClassSettings& c, Decay decay, Microseconds past) {
-  const Microseconds span = c.deadline - c.aim;
+double worth_left(const ClassSettings& c, WeightDecay decay, Microseconds past) {
+  const Microseconds span = c.deadline - c.latency_objective;
   if (past >= span) return 0;
   if (past <= 0) return 1;
-  if (decay == Decay::halves) return std::max(c.late_worth, std::exp2(-seconds(past) / seconds(c.aim)));
-  return 1 - (1 - c.late_worth) * seconds(past) / std::max(1e-6, seconds(span));
+  if (decay == WeightDecay::half_life)
+    return std::max(c.weight_at_deadline, std::exp2(-seconds(past) / seconds(c.latency_objective)));
+  return 1 - (1 - c.weight_at_deadline) * seconds(past) / std::max(1e-6, seconds(span));
 }
 
-std::vector<Phase> worth_phases(const ClassSettings& c, Decay decay, Microseconds ahead) {
-  const Microseconds span = c.deadline - c.aim;
+std::vector<Phase> worth_phases(const ClassSettings& c, WeightDecay decay, Microseconds ahead) {
+  const Microseconds span = c.deadline - c.latency_objective;
   // The first moment at which nothing more is lost until the deadline.
   Microseconds least = kNever;
-  if (decay == Decay::halves && span > 1) {
+  if (decay == WeightDecay::half_life && span > 1) {
     const auto down = [&](Microseconds past) {
-      return std::exp2(-seconds(past) / seconds(c.aim)) <= c.late_worth;
+      return std::exp2(-seconds(past) / seconds(c.latency_objective)) <= c.weight_at_deadline;
     };
     Microseconds low = 0, high = span;  // not down at low; high: down, or never within the span
     while (high - low > 1) {
@@ -39,11 +45,11 @@
     }
     if (high < span) least = high;
   }
-  if (decay == Decay::line && c.late_worth == 1) least = 1;
+  if (decay == WeightDecay::linear && c.weight_at_deadline == 1) least = 1;
   const auto part = [&](Microseconds past) {
     return past >= span ? Part::none : past <= 0 ? Part::full : past >= least ? Part::least : Part::falling;
   };
-  const bool rises = decay == Decay::line && c.late_worth > 1;
+  const bool rises = decay == WeightDecay::linear && c.weight_at_deadline > 1;
   const auto order = [&](Microseconds past) {
     const Part now = part(past), then = part(past + ahead);
     if (now != Part::falling && then != Part::falling) return Phase::Order::by_id;
--- a/tests/answer_test.cpp
+++ b/tests/answer_test.cpp
@@ -96,15 +96,15 @@
     EXPECT_EQ(reader.emplace().put(text.data(), text.size()), State::whole);
     return *reader;
   };
-  EXPECT_EQ(read("X-Load: x0=0.4,x1=25").report().limit_left, 0.4);
+  EXPECT_EQ(read("X-Load: x0=0.4,x1=25").report().limit_remaining, 0.4);
   EXPECT_EQ(read("X-Load: x0=0.4,x1=25").report().limit_rate, 25);
   for (const std::string& bad : {std::string("nan"), std::string("inf"), std::string("-1"),
                                  std::string("4abc"), std::string(""), std::string("1e999")}) {
-    EXPECT_EQ(read("X-Load: x0=" + bad + ",x1=" + bad).report().limit_left,
-              heronvane::dispatch::Report{}.limit_left)
+    EXPECT_EQ(read("X-Load: x0=" + bad + ",x1=" + bad).report().limit_remaining,
+              heronvane::dispatch::LoadReport{}.limit_remaining)
         << bad;
     EXPECT_EQ(read("X-Load: x0=" + bad + ",x1=" + bad).report().limit_rate,
-              heronvane::dispatch::Report{}.limit_rate)
+              heronvane::dispatch::LoadReport{}.limit_rate)
         << bad;
     EXPECT_EQ(read("X-Come-Back-Ms: " + bad).told_wait(), 0) << bad;
   }
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -4,13 +4,13 @@
   heronvane::dispatch::Settings settings;
   settings.classes.push_back({});
   settings.kinds.push_back({});
-  settings.slots = 4;
-  settings.open_max = 10;
-  settings.attempts_max = 3;
+  settings.max_concurrent_calls = 4;
+  settings.max_in_flight = 10;
+  settings.max_attempts = 3;
   heronvane::dispatch::Dispatcher dispatcher(settings, 1);
-  heronvane::dispatch::event::ListWhole list;
+  heronvane::dispatch::event::EndpointListSnapshot list;
   list.endpoints.push_back({.id = "a", .destination = 7});
-  heronvane::dispatch::event::Arrival arrival;
+  heronvane::dispatch::event::RequestArrived arrival;
   arrival.id = 1;
   arrival.destination = 7;
   arrival.time_left = 5'000'000;
--- a/tests/crossings/restart_test.cpp
+++ b/tests/crossings/restart_test.cpp
@@ -25,7 +25,7 @@
     members = member("s-1", endpoint.address());
   }
   // That life had learned this of s-1 just before its end.
-  void had_learned(heronvane::dispatch::TargetMemory memory) {
+  void had_learned(heronvane::dispatch::LearnedState memory) {
     memory.endpoint = "s-1", memory.destination = 7;
     const auto disk = store::open_folder(folder + "/state");
     store::Options options;
@@ -46,8 +46,8 @@
 TEST_F(RestartTest, WhatIsUntriedIsTriedWhereLittleIsLetThrough) {
   constexpr std::size_t kMessages = 10;
   leave_untried(kMessages, kSafe, "6000m");
-  heronvane::dispatch::TargetMemory memory;
-  memory.let_through = 0.02;
+  heronvane::dispatch::LearnedState memory;
+  memory.admission_probability = 0.02;
   had_learned(memory);
   start();
   wait_for([&] { return called().size() == kMessages || !finals.empty(); }, "each is called, or one ends");
@@ -69,8 +69,8 @@
            "calls that fail");
   kill_relay();
   members = member("s-1", endpoint.address());
-  heronvane::dispatch::TargetMemory memory;
-  memory.let_through = 0.02;
+  heronvane::dispatch::LearnedState memory;
+  memory.admission_probability = 0.02;
   had_learned(memory);
   // Refused: one that is served would speak for the others.
   endpoint.on_request([](const Got& g) { g.session->answer(503); });
--- a/tests/dispatcher_test.cpp
+++ b/tests/dispatcher_test.cpp
@@ -84,7 +84,7 @@
     if (room >= 1) return room -= 1, Outcome::served;
     refused++;
     late_refused += r.now > from + 5 * kS;
-    return Outcome::full;
+    return Outcome::rejected;
   });
   EXPECT_GT(refused, 0);
   EXPECT_LT(late_refused, 30);                            // of 150 calls that the limit takes in that time
@@ -103,7 +103,7 @@
 }
 TEST(Bulkhead, SlotsAreNeverExceeded) {
   auto s = plain();
-  s.slots = 3;
+  s.max_concurrent_calls = 3;
   Relay r(s);
   r.list({{.id = "a", .destination = 1}, {.id = "b", .destination = 2}, {.id = "c", .destination = 3}});
   for (int i = 0; i < 9; i++) r.arrive(kSafe, 1 + i % 3);
@@ -112,8 +112,8 @@
 // Its end must be told by the deadline, also after a stall of a few rounds.
 TEST(Bulkhead, AFastEndpointGetsAllThatItServes) {
   Settings s = plain();
-  s.slots = 128;
-  s.open_max = 1'000;
+  s.max_concurrent_calls = 128;
+  s.max_in_flight = 1'000;
   Relay r(s);
   r.list({{.id = "a", .destination = 1}});
   // Twelve messages a round, each answered after 1 ms, long before the next round.
@@ -126,14 +126,14 @@
       events.emplace_back(e);
     }
     for (int j = 0; j < kEach; j++) {
-      event::Arrival a;
+      event::RequestArrived a;
       a.id = static_cast<MessageId>(i * kEach + j + 1);
       a.destination = 1;
       a.time_left = 6 * kS;
       events.emplace_back(a);
     }
     r.round(std::move(events));
-    r.now += s.tick;
+    r.now += s.min_decision_interval;
   }
   // The first second may be spent on getting under way.
   EXPECT_GE(r.sends_between(2 * kS, r.now), (kRounds - 200) * kEach * 99 / 100);
@@ -154,15 +154,15 @@
 }
 TEST(Bundles, ShareOneCallAndOneSlot) {
   auto s = plain();
-  s.slots = 1;
-  s.kinds[0].bundle_max = 4;
+  s.max_concurrent_calls = 1;
+  s.kinds[0].max_batch_size = 4;
   Relay r(s);
   std::vector<Event> events;
-  event::ListWhole list;
+  event::EndpointListSnapshot list;
   list.endpoints = {{.id = "a", .destination = 1}};
   events.push_back(list);
   for (MessageId id = 100; id < 106; id++) {
-    event::Arrival a;
+    event::RequestArrived a;
     a.id = id, a.destination = 1, a.time_left = 6 * kS;
     events.push_back(a);
   }
@@ -171,8 +171,8 @@
 }
 TEST(Bundles, StaySoWhereOneCallInFourIsResetEverywhere) {
   auto s = plain();
-  s.slots = 1;  // one call at a time
-  s.kinds[0].bundle_max = 8;
+  s.max_concurrent_calls = 1;  // one call at a time
+  s.kinds[0].max_batch_size = 8;
   Relay r(s);
   r.list({{.id = "a", .destination = 1}});
   std::size_t calls = 0, messages = 0;
@@ -180,7 +180,7 @@
   for (int round = 0; round < 400; round++) {
     std::vector<Event> events;
     for (int i = 0; i < 8; i++) {
-      event::Arrival a;
+      event::RequestArrived a;
       a.id = ++id, a.destination = 1, a.message_class = kUnsafe, a.time_left = 20 * kS;  // a reset ends them
       events.push_back(a);
     }
@@ -197,14 +197,14 @@
 }
 TEST(Bundles, ShrinkWhenCallsFail) {
   auto s = plain();
-  s.kinds[0].bundle_max = 8;
+  s.kinds[0].max_batch_size = 8;
   Relay r(s);
   r.list({{.id = "a", .destination = 1}});
   const auto burst = [&] {
     std::vector<Event> events;
     for (int i = 0; i < 8; i++) {
       static MessageId id = 1000;
-      event::Arrival a;
+      event::RequestArrived a;
       a.id = ++id, a.destination = 1, a.message_class = kUnsafe, a.time_left = 20 * kS;  // a reset ends them
       events.push_back(a);
     }
@@ -228,7 +228,7 @@
 }
 TEST(GiveUp, ACallThatLaterOnesOvertookIsCancelled) {
   auto s = plain();
-  s.cancelling = true;
+  s.cancellation = true;
   Relay r(s);
   r.list({{.id = "a", .destination = 1}});
   r.live(3 * kS, 10, kSafe, 1, serve);
@@ -245,8 +245,8 @@
 }
 TEST(GiveUp, OverdueCallsFreeTheSlotsThatOthersNeed) {
   auto s = plain();
-  s.cancelling = true;
-  s.slots = 3;
+  s.cancellation = true;
+  s.max_concurrent_calls = 3;
   Relay r(s);
   r.list({{.id = "a", .destination = 1}, {.id = "b", .destination = 2}, {.id = "c", .destination = 3}});
   for (int i = 0; i < 3; i++) r.arrive(kSafe, 1);
@@ -258,8 +258,8 @@
 }
 TEST(GiveUp, CallsAtASlowEndpointThatStillAnswersAreKept) {
   auto s = plain();
-  s.cancelling = true;
-  s.slots = 3;
+  s.cancellation = true;
+  s.max_concurrent_calls = 3;
   Relay r(s);
   r.list({{.id = "a", .destination = 1}, {.id = "b", .destination = 2}});
   const auto early = r.arrive(kSafe, 1);
@@ -273,7 +273,7 @@
 }
 TEST(Bulkhead, TrialsOfManySilentEndpointsHoldAPartOfTheSlots) {
   auto s = plain();
-  s.slots = 8, s.cold = 300 * kS;  // what is known of them stays
+  s.max_concurrent_calls = 8, s.slow_start_window = 300 * kS;  // what is known of them stays
   Relay r(s);
   std::vector<Endpoint> endpoints;
   for (int d = 1; d <= 12; d++) endpoints.push_back({.id = std::to_string(d), .destination = d});
@@ -292,17 +292,17 @@
 }
 TEST(Shut, ThePaceCutByItsRefusalsRecovers) {
   auto s = plain();
-  s.cold = 4 * kS;
+  s.slow_start_window = 4 * kS;
   Relay r(s);
   r.list({{.id = "a", .destination = 1}});
   r.live(10 * kS, 20, kSafe, 1, serve);
-  r.live(10 * kS, 20, kSafe, 1, [](const Sent&) -> std::optional<Outcome> { return Outcome::full; });
+  r.live(10 * kS, 20, kSafe, 1, [](const Sent&) -> std::optional<Outcome> { return Outcome::rejected; });
   r.live(8 * kS, 20, kSafe, 1, serve);
   EXPECT_GE(r.sends_between(r.now - 2 * kS, r.now), 30);
 }
 TEST(Shut, StrayResetsEverywhereCloseNoSoundEndpointAnOutageStillDoes) {
   auto s = plain();
-  s.cold = 8 * kS, s.slots = 64;
+  s.slow_start_window = 8 * kS, s.max_concurrent_calls = 64;
   Relay r(s);
   constexpr int kEndpoints = 10;
   std::vector<Endpoint> endpoints;
@@ -334,7 +334,7 @@
 }
 TEST(Shut, TrialsOfManyRelaysDoNotAddUp) {
   auto s = plain();
-  s.relays = 200, s.fall_multiple = 2, s.cold_from = 0.2, s.cold = 10 * kS;
+  s.relays = 200, s.collapse_factor = 2, s.slow_start_min_share = 0.2, s.slow_start_window = 10 * kS;
   std::size_t trials = 0, asked = 0;
   for (std::uint64_t seed = 1; seed <= 40; seed++) {  // each asks for a call in five seconds
     Relay r(s, seed);
@@ -376,10 +376,10 @@
   Relay r(s);
   r.list({{.id = "a", .destination = 1}});
   const auto id = r.arrive(kSafe);
-  r.end(id, Outcome::full);
+  r.end(id, Outcome::rejected);
   r.run_to(r.now + 2 * kS);
   ASSERT_EQ(r.sends_of(id), 2);
-  r.end(id, Outcome::full);
+  r.end(id, Outcome::rejected);
   r.run_to(r.now + 600 * kMs);
   EXPECT_EQ(r.sends_of(id), 2);  // and rarer with each refusal
 }
@@ -390,14 +390,14 @@
   for (const int relays : {2, 200}) {
     std::size_t sends = 0;
     auto s = plain();
-    s.relays = relays, s.fall_multiple = 2, s.cold_from = 0.2;
+    s.relays = relays, s.collapse_factor = 2, s.slow_start_min_share = 0.2;
     for (std::uint64_t seed = 1; seed <= 40; seed++) {
       Relay r(s, seed);
       r.list({{.id = "a", .destination = 1}});
       for (int i = 0; i < 2; i++) {
         r.arrive(kUnsafe);
         for (int k = 0; k < 40 && r.out.empty(); k++) r.run_to(r.now + 100 * kMs);
-        for (const auto& sent : std::vector<Sent>(r.out)) r.end(sent.id, Outcome::full);
+        for (const auto& sent : std::vector<Sent>(r.out)) r.end(sent.id, Outcome::rejected);
         r.run_to(r.now + 10 * kMs);
       }
       const auto before = r.sent.size();
@@ -411,7 +411,7 @@
 }
 TEST(Notes, RefusalsToldByOthersHoldAttemptsBackForAWhile) {
   auto s = plain();
-  s.relays = 300, s.peers = true;
+  s.relays = 300, s.gossip = true;
   std::size_t told_sends = 0, quiet_sends = 0;
   int back = 0;
   for (std::uint64_t seed = 1; seed <= 20; seed++) {
@@ -423,12 +423,12 @@
       for (int d = 2; d < 22; d++) {  // this relay met refusals that came again, elsewhere
         r.arrive(kSafe, d);
         for (int i = 0; i < 10; i++) {
-          for (const auto& sent : std::vector<Sent>(r.out)) r.end(sent.id, Outcome::full);
+          for (const auto& sent : std::vector<Sent>(r.out)) r.end(sent.id, Outcome::rejected);
           r.run_to(r.now + 200 * kMs);
         }
       }
       for (int i = 0; i < 6 && told; i++) {
-        r.round({event::PeerNote{7, "1ra"}});
+        r.round({event::GossipReceived{7, "1ra"}});
         r.run_to(r.now + 1 * kS);
       }
       const auto id = r.arrive(kSafe, 1);
@@ -443,17 +443,17 @@
   EXPECT_GE(back, 35);  // of 40: the effect ages out
 }
 TEST(Notes, AreSentOnRefusalsOnlyWhereAllowedAndNotMoreThanOneAWhile) {
-  for (const bool peers : {false, true}) {
+  for (const bool gossip : {false, true}) {
     auto s = plain();
-    s.relays = 300, s.peers = peers;
+    s.relays = 300, s.gossip = gossip;
     Relay r(s);
     r.list({{.id = "a", .destination = 1}});
     for (int i = 0; i < 12; i++) {
-      r.live(2 * kS, 5, kSafe, 1, [](const Sent&) { return std::optional(Outcome::full); });
+      r.live(2 * kS, 5, kSafe, 1, [](const Sent&) { return std::optional(Outcome::rejected); });
       r.live(8 * kS, 1, kSafe, 1, serve);
     }
-    EXPECT_EQ(r.notes.size() >= 2, peers);
-    EXPECT_EQ(r.notes.empty(), !peers);
+    EXPECT_EQ(r.notes.size() >= 2, gossip);
+    EXPECT_EQ(r.notes.empty(), !gossip);
     for (std::size_t i = 0; i + 1 < r.notes.size(); i++)
       EXPECT_GE(r.notes[i + 1].first - r.notes[i].first, 5 * kS);
     for (const auto& note : r.notes) EXPECT_LE(note.second.size(), 256u);
@@ -461,19 +461,20 @@
 }
 TEST(Notes, ThatMakeNoSenseAreIgnored) {
   auto s = plain();
-  s.peers = true;
+  s.gossip = true;
   Relay r(s), same(s);
   for (auto* one : {&r, &same}) one->list({{.id = "a", .destination = 1}});
   for (const std::string body : {"", "1", "1r", "2ra", "1rnowhere", "1qa", "ra"})
-    r.round({event::PeerNote{99, body}});
-  r.round({event::PeerNote{-3, std::string(4000, '\xff')}, event::PeerNote{0, std::string("1ra\0", 4)}});
+    r.round({event::GossipReceived{99, body}});
+  r.round({event::GossipReceived{-3, std::string(4000, '\xff')},
+           event::GossipReceived{0, std::string("1ra\0", 4)}});
   for (auto* one : {&r, &same}) one->live(5 * kS, 10, kSafe, 1, serve);
   ASSERT_EQ(r.sent.size(), same.sent.size());
   for (std::size_t i = 0; i < r.sent.size(); i++) EXPECT_EQ(r.sent[i].at, same.sent[i].at);
 }
 TEST(Worth, TheDearerMessageGoesFirst) {
   auto s = plain();
-  s.slots = 1;
+  s.max_concurrent_calls = 1;
   Relay r(s);
   r.list({{.id = "a", .destination = 1}});
   const auto first = r.arrive(kSafe);
@@ -484,8 +485,8 @@
 }
 TEST(Worth, AFullBufferHandsBackTheLeast) {
   auto s = plain();
-  s.open_max = 10;
-  s.slots = 1;
+  s.max_in_flight = 10;
+  s.max_concurrent_calls = 1;
   Relay r(s);
   r.list({{.id = "a", .destination = 1}});
   std::vector<MessageId> dear;
@@ -497,7 +498,7 @@
 
 TEST(Connections, ThoseHardlyUsedAgainAreClosed) {
   auto s = plain();
-  s.connection_idle = 5 * kS, s.relays = 50;
+  s.connection_idle_timeout = 5 * kS, s.relays = 50;
   Relay r(s);
   r.list({{.id = "rare", .destination = 1}, {.id = "busy", .destination = 2}});
   r.live(30 * kS, 5, kSafe, 2, serve);
@@ -513,13 +514,13 @@
 
 TEST(List, IsAskedForAgainWithBackoff) {
   auto s = plain();
-  s.subscribe = true;
+  s.list_subscription = true;
   Relay r(s);
-  r.round({event::ListWhole{{}, true}});
+  r.round({event::EndpointListSnapshot{{}, true}});
   ASSERT_EQ(r.asked.size(), 1u);
   for (int i = 0; i < 6; i++) {
     const auto n = r.asked.size();
-    r.round({event::ListFailed{}});
+    r.round({event::EndpointListFailed{}});
     r.run_to(r.now + 6 * kS);
     EXPECT_EQ(r.asked.size(), n + 1);
   }
@@ -533,16 +534,17 @@
 // may reach the module behind the failure, in parts or since the folder could not be written meanwhile.
 TEST(List, IsAskedForAgainWhateverIsToldBehindAFailure) {
   const Endpoint a{.id = "a", .destination = 1};
-  for (const Event& told : {Event(event::ListWhole{{a}, false}), Event(event::ListChanges{{a}})}) {
+  for (const Event& told :
+       {Event(event::EndpointListSnapshot{{a}, false}), Event(event::EndpointListUpdate{{a}})}) {
     auto s = plain();
-    s.subscribe = true;
+    s.list_subscription = true;
     Relay r(s);
-    r.round({event::ListWhole{{}, true}});
+    r.round({event::EndpointListSnapshot{{}, true}});
     const auto before = r.asked.size();
-    r.round({event::ListFailed{}, told});
+    r.round({event::EndpointListFailed{}, told});
     r.run_to(r.now + 6 * kS);
     EXPECT_EQ(r.asked.size(), before + 1);
-    r.round({event::ListFailed{}});
+    r.round({event::EndpointListFailed{}});
     r.round({told});
     r.run_to(r.now + 6 * kS);
     EXPECT_EQ(r.asked.size(), before + 2);
@@ -550,17 +552,17 @@
 }
 TEST(List, TheOldOneServesWhileItIsOutOfReach) {
   auto s = plain();
-  s.subscribe = true;
+  s.list_subscription = true;
   Relay r(s);
-  r.round({event::ListWhole{{{.id = "a", .destination = 1}}, true}});
-  r.round({event::ListFailed{}});
+  r.round({event::EndpointListSnapshot{{{.id = "a", .destination = 1}}, true}});
+  r.round({event::EndpointListFailed{}});
   const auto id = r.arrive(kSafe);
   EXPECT_EQ(r.sends_of(id), 1);
 }
 
 TEST(Memory, NothingIsKeptForEver) {
   auto s = plain();
-  s.classes[kSafe].ordered = true, s.settle_after_doubt = 700 * kMs;
+  s.classes[kSafe].ordered = true, s.key_quiet_period = 700 * kMs;
   Relay r(s);
   std::size_t most = 0;
   for (int i = 1; i <= 5000; i++) {  // each with an endpoint, a destination and a key of its own
@@ -590,7 +592,7 @@
   r.list({{.id = "b", .destination = 2}});
   r.end(served, Outcome::served);
   r.end(lost, Outcome::reset);
-  r.end(refused, Outcome::full);
+  r.end(refused, Outcome::rejected);
   EXPECT_EQ(r.failed.count(lost), 1u);
   r.run_to(r.now + 20 * kS);
   EXPECT_EQ(r.failed.count(refused) + r.refused.count(refused), 1u);
@@ -603,13 +605,13 @@
 TEST(Odd, EventsForWhatIsOverOrUnknownAreIgnored) {
   Relay r;
   r.round({});
-  r.round({event::Withdrawn{77}, event::TimerDue{5}, event::AttemptEnded{}, event::ProbeEnded{},
-           event::PeerNote{}});
+  r.round({event::RequestWithdrawn{77}, event::TimerExpired{5}, event::AttemptEnded{},
+           event::HealthCheckEnded{}, event::GossipReceived{}});
   r.list({{.id = "a", .destination = 1}});
   const auto id = r.arrive(kSafe);
   r.change({.id = "a", .destination = 1, .listing = Listing::gone});  // gone while a call is out
   r.end(id, Outcome::served);
-  r.round({event::Withdrawn{id}});
+  r.round({event::RequestWithdrawn{id}});
   EXPECT_TRUE(r.failed.empty());
   const auto none = r.arrive(kSafe, 1, "", 1);  // no time left
   r.run_to(r.now + 100 * kMs);
@@ -627,8 +629,9 @@
     return std::string();
   };
   EXPECT_EQ(complaint([](Settings&) {}), "");
-  EXPECT_NE(complaint([](Settings& s) { s.slots = 0; }).find("slots"), std::string::npos);
-  EXPECT_NE(complaint([](Settings& s) { s.classes[0].aim = -1; }).find("aim"), std::string::npos);
+  EXPECT_NE(complaint([](Settings& s) { s.max_concurrent_calls = 0; }).find("slots"), std::string::npos);
+  EXPECT_NE(complaint([](Settings& s) { s.classes[0].latency_objective = -1; }).find("aim"),
+            std::string::npos);
   EXPECT_NE(complaint([](Settings& s) { s.classes.clear(); }).find("classes"), std::string::npos);
   EXPECT_NE(complaint([](Settings& s) { s.drain_grace = -1; }).find("drain_grace"), std::string::npos);
 }
@@ -638,7 +641,7 @@
     r.list({{.id = "a", .destination = 1}, {.id = "b", .destination = 1}});
     int n = 0;
     r.live(10 * kS, 15, kSafe, 1, [&](const Sent&) -> std::optional<Outcome> {
-      return ++n % 4 == 0 ? Outcome::error : n % 7 == 0 ? Outcome::full : Outcome::served;
+      return ++n % 4 == 0 ? Outcome::error : n % 7 == 0 ? Outcome::rejected : Outcome::served;
     });
     std::vector<std::pair<MessageId, Microseconds>> sends;
     for (const auto& s : r.sent) sends.emplace_back(s.id, s.at);
--- a/tests/fleet/commands_test.cpp
+++ b/tests/fleet/commands_test.cpp
@@ -61,7 +61,7 @@
   decider.handle(now, apply, actions);
   ASSERT_EQ(of<action::Record>(actions).size(), 1U);
   EXPECT_TRUE(of<action::Record>(actions)[0].fleet.has_value());
-  for (int i = 0; i < 20; ++i) decider.handle(now += second, event::TimerDue{}, actions);
+  for (int i = 0; i < 20; ++i) decider.handle(now += second, event::TimerExpired{}, actions);
   EXPECT_EQ(of<action::Record>(actions).size(), 1U);  // one is out at a time
   EXPECT_TRUE(of<action::Tell>(actions).empty());
   EXPECT_EQ(decider.generation(), 0U);
--- a/tests/fleet/decider_test.cpp
+++ b/tests/fleet/decider_test.cpp
@@ -145,7 +145,7 @@
   void pass(Microseconds time) {
     for (const Microseconds end = now + time; now < end;) {
       now += 500 * ms;
-      give(event::TimerDue{});
+      give(event::TimerExpired{});
     }
   }
   void seen(OperationId fence, bool draining = false) {
--- a/tests/fleet/fake_backend.hpp
+++ b/tests/fleet/fake_backend.hpp
@@ -16,7 +16,7 @@
 
 class FakeBackend : public ApiBackend {
  public:
-  FakeBackend() : decider_(Restored{}, 1) { feed(event::TimerDue{}); }
+  FakeBackend() : decider_(Restored{}, 1) { feed(event::TimerExpired{}); }
 
   const Decider& decider() const override { return decider_; }
   AgentView about() const override { return {"host", "0.0.0", 71, 5'000'000, {}}; }
--- a/tests/fleet/killed_test.cpp
+++ b/tests/fleet/killed_test.cpp
@@ -187,7 +187,7 @@
   const std::string run = world.database.instances.at("n0").run;
   anew.handle(now += ms, event::StatusSeen{"n0", run, true, false, false, 0, 0, 0, 1}, actions);
   for (int i = 0; i < 200; ++i) {
-    anew.handle(now += 500 * ms, event::TimerDue{}, actions);
+    anew.handle(now += 500 * ms, event::TimerExpired{}, actions);
     record();
   }
   for (const Action& action : actions) {
--- a/tests/fleet/world.cpp
+++ b/tests/fleet/world.cpp
@@ -132,7 +132,7 @@
   ++life_;
   last_record_ = 0;
   decider_ = std::make_unique<Decider>(database.restored(), 1, tuning_);
-  later(0, event::TimerDue{});
+  later(0, event::TimerExpired{});
   for (const auto& [name, row] : database.instances) {
     if (!row.live) continue;
     auto process = processes.find(name);
@@ -454,7 +454,7 @@
 
 void World::act(const action::SetTimer& a) {
   at(a.at, [this, life = life_, id = ++timer_] {
-    if (life == life_ && decider_ && id == timer_) give(event::TimerDue{});
+    if (life == life_ && decider_ && id == timer_) give(event::TimerExpired{});
   });
 }
 
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -17,29 +17,29 @@
 
 inline Settings plain() {
   Settings s;
-  s.classes = {{.worth = 1,
-                .late_worth = 0,
-                .aim = 1 * kS,
+  s.classes = {{.priority_weight = 1,
+                .weight_at_deadline = 0,
+                .latency_objective = 1 * kS,
                 .deadline = 6 * kS,
                 .idempotency = Idempotency::idempotent},
-               {.worth = 3,
-                .late_worth = 0.3,
-                .aim = 2 * kS,
+               {.priority_weight = 3,
+                .weight_at_deadline = 0.3,
+                .latency_objective = 2 * kS,
                 .deadline = 20 * kS,
                 .idempotency = Idempotency::non_idempotent},
-               {.worth = 1,
-                .late_worth = 0.3,
-                .aim = 2 * kS,
+               {.priority_weight = 1,
+                .weight_at_deadline = 0.3,
+                .latency_objective = 2 * kS,
                 .deadline = 20 * kS,
                 .idempotency = Idempotency::keyed,
                 .key_window = 5 * kS}};
   s.kinds = {{}};
-  s.slots = 16;
-  s.open_max = 200;
-  s.attempts_max = 8;
-  s.tick = 5 * kMs;
-  s.answer_slack = 20 * kMs;
-  s.overload_for = 2 * kS;
+  s.max_concurrent_calls = 16;
+  s.max_in_flight = 200;
+  s.max_attempts = 8;
+  s.min_decision_interval = 5 * kMs;
+  s.answer_grace = 20 * kMs;
+  s.collapse_period = 2 * kS;
   return s;
 }
 
@@ -65,7 +65,7 @@
         const Sent one{x->id, attempts_[x->id]++, x->endpoint, now, x->timeout};
         sent.push_back(one);
         out.push_back(one);
-      } else if (const auto* r = std::get_if<action::Refuse>(&a)) {
+      } else if (const auto* r = std::get_if<action::Reject>(&a)) {
         refused[r->id] = now;
       } else if (const auto* f = std::get_if<action::Fail>(&a)) {
         failed[f->id] = now;
@@ -73,7 +73,7 @@
         timers_.push_back(now + t->after);
       } else if (const auto* c = std::get_if<action::Cancel>(&a)) {
         cancelled[c->id] = now;
-      } else if (const auto* n = std::get_if<action::TellPeer>(&a)) {
+      } else if (const auto* n = std::get_if<action::SendGossip>(&a)) {
         notes.emplace_back(now, n->body);
       } else if (const auto* i = std::get_if<action::CloseIdle>(&a)) {
         idle_closed[i->endpoint].push_back(now);
@@ -91,14 +91,16 @@
       if (it == timers_.end() || *it > until) break;
       now = std::max(now, *it);
       timers_.erase(it);
-      round({event::TimerDue{0}});
+      round({event::TimerExpired{0}});
     }
     now = until;
   }
-  void list(const std::vector<Endpoint>& endpoints) { round({event::ListWhole{endpoints, false}}); }
-  void change(const Endpoint& e) { round({event::ListChanges{{e}}}); }
+  void list(const std::vector<Endpoint>& endpoints) {
+    round({event::EndpointListSnapshot{endpoints, false}});
+  }
+  void change(const Endpoint& e) { round({event::EndpointListUpdate{{e}}}); }
   MessageId arrive(Class c, DestinationId destination = 1, std::string key = "", Microseconds left = 0) {
-    event::Arrival a;
+    event::RequestArrived a;
     a.id = ++last_id_;
     a.destination = destination;
     a.message_class = c;
@@ -120,8 +122,8 @@
     e.endpoint = it->endpoint;
     e.outcome = outcome;
     e.latency = now - it->at;
-    e.closed = outcome == Outcome::served;
-    e.told_wait = told_wait;
+    e.request_completed = outcome == Outcome::served;
+    e.retry_after = told_wait;
     out.erase(it);
     return e;
   }
@@ -139,8 +141,8 @@
       for (due += rate * 0.05; due >= 1; due -= 1) arrive(c, destination);
     }
   }
-  std::size_t kept() const { return dispatcher_.kept(); }
-  std::vector<TargetMemory> learned(std::size_t most) { return dispatcher_.learned(now, most); }
+  std::size_t kept() const { return dispatcher_.retained_objects(); }
+  std::vector<LearnedState> learned(std::size_t most) { return dispatcher_.take_changed_state(now, most); }
   bool logged(const std::string& start) const {
     return std::any_of(log.begin(), log.end(), [&](const auto& line) { return line.rfind(start, 0) == 0; });
   }
--- a/tests/kept_test.cpp
+++ b/tests/kept_test.cpp
@@ -124,12 +124,14 @@
   EXPECT_EQ(facts.all, (std::map<std::string, std::string>{{"other", "x"}}));
 }
 
-TEST(TargetMemory, IsReadAsItWasWritten) {
-  heronvane::dispatch::TargetMemory m;
-  m.endpoint = "s 1", m.destination = -7, m.health = Health::slow_start, m.health_age = 5,
-  m.usual_rate = 0.125;
-  m.budget = 0.5, m.fail_run = 3, m.fail_share = 0.25, m.doubt = true, m.bundle = 4, m.wait_left = 1'000'000;
-  m.delay = 0.75, m.pace = 12.5, m.refusals = 2, m.refused_age = 9, m.let_through = 0.5;
+TEST(LearnedState, IsReadAsItWasWritten) {
+  heronvane::dispatch::LearnedState m;
+  m.endpoint = "s 1", m.destination = -7, m.health = Health::slow_start, m.time_in_health = 5,
+  m.baseline_rate = 0.125;
+  m.slow_start_budget = 0.5, m.consecutive_failures = 3, m.failure_rate = 0.25,
+  m.last_failure_possibly_executed = true, m.batch_size = 4, m.retry_after_left = 1'000'000;
+  m.backoff_delay = 0.75, m.send_rate = 12.5, m.consecutive_rejections = 2, m.first_rejection_age = 9,
+  m.admission_probability = 0.5;
   const auto text = write_target(m, kNow);
   const auto read = read_target("s 1", text);
   ASSERT_TRUE(read.has_value());
@@ -139,14 +141,14 @@
   EXPECT_FALSE(read_target("s 1", "2" + text.substr(1)).has_value()) << "of another form";
 }
 
-TEST(TargetMemory, WaitsAreNotShortenedByAReboot) {
-  heronvane::dispatch::TargetMemory m;
-  m.endpoint = "a", m.wait_left = 10'000'000;
+TEST(LearnedState, WaitsAreNotShortenedByAReboot) {
+  heronvane::dispatch::LearnedState m;
+  m.endpoint = "a", m.retry_after_left = 10'000'000;
   const std::map<std::string, std::string> facts = {{target_key("a"), write_target(m, kNow)}};
   const Microseconds later = kNow + 8'000'000;
   const auto wait = [&](Microseconds gap, RecalledTargets::Which which) -> Microseconds {
     const auto r = RecalledTargets(facts, which, later).take("a", later, gap);
-    return r ? r->memory.wait_left - r->age : -1;
+    return r ? r->state.retry_after_left - r->age : -1;
   };
   EXPECT_EQ(wait(0, {true, true}), 2'000'000);
   EXPECT_EQ(wait(8'000'000, {true, true}), 10'000'000) << "all of that time is only the wall clock's word";
@@ -155,8 +157,8 @@
 }
 
 // Of endpoints that went while no relay ran nobody would ever drop it.
-TEST(TargetMemory, WhatWasNotSeenForAWeekIsOutdated) {
-  heronvane::dispatch::TargetMemory m;
+TEST(LearnedState, WhatWasNotSeenForAWeekIsOutdated) {
+  heronvane::dispatch::LearnedState m;
   m.health = Health::ejected;
   const auto text = write_target(m, kNow);
   const std::map<std::string, std::string> facts = {{target_key("a"), text}, {target_key("b"), "what"}};
--- a/tests/memory_test.cpp
+++ b/tests/memory_test.cpp
@@ -17,8 +17,8 @@
 
 // What a store holds after all that was given out.
 struct Store {
-  std::map<EndpointId, TargetMemory> records;
-  void keep(const std::vector<TargetMemory>& given) {
+  std::map<EndpointId, LearnedState> records;
+  void keep(const std::vector<LearnedState>& given) {
     for (const auto& m : given)
       if (m.blank())
         records.erase(m.endpoint);
@@ -27,7 +27,7 @@
   }
   std::vector<Event> events(Microseconds age = 0) const {
     std::vector<Event> events;
-    for (const auto& [id, m] : records) events.push_back(event::TargetRecalled{m, age});
+    for (const auto& [id, m] : records) events.push_back(event::LearnedStateRestored{m, age});
     return events;
   }
 };
@@ -35,9 +35,9 @@
 std::vector<Endpoint> one() { return {{.id = "a", .destination = 1}}; }
 std::vector<Endpoint> two() { return {{.id = "a", .destination = 1}, {.id = "b", .destination = 1}}; }
 
-Settings brief(Microseconds cold = 10 * kS) {
+Settings brief(Microseconds slow_start_window = 10 * kS) {
   auto s = plain();
-  s.cold = cold, s.slots = 64, s.open_max = 300;
+  s.slow_start_window = slow_start_window, s.max_concurrent_calls = 64, s.max_in_flight = 300;
   return s;
 }
 
@@ -55,7 +55,7 @@
   for (const bool apart : {false, true}) {
     for (const bool recall : {false, true}) {
       auto s = plain();
-      s.kinds[0].routes_apart = apart;
+      s.kinds[0].per_endpoint_limits = apart;
       Relay r(s);
       r.list(two());
       const auto id = r.arrive(kSafe);
@@ -109,10 +109,10 @@
       Store store;
       store.keep(r.learned(kAll));
       ASSERT_EQ(store.records.count("a"), 1u);
-      const TargetMemory m = store.records["a"];
+      const LearnedState m = store.records["a"];
       EXPECT_EQ(m.health, Health::ejected);
-      EXPECT_NEAR(m.usual_rate, 20, 5);
-      EXPECT_GT(m.fail_run, 0);
+      EXPECT_NEAR(m.baseline_rate, 20, 5);
+      EXPECT_GT(m.consecutive_failures, 0);
       const auto add = [](Return& sum, const Return& x) {
         sum.trials += x.trials, sum.first_second += x.first_second;
         sum.first_five += x.first_five, sum.served += x.served;
@@ -174,7 +174,7 @@
     store.keep(r.learned(kAll));
     ASSERT_EQ(store.records.count("a"), 1u);
     ASSERT_EQ(store.records["a"].health, Health::slow_start);
-    EXPECT_GT(store.records["a"].health_age, 500 * kMs);
+    EXPECT_GT(store.records["a"].time_in_health, 500 * kMs);
     Relay again = reborn(r, brief(8 * kS), one(), store.events()),
           fresh = reborn(r, brief(8 * kS), one(), {});
     Relay after = reborn(r, brief(8 * kS), one(), store.events(8 * kS), 8 * kS);  // its time is over
@@ -202,7 +202,7 @@
       room = std::min(2.0, room + rate * static_cast<double>(r.now - last) / kS);
       last = r.now;
       if (room >= 1) return room -= 1, Outcome::served;
-      return Outcome::full;
+      return Outcome::rejected;
     };
   }
 };
@@ -215,9 +215,9 @@
     Store store;
     for (int i = 0; i < 20; i++) r.live(1 * kS, 20, kSafe, 1, limit.of(r)), store.keep(r.learned(kAll));
     ASSERT_EQ(store.records.size(), 2u);
-    EXPECT_GT(store.records["a"].pace, 2);
-    EXPECT_LT(store.records["a"].pace, 15);
-    EXPECT_EQ(store.records["a"].pace, store.records["b"].pace);  // one limit, told by both
+    EXPECT_GT(store.records["a"].send_rate, 2);
+    EXPECT_LT(store.records["a"].send_rate, 15);
+    EXPECT_EQ(store.records["a"].send_rate, store.records["b"].send_rate);  // one limit, told by both
     Relay again = reborn(r, brief(), two(), store.events()), fresh = reborn(r, brief(), two(), {});
     const auto sends = [](Relay& x) {
       const Microseconds from = x.now;
@@ -251,7 +251,7 @@
   Store store;
   store.keep(r.learned(kAll));
   ASSERT_EQ(store.records.count("a"), 1u);
-  EXPECT_NEAR(store.records["a"].delay, 0.6, 0.1);
+  EXPECT_NEAR(store.records["a"].backoff_delay, 0.6, 0.1);
   EXPECT_GE(wait_after(store.events(), 0, r), 700 * kMs);  // a step on top, less the jitter
   EXPECT_LE(wait_after({}, 0, r), 260 * kMs);              // the initial delay
   EXPECT_LE(wait_after(store.events(60 * kS), 60 * kS, r), 260 * kMs);
@@ -260,19 +260,19 @@
   EXPECT_LE(half, 900 * kMs);
 }
 
-TargetMemory closed(const EndpointId& id) {
-  TargetMemory m;
-  m.endpoint = id, m.destination = 1, m.health = Health::ejected, m.health_age = 1 * kS;
-  m.usual_rate = 20, m.fail_run = 3, m.delay = 1.5, m.pace = 2;
+LearnedState closed(const EndpointId& id) {
+  LearnedState m;
+  m.endpoint = id, m.destination = 1, m.health = Health::ejected, m.time_in_health = 1 * kS;
+  m.baseline_rate = 20, m.consecutive_failures = 3, m.backoff_delay = 1.5, m.send_rate = 2;
   return m;
 }
 TEST(Recall, NothingNewerIsOverwritten) {
-  for (const auto outcome : {Outcome::served, Outcome::full, Outcome::error}) {
+  for (const auto outcome : {Outcome::served, Outcome::rejected, Outcome::error}) {
     const auto run = [&](bool recall) {
       Relay r;
       r.list(one());
       r.end(r.arrive(kSafe), outcome);
-      if (recall) r.round({event::TargetRecalled{closed("a"), 10 * kMs}});
+      if (recall) r.round({event::LearnedStateRestored{closed("a"), 10 * kMs}});
       for (int i = 0; i < 10; i++) r.arrive(kUnsafe);
       r.live(3 * kS, 10, kUnsafe, 1, serve);
       return r.sent.size();
@@ -283,9 +283,9 @@
   Relay r;
   r.list(one());
   r.end(r.arrive(kSafe), Outcome::served);
-  TargetMemory m;
-  m.endpoint = "a", m.destination = 1, m.wait_left = 3 * kS;
-  r.round({event::TargetRecalled{m, 1 * kS}});
+  LearnedState m;
+  m.endpoint = "a", m.destination = 1, m.retry_after_left = 3 * kS;
+  r.round({event::LearnedStateRestored{m, 1 * kS}});
   const Microseconds from = r.now;
   const auto id = r.arrive(kUnsafe);
   r.run_to(from + 2 * kS - 1);
@@ -296,35 +296,37 @@
 TEST(Recall, AnEndpointIsRecalledOnce) {
   Relay r(brief());
   r.list(one());
-  r.round({event::TargetRecalled{closed("a"), 0}});
+  r.round({event::LearnedStateRestored{closed("a"), 0}});
   const Microseconds from = r.now;
   for (int i = 0; i < 10; i++) r.arrive(kUnsafe);
   for (int i = 0; i < 60; i++) {  // would put its next trial off for ever
     r.run_to(r.now + 100 * kMs);
-    r.round({event::TargetRecalled{closed("a"), 0}});
+    r.round({event::LearnedStateRestored{closed("a"), 0}});
   }
   EXPECT_GT(r.sends_between(from, r.now), 0);
 }
 TEST(Recall, IsIgnoredForWhatIsNotListed) {
   Relay r;
-  r.round({event::TargetRecalled{closed("a"), 0}});
+  r.round({event::LearnedStateRestored{closed("a"), 0}});
   r.list(one());
   EXPECT_EQ(r.sends_of(r.arrive(kSafe)), 1);
   Relay moved;  // its destination is another now: the wait was not told for that
   moved.list({{.id = "a", .destination = 2}});
-  TargetMemory m;
-  m.endpoint = "a", m.destination = 1, m.wait_left = 3 * kS;
-  moved.round({event::TargetRecalled{m, 0}});
+  LearnedState m;
+  m.endpoint = "a", m.destination = 1, m.retry_after_left = 3 * kS;
+  moved.round({event::LearnedStateRestored{m, 0}});
   EXPECT_EQ(moved.sends_of(moved.arrive(kSafe, 2)), 1);
 }
 TEST(Recall, OfOneTargetTheLatestRecordCountsInAnyOrder) {
-  TargetMemory a, b, c;
+  LearnedState a, b, c;
   a.endpoint = "a", b.endpoint = "b", c.endpoint = "c";
   a.destination = b.destination = c.destination = 1;
-  a.pace = 3, a.delay = 0.4, a.refusals = 1, a.refused_age = 2 * kS;     // latest, as c
-  b.pace = 0.5, b.delay = 2, b.wait_left = 9 * kS, b.let_through = 0.1;  // older, but its wait holds
-  c.pace = 2, c.delay = 0.3, c.refusals = 3, c.let_through = 0.5;
-  std::vector<std::pair<TargetMemory, Microseconds>> records = {{a, 1 * kS}, {b, 4 * kS}, {c, 1 * kS}};
+  a.send_rate = 3, a.backoff_delay = 0.4, a.consecutive_rejections = 1,
+  a.first_rejection_age = 2 * kS;  // latest, as c
+  b.send_rate = 0.5, b.backoff_delay = 2, b.retry_after_left = 9 * kS,
+  b.admission_probability = 0.1;  // older, but its wait holds
+  c.send_rate = 2, c.backoff_delay = 0.3, c.consecutive_rejections = 3, c.admission_probability = 0.5;
+  std::vector<std::pair<LearnedState, Microseconds>> records = {{a, 1 * kS}, {b, 4 * kS}, {c, 1 * kS}};
   std::vector<int> order = {0, 1, 2};
   std::set<std::string> ends;
   do {
@@ -333,41 +335,44 @@
     std::vector<Event> events;
     for (int i : order) {
       const auto& [m, age] = records[static_cast<std::size_t>(i)];
-      events.push_back(event::TargetRecalled{m, age});
+      events.push_back(event::LearnedStateRestored{m, age});
     }
     r.round(events);
     const auto given = r.learned(kAll);
     ASSERT_EQ(given.size(), 3u);
     for (const auto& m : given) {
       std::ostringstream text;
-      text << m.wait_left << " " << m.delay << " " << m.pace << " " << m.refusals << " " << m.refused_age
-           << " " << m.let_through;
+      text << m.retry_after_left << " " << m.backoff_delay << " " << m.send_rate << " "
+           << m.consecutive_rejections << " " << m.first_rejection_age << " " << m.admission_probability;
       ends.insert(text.str());
-      EXPECT_EQ(m.wait_left, 5 * kS);
-      EXPECT_EQ(m.pace, 2);
-      EXPECT_EQ(m.refusals, 3);
-      EXPECT_GT(m.let_through, 0.5);  // aged by a second
+      EXPECT_EQ(m.retry_after_left, 5 * kS);
+      EXPECT_EQ(m.send_rate, 2);
+      EXPECT_EQ(m.consecutive_rejections, 3);
+      EXPECT_GT(m.admission_probability, 0.5);  // aged by a second
     }
   } while (std::next_permutation(order.begin(), order.end()));
   EXPECT_EQ(ends.size(), 1u);
 }
 TEST(Recall, RecordsOutOfRangeDoNoHarm) {
   const double nan = std::nan("");
-  TargetMemory m = closed("a");
-  m.health_age = -1, m.usual_rate = nan, m.budget = nan, m.fail_run = -7, m.fail_share = nan, m.bundle = -3;
-  m.wait_left = -5, m.delay = nan, m.pace = nan, m.refusals = -1, m.refused_age = -1, m.let_through = nan;
+  LearnedState m = closed("a");
+  m.time_in_health = -1, m.baseline_rate = nan, m.slow_start_budget = nan, m.consecutive_failures = -7,
+  m.failure_rate = nan, m.batch_size = -3;
+  m.retry_after_left = -5, m.backoff_delay = nan, m.send_rate = nan, m.consecutive_rejections = -1,
+  m.first_rejection_age = -1, m.admission_probability = nan;
   Relay r;
   r.list(one());
-  r.round({event::TargetRecalled{m, -1}});
+  r.round({event::LearnedStateRestored{m, -1}});
   const Microseconds from = r.now;
   r.live(60 * kS, 10, kSafe, 1, serve);
   EXPECT_GT(r.sends_between(from, r.now), 300);
-  m.health_age = m.wait_left = m.refused_age = std::numeric_limits<Microseconds>::max();
-  m.usual_rate = m.delay = m.pace = m.budget = std::numeric_limits<double>::infinity();
-  m.refusals = m.fail_run = m.bundle = std::numeric_limits<int>::max();
+  m.time_in_health = m.retry_after_left = m.first_rejection_age = std::numeric_limits<Microseconds>::max();
+  m.baseline_rate = m.backoff_delay = m.send_rate = m.slow_start_budget =
+      std::numeric_limits<double>::infinity();
+  m.consecutive_rejections = m.consecutive_failures = m.batch_size = std::numeric_limits<int>::max();
   Relay huge;
   huge.list(one());
-  huge.round({event::TargetRecalled{m, std::numeric_limits<Microseconds>::max()}});
+  huge.round({event::LearnedStateRestored{m, std::numeric_limits<Microseconds>::max()}});
   huge.live(10 * kS, 10, kSafe, 1, serve);
   EXPECT_GT(huge.sends_between(0, huge.now), 0);
 }
@@ -397,7 +402,7 @@
   r.end(r.out.front().id, Outcome::served, 3 * kS);
   auto given = r.learned(kAll);
   ASSERT_EQ(given.size(), 1u);
-  EXPECT_EQ(given[0].wait_left, 3 * kS);
+  EXPECT_EQ(given[0].retry_after_left, 3 * kS);
   EXPECT_TRUE(r.learned(kAll).empty());
   r.run_to(r.now + 4 * kS);
   r.learned(kAll);
@@ -472,9 +477,9 @@
 TEST(Learned, ARecalledRecordIsGivenBlankWhenItIsOver) {
   Relay r;
   r.list(one());
-  TargetMemory m;
-  m.endpoint = "a", m.destination = 1, m.wait_left = 1 * kS;
-  r.round({event::TargetRecalled{m, 5 * kS}});
+  LearnedState m;
+  m.endpoint = "a", m.destination = 1, m.retry_after_left = 1 * kS;
+  r.round({event::LearnedStateRestored{m, 5 * kS}});
   const auto given = r.learned(kAll);
   ASSERT_EQ(given.size(), 1u);
   EXPECT_TRUE(given[0].blank());
@@ -502,7 +507,7 @@
 TEST(Learned, NothingIsKeptOfWhatLeftTheList) {
   for (const bool apart : {false, true}) {
     auto s = plain();
-    s.kinds[0].routes_apart = apart;
+    s.kinds[0].per_endpoint_limits = apart;
     Relay r(s);
     std::size_t before = 0;
     for (int i = 0; i < 50; i++) {
@@ -533,10 +538,10 @@
 std::string random_life(std::uint64_t seed, bool ask, std::size_t& given) {
   std::mt19937_64 random(seed), asks(seed + 1);
   auto s = plain();
-  s.kinds = {{}, {.routes_apart = true, .bundle_max = 4}};
+  s.kinds = {{}, {.per_endpoint_limits = true, .max_batch_size = 4}};
   s.relays = seed % 2 == 0 ? 3 : 200;
-  s.peers = s.cancelling = true;
-  s.cold = 3 * kS;
+  s.gossip = s.cancellation = true;
+  s.slow_start_window = 3 * kS;
   Dispatcher d(s, seed);
   Microseconds now = 0;
   MessageId last = 0;
@@ -548,7 +553,7 @@
     now += static_cast<Microseconds>(random() % 200) * kMs;
     std::vector<Event> events;
     if (round % 97 == 0) {
-      event::ListWhole list;
+      event::EndpointListSnapshot list;
       for (int i = 0; i < 6; i++)
         if (round == 0 || random() % 4 != 0)
           list.endpoints.push_back({.id = std::string(1, static_cast<char>('a' + i)),
@@ -557,23 +562,24 @@
       events.push_back(list);
     }
     if (random() % 40 == 0) mood[random() % 6] = static_cast<int>(random() % 5);
-    if (random() % 50 == 0) events.push_back(event::PeerNote{1, std::string("1r") + "abcdef"[random() % 6]});
+    if (random() % 50 == 0)
+      events.push_back(event::GossipReceived{1, std::string("1r") + "abcdef"[random() % 6]});
     for (std::size_t i = out.size(); i-- > 0;) {
       if (random() % 2 == 0) continue;
       const auto [send, attempt] = out[i];
       out.erase(out.begin() + static_cast<std::ptrdiff_t>(i));
       event::AttemptEnded e;
       e.id = send.id, e.attempt = attempt, e.endpoint = send.endpoint;
-      constexpr Outcome kOutcomes[] = {Outcome::served, Outcome::full, Outcome::connect_failed,
+      constexpr Outcome kOutcomes[] = {Outcome::served, Outcome::rejected, Outcome::connect_failed,
                                        Outcome::error, Outcome::timeout};
       e.outcome = random() % 10 == 0 ? Outcome::served : kOutcomes[mood[send.endpoint[0] - 'a']];
       e.latency = static_cast<Microseconds>(random() % 400) * kMs;
-      e.closed = e.outcome == Outcome::served;
-      if (random() % 30 == 0) e.told_wait = 2 * kS;
+      e.request_completed = e.outcome == Outcome::served;
+      if (random() % 30 == 0) e.retry_after = 2 * kS;
       events.push_back(e);
     }
     for (auto n = random() % 4; n > 0; n--) {
-      event::Arrival a;
+      event::RequestArrived a;
       a.id = ++last, a.destination = static_cast<DestinationId>(random() % 3);
       a.message_class = static_cast<int>(random() % 3), a.time_left = 6 * kS;
       events.push_back(a);
@@ -592,7 +598,7 @@
       }
       text << "\n";
     }
-    while (ask && asks() % 3 == 0) given += d.learned(now, asks() % 5).size();
+    while (ask && asks() % 3 == 0) given += d.take_changed_state(now, asks() % 5).size();
   }
   return text.str();
 }
--- a/tests/policy/index_test.cpp
+++ b/tests/policy/index_test.cpp
@@ -27,15 +27,15 @@
   void operator()(const action::Send& a) const {
     out << "send " << a.id << " " << a.endpoint << " " << a.timeout;
   }
-  void operator()(const action::Refuse& a) const { out << "refuse " << a.id << " " << a.come_back; }
+  void operator()(const action::Reject& a) const { out << "refuse " << a.id << " " << a.retry_after; }
   void operator()(const action::Fail& a) const { out << "fail " << a.id; }
   void operator()(const action::Cancel& a) const { out << "cancel " << a.id << " " << a.attempt; }
   void operator()(const action::CloseIdle& a) const { out << "close idle " << a.endpoint; }
   void operator()(const action::SetTimer&) const {}
-  void operator()(const action::FetchList&) const { out << "fetch"; }
+  void operator()(const action::PollEndpointList&) const { out << "fetch"; }
   void operator()(const action::Subscribe& a) const { out << "subscribe " << a.on; }
-  void operator()(const action::Probe& a) const { out << "probe " << a.endpoint; }
-  void operator()(const action::TellPeer& a) const { out << "tell " << a.whom << " " << a.body; }
+  void operator()(const action::CheckHealth& a) const { out << "probe " << a.endpoint; }
+  void operator()(const action::SendGossip& a) const { out << "tell " << a.peer << " " << a.body; }
   void operator()(const action::Log& a) const { out << "log " << a.text; }
 };
 
@@ -73,7 +73,7 @@
       // Where time alone brought something about, the index had asked for that time itself.
       const bool asked = !index_timers.empty() && *index_timers.begin() <= round.at;
       // (What is handed back while the buffer is full needs no time of its own: any round will do.)
-      std::erase_if(by_walk, [](const Action& a) { return std::holds_alternative<action::Refuse>(a); });
+      std::erase_if(by_walk, [](const Action& a) { return std::holds_alternative<action::Reject>(a); });
       ASSERT_TRUE(asked || !round.timer_alone || words(by_walk).empty())
           << "seed " << seed << " at " << round.at << "\n"
           << words(by_walk);
--- a/tests/policy/random_stream.hpp
+++ b/tests/policy/random_stream.hpp
@@ -43,7 +43,7 @@
   void arrivals(std::vector<Event>& events);
   void lists(std::vector<Event>& events);
   void others(std::vector<Event>& events);
-  event::Arrival arrival();
+  event::RequestArrived arrival();
 
   std::mt19937_64 random_;
   Settings settings_;
--- a/tests/policy/worth_test.cpp
+++ b/tests/policy/worth_test.cpp
@@ -8,7 +8,7 @@
 namespace heronvane::dispatch::testing {
 namespace {
 
-double urgency(const ClassSettings& c, Decay decay, Microseconds past, Microseconds ahead) {
+double urgency(const ClassSettings& c, WeightDecay decay, Microseconds past, Microseconds ahead) {
   const double v = worth_left(c, decay, past);
   return v - worth_left(c, decay, past + ahead) + 0.1 * v;
 }
@@ -18,12 +18,15 @@
   std::size_t compared = 0;
   for (int i = 0; i < 300; i++) {
     ClassSettings c;
-    c.late_worth = static_cast<double>(random() % 12) / 10;
-    c.aim = static_cast<Microseconds>(1 + random() % 2'000) * 1'000;
-    c.deadline = random() % 8 == 0 ? c.aim / 2 : c.aim + static_cast<Microseconds>(random() % 6'000) * 1'000;
-    const auto decay = random() % 2 == 0 ? Decay::line : Decay::halves;
+    c.weight_at_deadline = static_cast<double>(random() % 12) / 10;
+    c.latency_objective = static_cast<Microseconds>(1 + random() % 2'000) * 1'000;
+    c.deadline = random() % 8 == 0
+                     ? c.latency_objective / 2
+                     : c.latency_objective + static_cast<Microseconds>(random() % 6'000) * 1'000;
+    const auto decay = random() % 2 == 0 ? WeightDecay::linear : WeightDecay::half_life;
     const auto ahead =
-        static_cast<Microseconds>(random() % static_cast<std::uint64_t>(c.aim / 1'000 + 1)) * 1'000;
+        static_cast<Microseconds>(random() % static_cast<std::uint64_t>(c.latency_objective / 1'000 + 1)) *
+        1'000;
     const auto phases = worth_phases(c, decay, ahead);
     ASSERT_FALSE(phases.empty());
     for (std::size_t p = 0; p < phases.size(); p++) {
--- a/tests/recovered_test.cpp
+++ b/tests/recovered_test.cpp
@@ -4,12 +4,12 @@
 namespace heronvane::dispatch::testing {
 namespace {
 
-event::Recovered recovered(MessageId id, Class c, int attempts, bool may_have_run,
-                           Microseconds left = 5 * kS) {
-  event::Recovered r;
+event::RequestRecovered recovered(MessageId id, Class c, int attempts, bool may_have_run,
+                                  Microseconds left = 5 * kS) {
+  event::RequestRecovered r;
   r.message.id = id, r.message.destination = 1, r.message.message_class = c, r.message.time_left = left;
   r.attempts = attempts, r.tried = attempts > 0;
-  if (may_have_run) r.may_have_run_zone = 0, r.may_have_run_ago = 1 * kS;
+  if (may_have_run) r.possibly_executed_zone = 0, r.possibly_executed_age = 1 * kS;
   return r;
 }
 TEST(Recovery, AnUnsafeMessageThatMayHaveRunFailsAtOnce) {
@@ -51,7 +51,7 @@
   Relay r;
   r.list({{.id = "a", .destination = 1}});
   auto late = recovered(1, kKeyed, 1, true);
-  late.may_have_run_ago = 6 * kS;  // the key is remembered for 5 s
+  late.possibly_executed_age = 6 * kS;  // the key is remembered for 5 s
   r.round({late, recovered(2, kKeyed, 1, true)});
   EXPECT_EQ(r.failed.count(1), 1u);
   EXPECT_EQ(r.sends_of(1), 0);
@@ -60,8 +60,8 @@
 // Guards against a restart that gives its backlog up with no call, since what comes in now is worth more.
 TEST(Recovery, WhatIsUntriedIsNotHandedBackForNewMessages) {
   auto s = plain();
-  s.open_max = 10;
-  s.slots = 1;
+  s.max_in_flight = 10;
+  s.max_concurrent_calls = 1;
   Relay r(s);
   r.list({{.id = "a", .destination = 1}});
   r.arrive(kUnsafe);  // holds the slot
@@ -76,7 +76,7 @@
 // Also of a class that is worth little by now, and when what comes in is worth much.
 TEST(Recovery, WhatIsUntriedGoesBeforeNewWork) {
   auto s = plain();
-  s.slots = 1;
+  s.max_concurrent_calls = 1;
   Relay r(s);
   r.list({{.id = "a", .destination = 1}});
   const auto first = r.arrive(kUnsafe);  // holds the slot
@@ -87,7 +87,7 @@
   EXPECT_EQ(r.sends_of(101), 1);
   EXPECT_EQ(r.sends_of(fresh), 0);
   r.run_to(r.now + 100 * kMs);
-  r.end(101, Outcome::full);  // tried: from now on as any other
+  r.end(101, Outcome::rejected);  // tried: from now on as any other
   r.run_to(r.now + 1 * kS);
   EXPECT_EQ(r.sends_of(fresh), 1);
   EXPECT_EQ(r.sends_of(102), 0) << "it had been tried";
@@ -104,16 +104,17 @@
   for (std::uint64_t seed = 1; seed <= 20; seed++) {
     auto s = plain();
     s.relays = 300;
-    s.peers = true;
+    s.gossip = true;
     Relay r(s, seed);
     std::vector<Endpoint> endpoints;
     std::vector<Event> earlier;
     for (int d = 1; d <= 20; d++) {
       const std::string id = "e-" + std::to_string(d);
       endpoints.push_back({.id = id, .destination = d});
-      event::TargetRecalled t;
-      t.memory.endpoint = id, t.memory.destination = d;
-      t.memory.let_through = 0.02, t.memory.refusals = refusals, t.memory.wait_left = wait;
+      event::LearnedStateRestored t;
+      t.state.endpoint = id, t.state.destination = d;
+      t.state.admission_probability = 0.02, t.state.consecutive_rejections = refusals,
+      t.state.retry_after_left = wait;
       earlier.emplace_back(t);
       auto m = recovered(static_cast<MessageId>(100 + d), kSafe, 0, false);
       m.message.destination = d;
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -29,15 +29,15 @@
   Relay r;
   r.list({{.id = "a", .destination = 1}});
   const auto id = r.arrive(kSafe);
-  r.round({event::Withdrawn{id}});
-  r.end(id, Outcome::full);
+  r.round({event::RequestWithdrawn{id}});
+  r.end(id, Outcome::rejected);
   r.run_to(r.now + 5 * kS);
   EXPECT_EQ(r.sends_of(id), 1);
   EXPECT_TRUE(r.failed.empty() && r.refused.empty());
 }
 TEST(Lost, AttemptLimitHolds) {
   auto s = plain();
-  s.attempts_max = 2;
+  s.max_attempts = 2;
   Relay r(s);
   r.list({{.id = "a", .destination = 1}});
   const auto id = r.arrive(kSafe);
@@ -62,7 +62,7 @@
   }
 }
 TEST(Effects, UnsafeIsTriedAgainWhenItNeverRan) {
-  for (auto o : {Outcome::full, Outcome::connect_failed, Outcome::not_sent}) {
+  for (auto o : {Outcome::rejected, Outcome::connect_failed, Outcome::not_sent}) {
     Relay r;
     r.list({{.id = "a", .destination = 1}});
     const auto id = r.arrive(kUnsafe);
@@ -111,7 +111,7 @@
   r.list({{.id = "a", .destination = 1}});
   const auto id = r.arrive(kKeyed);
   r.run_to(r.now + 4 * kS);
-  r.end(id, Outcome::full);  // never ran: no window opens
+  r.end(id, Outcome::rejected);  // never ran: no window opens
   r.run_to(r.now + 4 * kS);
   ASSERT_EQ(r.sends_of(id), 2);
   const Microseconds second = r.sent.back().at;
@@ -121,7 +121,7 @@
 }
 TEST(Effects, KeyedByZoneStaysInTheZone) {
   auto s = plain();
-  s.classes[kKeyed].group = KeyGroup::zone;
+  s.classes[kKeyed].key_scope = KeyScope::zone;
   for (int seed = 1; seed < 6; seed++) {
     Relay r(s, static_cast<std::uint64_t>(seed));
     r.list({{.id = "a", .destination = 1, .zone = 0},
@@ -166,7 +166,7 @@
 // After any outage, no window may hold much more than this relay's part of what a cold destination stands.
 void expect_gentle_return(Outcome symptom) {
   auto s = plain();
-  s.fall_multiple = 2, s.cold_from = 0.2, s.cold = 8 * kS;
+  s.collapse_factor = 2, s.slow_start_min_share = 0.2, s.slow_start_window = 8 * kS;
   Relay r(s);
   r.list({{.id = "a", .destination = 1}});
   const auto serve = [](const Sent&) -> std::optional<Outcome> { return Outcome::served; };
@@ -188,14 +188,14 @@
 }
 TEST(Return, AfterRefusedConnects) { expect_gentle_return(Outcome::connect_failed); }
 TEST(Return, AfterErrors) { expect_gentle_return(Outcome::error); }
-TEST(Return, AfterBeingShut) { expect_gentle_return(Outcome::full); }
+TEST(Return, AfterBeingShut) { expect_gentle_return(Outcome::rejected); }
 
 TEST(Waits, ToldWaitHoldsEverySendToTheDestination) {
   Relay r;
   r.list({{.id = "a", .destination = 1}, {.id = "b", .destination = 1}, {.id = "c", .destination = 2}});
   const auto id = r.arrive(kSafe);
   const Microseconds told = r.now;
-  r.end(id, Outcome::full, 2 * kS);
+  r.end(id, Outcome::rejected, 2 * kS);
   r.arrive(kUnsafe);
   r.run_to(told + 1500 * kMs);
   r.arrive(kSafe);
@@ -207,13 +207,13 @@
 }
 TEST(Waits, ToldWaitHoldsOneRouteWhereRoutesAreApart) {
   auto s = plain();
-  s.kinds[0].routes_apart = true;
+  s.kinds[0].per_endpoint_limits = true;
   Relay r(s);
   r.list({{.id = "a", .destination = 1}, {.id = "b", .destination = 1}});
   const auto id = r.arrive(kSafe);
   const EndpointId held = r.sent[0].endpoint;
   const Microseconds told = r.now;
-  r.end(id, Outcome::full, 3 * kS);
+  r.end(id, Outcome::rejected, 3 * kS);
   for (int i = 0; i < 4; i++) r.arrive(kSafe);
   r.run_to(told + 2900 * kMs);
   EXPECT_EQ(r.sends_between(told + 1, told + 3 * kS, held), 0);
@@ -223,7 +223,7 @@
 Settings ordered() {
   auto s = plain();
   s.classes[kSafe].ordered = s.classes[kUnsafe].ordered = true;
-  s.settle_after_doubt = 700 * kMs;
+  s.key_quiet_period = 700 * kMs;
   return s;
 }
 TEST(Order, OneAtATimeInTheOrderTaken) {
@@ -246,7 +246,7 @@
   r.list({{.id = "a", .destination = 1}});
   const auto first = r.arrive(kSafe, 1, "k");
   const auto second = r.arrive(kSafe, 1, "k");
-  r.round({event::Withdrawn{first}});
+  r.round({event::RequestWithdrawn{first}});
   EXPECT_EQ(r.sends_of(second), 0);
   r.end(first, Outcome::served);
   EXPECT_EQ(r.sends_of(second), 1);
--- a/tests/store/format1_test.cpp
+++ b/tests/store/format1_test.cpp
@@ -73,7 +73,7 @@
   OldFile f;
   for (MessageId n = 1; n <= 30; n++) {
     f.take(n, message(n));
-    if (n == 5) f.sent(2, 100, 1), f.sent(4, 101, 0), f.outcome(4, 0, Outcome::full);
+    if (n == 5) f.sent(2, 100, 1), f.sent(4, 101, 0), f.outcome(4, 0, Outcome::rejected);
     if (n > 6 && n % 3 == 0) f.over(n - 3);
   }
   f.sent(5, 102, 0), f.outcome(5, 0, Outcome::connect_failed), f.sent(5, 103, 1);
--- a/tests/store/store_test.cpp
+++ b/tests/store/store_test.cpp
@@ -73,7 +73,7 @@
       ASSERT_TRUE(s->admit(m));
       s->take(n, m);
     }
-    s->sent(1, 1000, 2), s->outcome(1, 0, Outcome::full), s->sent(1, 2000, 1);
+    s->sent(1, 1000, 2), s->outcome(1, 0, Outcome::rejected), s->sent(1, 2000, 1);
     s->ending(2, {true, 500}), s->over(3), s->over(4);
     s->keep("drain/x", "41"), s->keep("drain/y", "42"), s->keep("drain/x", "");
     ASSERT_TRUE(s->commit());
--- a/tests/store/tool_test.cpp
+++ b/tests/store/tool_test.cpp
@@ -105,7 +105,7 @@
       const auto disk = open_folder(folder);
       Store s(*disk, options());
       take(s, "first", "BODY-1"), take(s, "second", every_byte()), take(s, "third", "BODY-3");
-      s.sent(1, s.clock().now(), 2), s.outcome(1, 0, Outcome::full), s.sent(1, s.clock().now(), 1);
+      s.sent(1, s.clock().now(), 2), s.outcome(1, 0, Outcome::rejected), s.sent(1, s.clock().now(), 1);
       s.ending(2, {true, 1'500'000}), s.over(3);
       ASSERT_TRUE(s.commit());
     }
@@ -290,7 +290,7 @@
   EXPECT_EQ(b.message.deadline, a.message.deadline);
   ASSERT_EQ(b.attempts.size(), 2u);
   EXPECT_EQ(b.attempts[0].sent, a.attempts[0].sent);
-  EXPECT_EQ(b.attempts[0].outcome, Outcome::full);
+  EXPECT_EQ(b.attempts[0].outcome, Outcome::rejected);
   EXPECT_FALSE(s2.held().at(4).doubt);
   EXPECT_EQ(s2.held().at(4).message.body, "BODY-4");
 }
--- a/tests/store/workload.cpp
+++ b/tests/store/workload.cpp
@@ -15,7 +15,7 @@
 constexpr int kAttemptsMax = 8;
 
 bool never_ran(Outcome o) {
-  return o == Outcome::full || o == Outcome::connect_failed || o == Outcome::not_sent;
+  return o == Outcome::rejected || o == Outcome::connect_failed || o == Outcome::not_sent;
 }
 
 }  // namespace
--- a/tools/store/text.cpp
+++ b/tools/store/text.cpp
@@ -88,7 +88,7 @@
       return "served";
     case Outcome::error:
       return "error";
-    case Outcome::full:
+    case Outcome::rejected:
       return "full";
     case Outcome::timeout:
       return "timeout";
