--- a/tests/fleet_rig/processes.hpp
+++ b/tests/fleet_rig/processes.hpp
@@ -34,7 +34,7 @@
 
   std::vector<Run> runs(const std::string& instance) const;  // all so far, oldest first
   std::map<std::string, pid_t> alive() const;                // at the last look
-  lab::Process open(const std::string& instance) const;            // of the process that it has now; else empty
+  lab::Process open(const std::string& instance) const;      // of the process that it has now; else empty
   std::string doubles() const;                               // two at once on one state folder; "": never
   std::uint64_t looks() const { return looks_; }
   void look_twice() const;  // returns once a look that began after this call is complete
