--- a/tests/run.sh
+++ b/tests/run.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# Builds with warnings as errors and runs all tests, plainly and under sanitizers. Tests that KNOWN-RED.txt
-# names are run apart, and their failure does not fail the run.
+# Checks format and lint, then builds with warnings as errors and runs all tests, plainly and under sanitizers.
+# Tests that KNOWN-RED.txt names are run apart, and their failure does not fail the run.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -16,11 +16,26 @@
 fi
 known_red_pattern=$(printf '%s\n' "${known_red[@]}" | sed 's/[.]/\\./g' | paste -sd'|')
 
+# Prints how long the run has taken so far.
+phase() {
+  printf '== %s at %d:%02d\n' "$1" $((SECONDS / 60)) $((SECONDS % 60))
+}
+
+if command -v ccache >/dev/null; then
+  export CMAKE_CXX_COMPILER_LAUNCHER=ccache
+  export CCACHE_BASEDIR=$PWD  # a checkout in another folder finds the same results
+  export CCACHE_SLOPPINESS=pch_defines,time_macros  # what precompiled headers need
+fi
+
+phase lint
+tools/lint/run.sh
 for sanitize in OFF ON; do
+  phase "build, sanitizers $sanitize"
   dir=build-test-$sanitize
   cmake -B "$dir" -DCMAKE_BUILD_TYPE=Release -DHERONVANE_TESTS=ON -DHERONVANE_WERROR=ON \
     -DHERONVANE_SANITIZE=$sanitize >/dev/null
   cmake --build "$dir" -j "$(nproc)"
+  phase "tests, sanitizers $sanitize"
   if ((${#known_red[@]})); then
     ctest --test-dir "$dir" -R "^($known_red_pattern)\$" -j "$(nproc)" || echo "known red tests failed, as listed"
     ctest --test-dir "$dir" -E "^($known_red_pattern)\$" --output-on-failure -j "$(nproc)"
@@ -28,3 +43,4 @@
     ctest --test-dir "$dir" --output-on-failure -j "$(nproc)"
   fi
 done
+phase end
