--- /dev/null
+++ b/bench/decisions/learned_store.cpp
@@ -0,0 +1,101 @@
+#include "learned_store.hpp"
+
+#include <limits>
+#include <utility>
+
+namespace decisions {
+namespace {
+
+constexpr std::int64_t kLongest = std::numeric_limits<std::int64_t>::max();
+
+// A record of another make.
+void spoil(LearnedState& state, Random& random) {
+  const double wild = random.one_of<double>({-1, 0, 1e30, std::numeric_limits<double>::quiet_NaN()});
+  switch (random.between(0, 9)) {
+    case 0:
+      state.destination++;
+      break;
+    case 1:
+      state.usual_rate = wild;
+      break;
+    case 2:
+      state.budget = wild;
+      break;
+    case 3:
+      state.failure_share = wild;
+      break;
+    case 4:
+      state.backoff = wild;
+      break;
+    case 5:
+      state.admission = wild;
+      break;
+    case 6:
+      state.failures_in_row = static_cast<int>(random.between(-5, 5'000));
+      break;
+    case 7:
+      state.rejections = static_cast<int>(random.between(-5, 5'000));
+      break;
+    case 8:
+      state.health_age = random.one_of<Micros>({-1, kLongest, 1'000'000});
+      break;
+    default:
+      state.rejected_age = random.one_of<Micros>({-1, kLongest, 1'000'000});
+      break;
+  }
+}
+
+LearnedState made_up(const std::string& endpoint, Random& random) {
+  LearnedState state;
+  state.endpoint = endpoint;
+  state.destination = random.between(1, 3);
+  state.health = static_cast<Health>(random.between(0, 2));
+  state.health_age = random.between(0, 10'000'000);
+  state.usual_rate = random.real(0, 50);
+  state.budget = random.share();
+  state.failures_in_row = static_cast<int>(random.between(0, 5));
+  state.failure_share = random.share();
+  state.outcome_unknown = random.chance(0.5);
+  state.batch = static_cast<int>(random.between(0, 30));
+  state.wait_left = random.chance(0.5) ? random.between(0, 3'000'000) : 0;
+  state.backoff = random.real(0, 2);
+  state.send_rate = random.chance(0.5) ? random.real(0, 100) : 0;
+  state.rejections = static_cast<int>(random.between(0, 6));
+  state.rejected_age = random.between(0, 5'000'000);
+  state.admission = random.share();
+  return state;
+}
+
+}  // namespace
+
+void LearnedStore::keep(const std::vector<LearnedState>& states, Micros now) {
+  for (const LearnedState& state : states) {
+    if (state.blank)
+      entries_.erase(state.endpoint);
+    else
+      entries_[state.endpoint] = {state, now};
+  }
+}
+
+std::vector<Event> LearnedStore::restored(Micros now, Random& random) const {
+  std::vector<Event> events;
+  for (const auto& [endpoint, entry] : entries_) {
+    if (random.chance(0.05)) continue;
+    event::Restored restored{entry.state, now - entry.at};
+    if (random.chance(0.1)) restored.age += random.between(0, 60'000'000);
+    if (random.chance(0.1)) spoil(restored.state, random);
+    events.push_back(restored);
+    if (random.chance(0.1)) events.push_back(event::Restored{entry.state, now - entry.at + 1});
+  }
+  const std::int64_t invented = random.between(0, 2);
+  for (std::int64_t i = 0; i < invented; i++) {
+    const std::string endpoint = "s-" + std::to_string(random.between(1, 30));
+    events.push_back(event::Restored{made_up(endpoint, random), random.between(0, 5'000'000)});
+  }
+  for (std::size_t i = events.size(); i > 1; i--)
+    std::swap(events[i - 1],
+              events[static_cast<std::size_t>(random.between(0, static_cast<std::int64_t>(i) - 1))]);
+  return events;
+}
+
+}  // namespace decisions
