--- a/bench/decisions/day.cpp
+++ b/bench/decisions/day.cpp
@@ -62,10 +62,18 @@
   next_arrival_ = std::max(next_arrival_, now_);
   start_module();
   for (Event& e : learned_.restored(now_, random_))
-    enqueue(now_ + (random_.chance(0.9) ? 0 : kSecond), std::move(e));
+    enqueue(now_ + (random_.chance(0.8) ? 0 : random_.between(0, 5 * kSecond)), std::move(e));
   for (event::Recovered& r : requests_.restart(now_)) enqueue(now_, std::move(r));
 }
 
+// An instance that is moved goes on as if it had stayed.
+void Day::move_module_at_times() {
+  if (rounds_ % 1'000 != 0) return;
+  Binding elsewhere(day_.settings, 0);
+  elsewhere = std::move(*module_);
+  module_ = std::make_unique<Binding>(std::move(elsewhere));
+}
+
 // ---- Rounds. ----
 
 Micros Day::next_moment() const {
@@ -83,6 +91,7 @@
   while (next_incident_ <= now_) incident();
   const std::vector<Event> events = due_events();
   std::vector<Action> actions;
+  move_module_at_times();
   recorder_.begin_round(now_, events.size());
   module_->handle(now_, events, actions);
   calls_of_round_.clear();
@@ -137,8 +146,9 @@
 
 void Day::arrive() {
   enqueue(next_arrival_, draw_arrival());
-  if (random_.chance(0.1)) return;  // several at once
-  next_arrival_ += static_cast<Micros>(random_.real(0, 2) / (day_.requests_per_s * load_) * 1e6) + 1;
+  if (random_.chance(day_.burst_share)) return;
+  const double per_s = day_.requests_per_s * load_ * (1 - day_.burst_share);
+  next_arrival_ += static_cast<Micros>(random_.real(0, 2) / per_s * 1e6) + 1;
 }
 
 event::Arrival Day::draw_arrival() {
@@ -159,7 +169,7 @@
 
 void Day::maybe_hand_in_again(RequestId id, Micros after) {
   const Request* request = requests_.find(id);
-  if (request == nullptr || !random_.chance(0.5)) return;
+  if (request == nullptr || !random_.chance(0.3)) return;
   event::Arrival again = request->arrival;
   again.repeated = true;
   again.time_left = request->deadline - now_ - after;
@@ -203,9 +213,7 @@
     case 17:
       return repeat_an_end();
     case 18:
-      enqueue(now_, event::HealthCheckEnded{"s-1", Outcome::served, kMillisecond});
-      enqueue(now_, event::ListFailed{});
-      return;
+      return uncommon_events();
     default:
       return restart();
   }
@@ -240,6 +248,12 @@
   enqueue(now_, event::Withdrawn{2'000'000});  // of a request that was never there
 }
 
+void Day::uncommon_events() {
+  enqueue(now_, event::HealthCheckEnded{"s-1", Outcome::served, kMillisecond});
+  enqueue(now_, event::ListFailed{});
+  for (int i = 0; i < 3; i++) enqueue(now_ + random_.between(0, kSecond), LearnedStore::made_up(random_));
+}
+
 void Day::repeat_an_end() {
   if (last_end_) enqueue(now_, *last_end_);
 }
@@ -251,9 +265,9 @@
   if (request == nullptr) return;
   const auto begun = calls_of_round_.find(a.endpoint);
   const bool joins = begun != calls_of_round_.end() && receivers_.batches(a.endpoint) && random_.chance(0.9);
-  Reply reply = joins ? begun->second.reply : receivers_.call(a, now_);
+  Reply reply = joins ? begun->second : receivers_.call(a, now_);
   reply.latency = std::min(reply.latency, std::max<Micros>(a.timeout, 0));
-  if (!joins) calls_of_round_[a.endpoint] = {reply};
+  if (!joins) calls_of_round_[a.endpoint] = reply;
   event::AttemptEnded ended;
   ended.id = a.id;
   ended.attempt = request->attempts++;
--- a/bench/decisions/day.hpp
+++ b/bench/decisions/day.hpp
@@ -32,14 +32,11 @@
     std::uint64_t order = 0;
     auto operator<=>(const QueueKey&) const = default;
   };
-  // The fate that the requests of one call share: those sent to one endpoint in one round, where it batches.
-  struct SharedCall {
-    Reply reply;
-  };
 
   void probe_settings();
   void start_module();
   void restart();
+  void move_module_at_times();
   bool round();
   Micros next_moment() const;
   std::vector<Event> due_events();
@@ -53,6 +50,7 @@
   void change_list();
   void gossip_comes();
   void withdraw();
+  void uncommon_events();
   void repeat_an_end();
   void list_answer();
   void maybe_hand_in_again(RequestId id, Micros after);
@@ -77,7 +75,8 @@
   LearnedStore learned_;
   std::unique_ptr<Binding> module_;
   std::map<QueueKey, Event> queue_;
-  std::map<std::string, SharedCall> calls_of_round_;
+  // The fate that the requests of one call share: those sent to one endpoint in one round, where it batches.
+  std::map<std::string, Reply> calls_of_round_;
   std::optional<event::AttemptEnded> last_end_;
   std::vector<std::string> gossip_bodies_;
   std::uint64_t order_ = 0;
--- a/bench/decisions/learned_store.cpp
+++ b/bench/decisions/learned_store.cpp
@@ -45,27 +45,6 @@
   }
 }
 
-LearnedState made_up(const std::string& endpoint, Random& random) {
-  LearnedState state;
-  state.endpoint = endpoint;
-  state.destination = random.between(1, 3);
-  state.health = static_cast<Health>(random.between(0, 2));
-  state.health_age = random.between(0, 10'000'000);
-  state.usual_rate = random.real(0, 50);
-  state.budget = random.share();
-  state.failures_in_row = static_cast<int>(random.between(0, 5));
-  state.failure_share = random.share();
-  state.outcome_unknown = random.chance(0.5);
-  state.batch = static_cast<int>(random.between(0, 30));
-  state.wait_left = random.chance(0.5) ? random.between(0, 3'000'000) : 0;
-  state.backoff = random.real(0, 2);
-  state.send_rate = random.chance(0.5) ? random.real(0, 100) : 0;
-  state.rejections = static_cast<int>(random.between(0, 6));
-  state.rejected_age = random.between(0, 5'000'000);
-  state.admission = random.share();
-  return state;
-}
-
 }  // namespace
 
 void LearnedStore::keep(const std::vector<LearnedState>& states, Micros now) {
@@ -88,14 +67,32 @@
     if (random.chance(0.1)) events.push_back(event::Restored{entry.state, now - entry.at + 1});
   }
   const std::int64_t invented = random.between(0, 2);
-  for (std::int64_t i = 0; i < invented; i++) {
-    const std::string endpoint = "s-" + std::to_string(random.between(1, 30));
-    events.push_back(event::Restored{made_up(endpoint, random), random.between(0, 5'000'000)});
-  }
+  for (std::int64_t i = 0; i < invented; i++) events.push_back(made_up(random));
   for (std::size_t i = events.size(); i > 1; i--)
     std::swap(events[i - 1],
               events[static_cast<std::size_t>(random.between(0, static_cast<std::int64_t>(i) - 1))]);
   return events;
 }
 
+event::Restored LearnedStore::made_up(Random& random) {
+  LearnedState state;
+  state.endpoint = "s-" + std::to_string(random.between(1, 30));
+  state.destination = random.between(1, 3);
+  state.health = static_cast<Health>(random.between(0, 2));
+  state.health_age = random.between(0, 10'000'000);
+  state.usual_rate = random.real(0, 50);
+  state.budget = random.share();
+  state.failures_in_row = static_cast<int>(random.between(0, 5));
+  state.failure_share = random.share();
+  state.outcome_unknown = random.chance(0.5);
+  state.batch = static_cast<int>(random.between(0, 30));
+  state.wait_left = random.chance(0.5) ? random.between(0, 3'000'000) : 0;
+  state.backoff = random.real(0, 2);
+  state.send_rate = random.chance(0.5) ? random.real(0, 100) : 0;
+  state.rejections = static_cast<int>(random.between(0, 6));
+  state.rejected_age = random.between(0, 5'000'000);
+  state.admission = random.share();
+  return {state, random.between(0, 5'000'000)};
+}
+
 }  // namespace decisions
--- a/bench/decisions/receivers.cpp
+++ b/bench/decisions/receivers.cpp
@@ -15,8 +15,9 @@
 Receivers::Receivers(const Scenario& day, Random& random)
     : day_(day), random_(random), failure_share_(day.failure_share) {
   for (int destination = 1; destination <= day.destinations; destination++) {
-    RateLimit& limit = limits_[destination];
-    if (random_.chance(0.7)) limit.rate = day.rate_limit_per_s;
+    Destination& model = destinations_[destination];
+    model.kind = static_cast<int>(random_.between(0, static_cast<std::int64_t>(day.settings.kinds.size())));
+    if (random_.chance(0.7)) model.rate = day.rate_limit_per_s;
     for (int i = 0; i < day.endpoints_per_destination; i++) add(destination, 0);
   }
 }
@@ -24,12 +25,10 @@
 Receiver& Receivers::add(std::int64_t destination, Micros now) {
   const std::string id = "s-" + std::to_string(++added_);
   Receiver& r = receivers_[id];
-  const auto kinds = static_cast<std::int64_t>(day_.settings.kinds.size());
   r.info.id = id;
   r.info.destination = destination;
   r.info.zone = static_cast<int>(random_.between(0, 2));
-  // All endpoints of a destination are of one kind; the last kind is not in the settings.
-  r.info.kind = static_cast<int>(destination % (kinds + 1));
+  r.info.kind = destinations_[destination].kind;
   r.info.weight = random_.real(0.5, 2);
   r.info.added_at = now;
   r.latency = std::max<Micros>(day_.latency * random_.between(50, 200) / 100, 500);
@@ -93,7 +92,7 @@
     return {Outcome::connect_failed, 2 * kMillisecond};
   if (r.calls_out > r.connections_max) return {Outcome::connect_failed, 3 * kMillisecond};
   if (unused > kKeepAlive && random_.chance(0.5)) return {Outcome::reset, kMillisecond};
-  if (now < limits_[r.info.destination].rejects_all_until) return rejected(10 * kSecond);
+  if (now < destinations_[r.info.destination].rejects_all_until) return rejected(10 * kSecond);
   if (limited(r, now)) return rejected(2 * kSecond);
   return sound(r, send, now);
 }
@@ -111,14 +110,14 @@
 }
 
 bool Receivers::limited(const Receiver& r, Micros now) {
-  RateLimit& limit = limits_[r.info.destination];
-  if (limit.rate <= 0) return false;
-  const double burst = std::max(1.0, limit.rate);
-  limit.tokens =
-      std::min(burst, limit.tokens + limit.rate * static_cast<double>(now - limit.tokens_at) * 1e-6);
-  limit.tokens_at = now;
-  if (limit.tokens < 1) return true;
-  limit.tokens -= 1;
+  Destination& model = destinations_[r.info.destination];
+  if (model.rate <= 0) return false;
+  const double burst = std::max(1.0, model.rate);
+  model.tokens =
+      std::min(burst, model.tokens + model.rate * static_cast<double>(now - model.tokens_at) * 1e-6);
+  model.tokens_at = now;
+  if (model.tokens < 1) return true;
+  model.tokens -= 1;
   return false;
 }
 
@@ -188,13 +187,13 @@
 }
 
 void Receivers::reject_all(Micros now) {
-  limits_[any().info.destination].rejects_all_until = now + random_.skewed(500, 30'000) * kMillisecond;
+  destinations_[any().info.destination].rejects_all_until = now + random_.skewed(500, 30'000) * kMillisecond;
 }
 
 void Receivers::change_limit() {
-  RateLimit& limit = limits_[any().info.destination];
+  Destination& model = destinations_[any().info.destination];
   const double fair = day_.requests_per_s / day_.destinations;
-  limit.rate = random_.chance(0.3) ? 0 : fair * random_.real(0.2, 3);
+  model.rate = random_.chance(0.3) ? 0 : fair * random_.real(0.2, 3);
 }
 
 void Receivers::slow_down(Micros now) { any().slow_until = now + random_.skewed(500, 20'000) * kMillisecond; }
--- a/bench/decisions/receivers.hpp
+++ b/bench/decisions/receivers.hpp
@@ -37,7 +37,8 @@
   int recent_calls = 0;
 };
 
-struct RateLimit {  // of a destination
+struct Destination {  // a destination
+  int kind = 0;       // of its endpoints; the last kind is not in the settings
   double rate = 0;
   double tokens = 1;
   Micros tokens_at = 0;
@@ -86,7 +87,7 @@
   double failure_share_;
   int added_ = 0;
   std::map<std::string, Receiver> receivers_;
-  std::map<std::int64_t, RateLimit> limits_;
+  std::map<std::int64_t, Destination> destinations_;
 };
 
 }  // namespace decisions
--- a/bench/decisions/scenario.cpp
+++ b/bench/decisions/scenario.cpp
@@ -25,9 +25,9 @@
 void draw_lists(Random& random, Settings& s) {
   const std::int64_t classes = random.between(1, 6);
   for (std::int64_t i = 0; i < classes; i++) s.classes.push_back(draw_class(random));
-  const std::int64_t kinds = random.between(0, 3);
+  const std::int64_t kinds = random.between(0, 4);
   for (std::int64_t i = 0; i < kinds; i++)
-    s.kinds.push_back({random.chance(0.4), random.one_of<int>({1, 1, 2, 5, 20})});
+    s.kinds.push_back({random.chance(0.4), random.one_of<int>({1, 2, 5, 20})});
   const std::int64_t tenants = random.between(0, 3);
   for (std::int64_t i = 0; i < tenants; i++)
     s.tenant_quotas_per_s.push_back(random.one_of<double>({0, 1, 10, 100}) * s.relays);
@@ -41,8 +41,10 @@
   s.over_quota_weight = random.one_of<double>({0, 0.1, 0.5, 1});
   s.relay_index = static_cast<int>(random.between(0, s.relays - 1));
   s.zone = static_cast<int>(random.between(0, 2));
-  s.slots = static_cast<int>(random.one_of<std::int64_t>({1, 4, 16, 64, 256, 1'000}));
-  s.in_flight_max = static_cast<int>(random.one_of<std::int64_t>({1, 20, 100, 1'000, 10'000, 100'000}));
+  s.slots = static_cast<int>(random.one_of<std::int64_t>({1, 4, 16, 16, 64, 256, 1'000}));
+  s.in_flight_max =
+      static_cast<int>(random.one_of<std::int64_t>({20, 100, 300, 1'000, 1'000, 10'000, 100'000}));
+  if (random.chance(0.02)) s.in_flight_max = 1;
   s.attempts_max = static_cast<int>(random.one_of<std::int64_t>({1, 2, 3, 5, 10}));
   s.hedging = random.chance(0.3);
   s.cancelling = random.chance(0.6);
@@ -72,6 +74,7 @@
   constexpr double kRequestsADay = 6'000;
   day.requests_per_s = sparse ? random.real(2, 40) : random.real(20, 400);
   day.length = static_cast<Micros>(random.real(0.5, 1.5) * kRequestsADay / day.requests_per_s * 1e6);
+  day.burst_share = random.one_of<double>({0, 0.1, 0.5, 0.8});
   day.destinations = static_cast<int>(random.skewed(1, sparse ? 30 : 12));
   day.endpoints_per_destination = static_cast<int>(random.skewed(1, 5));
   day.order_keys = static_cast<int>(random.one_of<std::int64_t>({1, 5, 50, 500}));
--- a/bench/decisions/scenario.hpp
+++ b/bench/decisions/scenario.hpp
@@ -15,6 +15,7 @@
   Micros length = 0;
   // Load and receivers.
   double requests_per_s = 100;
+  double burst_share = 0;  // of requests that come at the moment of another one
   int destinations = 1;
   int endpoints_per_destination = 1;
   int order_keys = 1;
