--- a/bench/decisions/day.cpp
+++ b/bench/decisions/day.cpp
@@ -225,6 +225,8 @@
     enqueue(now_ + day_.list_delay, event::ListComplete{receivers_.listed(), false});
   else
     enqueue(now_ + day_.list_delay, event::ListChanges{changed});
+  if (random_.chance(0.2))
+    enqueue(now_ + day_.list_delay, LearnedStore::made_up(changed.front().id, random_));
 }
 
 void Day::gossip_comes() {
@@ -251,7 +253,11 @@
 void Day::uncommon_events() {
   enqueue(now_, event::HealthCheckEnded{"s-1", Outcome::served, kMillisecond});
   enqueue(now_, event::ListFailed{});
-  for (int i = 0; i < 3; i++) enqueue(now_ + random_.between(0, kSecond), LearnedStore::made_up(random_));
+  constexpr int kRecords = 3;
+  for (int i = 0; i < kRecords; i++) {
+    const std::string endpoint = "s-" + std::to_string(random_.between(1, 30));
+    enqueue(now_ + random_.between(0, kSecond), LearnedStore::made_up(endpoint, random_));
+  }
 }
 
 void Day::repeat_an_end() {
--- a/bench/decisions/learned_store.cpp
+++ b/bench/decisions/learned_store.cpp
@@ -67,16 +67,17 @@
     if (random.chance(0.1)) events.push_back(event::Restored{entry.state, now - entry.at + 1});
   }
   const std::int64_t invented = random.between(0, 2);
-  for (std::int64_t i = 0; i < invented; i++) events.push_back(made_up(random));
+  for (std::int64_t i = 0; i < invented; i++)
+    events.push_back(made_up("s-" + std::to_string(random.between(1, 30)), random));
   for (std::size_t i = events.size(); i > 1; i--)
     std::swap(events[i - 1],
               events[static_cast<std::size_t>(random.between(0, static_cast<std::int64_t>(i) - 1))]);
   return events;
 }
 
-event::Restored LearnedStore::made_up(Random& random) {
+event::Restored LearnedStore::made_up(const std::string& endpoint, Random& random) {
   LearnedState state;
-  state.endpoint = "s-" + std::to_string(random.between(1, 30));
+  state.endpoint = endpoint;
   state.destination = random.between(1, 3);
   state.health = static_cast<Health>(random.between(0, 2));
   state.health_age = random.between(0, 10'000'000);
--- a/bench/decisions/learned_store.hpp
+++ b/bench/decisions/learned_store.hpp
@@ -16,8 +16,8 @@
   void keep(const std::vector<LearnedState>& states, Micros now);
   // For an instance that starts at `now`, in an order drawn.
   std::vector<Event> restored(Micros now, Random& random) const;
-  // Of an endpoint that may be listed or not, as no instance gave it out.
-  static event::Restored made_up(Random& random);
+  // As no instance gave it out; the endpoint may be listed or not.
+  static event::Restored made_up(const std::string& endpoint, Random& random);
 
  private:
   struct Entry {
--- a/bench/decisions/receivers.cpp
+++ b/bench/decisions/receivers.cpp
@@ -206,9 +206,19 @@
   failure_share_ = random_.chance(0.5) ? day_.failure_share : random_.one_of<double>({0, 0.05, 0.15, 0.4});
 }
 
+std::vector<Endpoint> Receivers::change_all(std::int64_t destination, Listing listing) {
+  std::vector<Endpoint> changed;
+  for (auto& [id, r] : receivers_) {
+    if (r.info.destination != destination) continue;
+    r.info.listing = listing;
+    changed.push_back(r.info);
+  }
+  return changed;
+}
+
 std::vector<Endpoint> Receivers::change_list(Micros now) {
   Receiver& r = any();
-  switch (random_.between(0, 7)) {
+  switch (random_.between(0, 9)) {
     case 0:
     case 1:
       return {add(random_.between(1, day_.destinations + 1), now).info};
@@ -224,6 +234,10 @@
     case 5:
       r.info.kind = static_cast<int>(random_.between(-1, 4));
       break;
+    case 6:
+      return change_all(r.info.destination, Listing::removed);
+    case 7:
+      return change_all(r.info.destination, Listing::active);
     default:
       r.info.listing = Listing::active;
       break;
--- a/bench/decisions/receivers.hpp
+++ b/bench/decisions/receivers.hpp
@@ -74,6 +74,7 @@
 
  private:
   Receiver& any();
+  std::vector<Endpoint> change_all(std::int64_t destination, Listing listing);
   Receiver& add(std::int64_t destination, Micros now);
   void fail(Receiver& receiver, Fault fault, Micros until);
   bool collapses(Receiver& receiver, Micros now);
