--- a/bench/decisions/binding_heronvane.hpp
+++ b/bench/decisions/binding_heronvane.hpp
@@ -29,15 +29,15 @@
   }
 
   std::vector<LearnedState> learned(Micros now, std::size_t most) {
-    return from_module(dispatcher_.learned(now, most));
+    return from_module(dispatcher_.take_changed_state(now, most));
   }
   std::vector<LearnedState> observed(Micros now, std::size_t most) const {
     std::vector<dispatch::LearnedState> known;
-    dispatcher_.targets(now, most, known);
+    dispatcher_.endpoint_states(now, most, known);
     return from_module(known);
   }
-  std::size_t waiting() const { return dispatcher_.waiting(); }
-  std::size_t kept() const { return dispatcher_.kept(); }
+  std::size_t waiting() const { return dispatcher_.queued_requests(); }
+  std::size_t kept() const { return dispatcher_.retained_objects(); }
 
  private:
   static dispatch::ClassSettings to_module(const ClassSettings& s) {
