--- a/src/dispatcher.cpp
+++ b/src/dispatcher.cpp
@@ -14,12 +14,12 @@
 #include <map>
 #include <optional>
 #include <queue>
-#include <random>
 #include <set>
 #include <stdexcept>
 #include <tuple>
 #include <unordered_map>
 
+#include "decision_pass.hpp"
 #include "rates.hpp"
 #include "state.hpp"
 #include "waiting.hpp"
@@ -33,7 +33,7 @@
 // a share of the shortest aim, because its seconds are long against our deadlines.
 constexpr double kUnitOfAim = 0.1;
 constexpr double kInitial = 2, kIncrement = 4, kLeast = 1, kMost = 20;  // in units
-constexpr double kFactor = 0.2, kJitter = 0.25;
+constexpr double kFactor = 0.2;
 constexpr double kAgingHalfLife = 20;  // units: an unused D halves in this time
 // A relay may be held up for so long, in microseconds, between reading its clock and writing a call.
 constexpr Microseconds kWriteDelay = 150'000;
@@ -95,7 +95,7 @@
 
 const std::string kNoteRefused = "1r";  // a note between relays: its version, its kind, then the endpoint
 
-Microseconds micros(double s) { return s > 1e9 ? kNever : static_cast<Microseconds>(s * 1e6); }
+Microseconds micros(double s) { return microseconds(s); }
 
 struct Gate {                  // what kept a message from being sent
   Microseconds when = kNever;  // nothing changes before, but by what happens at its destination
@@ -108,9 +108,10 @@
 
 struct Dispatcher::State {
   Settings set;
-  std::mt19937_64 random;
+  Random random;
   Microseconds now = 0;
   std::vector<Action>* out = nullptr;
+  DecisionPass* pass = nullptr;  // set while handle() runs
   std::map<EndpointId, EndpointState> endpoints;
   std::map<DestinationId, DestinationState> destinations;
   std::unordered_map<MessageId, Request> messages;
@@ -133,7 +134,7 @@
   std::vector<double> after_refusal;  // by kind: share of calls served that come after a refusal there
   double stray_share = 0;             // of calls that fail at endpoints which serve on
   double slowness = 1;                // recent latencies of all serves, in usual ones
-  Microseconds tell_at = 0, timer_at = kNever, ask_at = kNever, wake = kNever;
+  Microseconds tell_at = 0, timer_at = kNever, ask_at = kNever;
   double ask_gap = kAskAgain;
   std::vector<EndpointState*> begun, warmed;  // in this round: with calls for many; no more on trial
   std::set<EndpointId> ended_at;              // endpoints at which a call ended in this round
@@ -161,12 +162,12 @@
     return groups;
   }
 
-  double uniform() { return static_cast<double>(random() >> 11) * 0x1.0p-53; }
+  double uniform() { return random.uniform(); }
   double ramp_share() const { return set.relays > kFewRelays ? kRampShareMany : kRampShare; }
-  double jittered(double d) { return d * (1 + kJitter * (2 * uniform() - 1)); }
+  double jittered(double d) { return random.jittered(d); }
   double burst_of(const TenantSettings& t) const { return 2 + 2 * t.quota_per_s / set.relays; }
   void log(const std::string& text) { out->push_back(action::Log{text}); }
-  void wake_by(Microseconds t) { wake = std::min(wake, std::max(t, now + set.min_decision_interval)); }
+  void wake_by(Microseconds t) { pass->wake_up.no_later_than(t); }
 
   DestinationState& destination_of(DestinationId id) {
     const auto [it, fresh] = destinations.try_emplace(id);
@@ -1209,7 +1210,12 @@
 #endif
 
   void handle(Microseconds at, const std::vector<Event>& events, std::vector<Action>& actions) {
-    now = std::max(now, at), out = &actions, wake = kNever;
+    now = std::max(now, at);
+    ActionSink sink(actions);
+    WakeUp wake_up(now + set.min_decision_interval);
+    DecisionPass this_pass{now, set, random, sink, wake_up};
+    out = &actions;
+    pass = &this_pass;
     for (const auto& ev : events) std::visit([this](const auto& e) { on(e); }, ev);
     if (set.list_subscription) ask();
     dispatch();
@@ -1217,11 +1223,12 @@
     for (EndpointState* e : std::exchange(warmed, {})) count_trials(*e);
     drop_unused();
     sweep();
-    if (wake < timer_at && wake < kNever) {
+    if (const Microseconds wake = wake_up.at(); wake < timer_at && wake < kNever) {
       timer_at = wake;
       actions.push_back(action::SetTimer{std::min<Microseconds>(wake - now, 3'600'000'000), 0});
     }
     out = nullptr;
+    pass = nullptr;
   }
 };
 
--- a/src/rates.hpp
+++ b/src/rates.hpp
@@ -7,11 +7,10 @@
 #include <limits>
 
 #include "heronvane/dispatch/dispatcher.hpp"
+#include "time_units.hpp"
 
 namespace heronvane::dispatch {
 
-inline double seconds(Microseconds t) { return static_cast<double>(t) * 1e-6; }
-
 constexpr double kUnbounded = std::numeric_limits<double>::infinity();
 
 // Calls a second, forgetting old ones with a memory of so many seconds.
--- a/src/state.hpp
+++ b/src/state.hpp
@@ -12,11 +12,11 @@
 
 #include "heronvane/dispatch/dispatcher.hpp"
 #include "rates.hpp"
+#include "time_units.hpp"
 #include "waiting.hpp"
 
 namespace heronvane::dispatch {
 
-constexpr Microseconds kNever = Waiting::kNever;
 constexpr double kRateMemory = 4;       // seconds: memory of served-rate estimates
 constexpr double kLongMemory = 30;      // and of what a relay asks of an endpoint, calls a minute
 constexpr double kFirstLatency = 0.25;  // seconds: assumed before the first answer
--- a/src/waiting.hpp
+++ b/src/waiting.hpp
@@ -10,7 +10,6 @@
 
 #include <algorithm>
 #include <cstddef>
-#include <limits>
 #include <memory>
 #include <set>
 #include <unordered_map>
@@ -18,6 +17,7 @@
 #include <vector>
 
 #include "heronvane/dispatch/dispatcher.hpp"
+#include "time_units.hpp"
 
 namespace heronvane::dispatch {
 
@@ -31,8 +31,6 @@
 
 class Waiting {
  public:
-  static constexpr Microseconds kNever = std::numeric_limits<Microseconds>::max() / 4;
-
   struct Lane;
   // A message's place here; the message owns it, and it must stay where it is while it is listed.
   struct Entry {
--- a/src/worth.cpp
+++ b/src/worth.cpp
@@ -2,7 +2,6 @@
 
 #include <algorithm>
 #include <cmath>
-#include <limits>
 #include <set>
 
 #include "rates.hpp"
@@ -10,8 +9,6 @@
 namespace heronvane::dispatch {
 namespace {
 
-constexpr Microseconds kNever = std::numeric_limits<Microseconds>::max() / 4;
-
 enum class Part {
   full,
   falling,
