--- a/src/dispatcher.cpp
+++ b/src/dispatcher.cpp
@@ -20,10 +20,10 @@
 #include <unordered_map>
 
 #include "decision_pass.hpp"
+#include "priority.hpp"
 #include "rates.hpp"
+#include "send_queue.hpp"
 #include "state.hpp"
-#include "waiting.hpp"
-#include "worth.hpp"
 
 namespace heronvane::dispatch {
 namespace {
@@ -116,7 +116,7 @@
   std::map<DestinationId, DestinationState> destinations;
   std::unordered_map<MessageId, Request> messages;
   std::size_t live = 0;                                 // of them, those that are not over
-  Waiting waiting;                                      // those that are ready to go
+  SendQueue send_queue;                                 // those that are ready to go
   std::set<std::pair<Microseconds, MessageId>> agenda;  // when time alone changes something for a message
   std::vector<MessageId> touched;
   std::map<std::string, KeyLine> keys;
@@ -141,7 +141,7 @@
   std::set<Due> dirty;                        // targets with changes to give out, soonest first
   std::deque<std::pair<EndpointId, DestinationId>> swept;  // since they were given as known
 
-  State(const Settings& s, std::uint64_t seed) : set(s), random(seed), waiting(groups_of(s)) {
+  State(const Settings& s, std::uint64_t seed) : set(s), random(seed), send_queue(groups_of(s)) {
     shortest_aim = shortest_aim_of(s);
     unit = kUnitOfAim * shortest_aim;
     for (const auto& t : set.tenants) share_tokens.push_back(burst_of(t));
@@ -154,11 +154,12 @@
     for (const auto& c : s.classes) shortest = std::min(shortest, seconds(c.latency_objective));
     return shortest;
   }
-  // Messages of one class, within their tenant's share and beyond it, owed or not, keep their order for long.
-  static std::vector<std::vector<Phase>> groups_of(const Settings& s) {
-    std::vector<std::vector<Phase>> groups;
+  // Messages of one class, within their tenant's share and beyond it, unattempted or not, keep their order
+  // for long.
+  static std::vector<std::vector<OrderPhase>> groups_of(const Settings& s) {
+    std::vector<std::vector<OrderPhase>> groups;
     for (const auto& c : s.classes)
-      groups.resize(groups.size() + 4, worth_phases(c, s.decay, micros(shortest_aim_of(s))));
+      groups.resize(groups.size() + 4, order_phases(c, s.decay, micros(shortest_aim_of(s))));
     return groups;
   }
 
@@ -623,7 +624,7 @@
       log("recalled " + e.info.id);
     }
     count_trials(e);
-    waiting.news(e.info.destination);
+    send_queue.unblock(e.info.destination);
     e.given.known = t.given_known = true;  // the store holds it
     give_by(e, now);
   }
@@ -636,7 +637,7 @@
     const DestinationId from = fresh ? info.destination : e.info.destination;
     e.info = info;
     info.listing == Listing::gone ? void(gone.insert(info.id)) : void(gone.erase(info.id));
-    waiting.news(info.destination);
+    send_queue.unblock(info.destination);
     const auto place = std::min(static_cast<std::size_t>(std::max(info.kind, 0)), set.kinds.size());
     const KindSettings kind = place < set.kinds.size() ? set.kinds[place] : KindSettings{};
     e.own.kind = destination_of(info.destination).target.kind = place;
@@ -689,7 +690,7 @@
 
   // ---- Messages. ----
   double value(const Request& m, Microseconds t) const {
-    return m.priority_weight * worth_left(*m.cls, set.decay, t - m.latency_objective);
+    return m.priority_weight * remaining_weight(*m.cls, set.decay, t - m.objective_at);
   }
   // What waiting one more short aim would lose, and a little for what is there to win.
   double urgency(const Request& m, Microseconds answer) const {
@@ -700,12 +701,12 @@
     const auto [it, fresh] = messages.try_emplace(ev.id);
     Request& m = it->second;
     live += fresh;
-    waiting.remove(m);
+    send_queue.remove(m);
     touch(m, ev.id);
     m.id = ev.id, m.destination = ev.destination, m.key = ev.order_key;
     m.cls = &set.classes[static_cast<std::size_t>(ev.message_class)];
-    m.deadline = now + ev.time_left, m.ready = now, m.owed = false;
-    m.latency_objective = m.deadline - m.cls->deadline + m.cls->latency_objective;
+    m.deadline = now + ev.time_left, m.ready = now, m.unattempted = false;
+    m.objective_at = m.deadline - m.cls->deadline + m.cls->latency_objective;
     const double share = share_left(ev.tenant);
     m.priority_weight = m.cls->priority_weight * share;
     m.group = 4 * static_cast<std::size_t>(ev.message_class) + (share != 1);
@@ -720,19 +721,19 @@
     m.sends = ev.attempts;
     m.may_ran_zone = ev.possibly_executed_zone, m.may_ran_sent = now - ev.possibly_executed_age;
     const bool barred = m.cls->idempotency == Idempotency::non_idempotent && m.may_ran_zone;
-    if (!barred && m.sends < set.max_attempts && now < latest_send(m)) return owe(m, !ev.tried);
+    if (!barred && m.sends < set.max_attempts && now < latest_send(m)) return set_unattempted(m, !ev.tried);
     finish(m, false);
     forget(messages.find(m.id));
   }
   // What an earlier life left untried is tried before what comes in now, once.
-  static void owe(Request& m, bool owed) {
-    if (owed == std::exchange(m.owed, owed)) return;
-    m.priority_weight *= owed ? kOwedFirst : 1 / kOwedFirst;
-    owed ? m.group += 2 : m.group -= 2;
-  }
-  // Whether the share that is let through keeps it back. An owed message's one try comes at a moment drawn
-  // evenly from what it has left: the shares of hundreds of relays that came back together are far below one
-  // call each in its time, while what they have to try is bounded by what they held.
+  static void set_unattempted(Request& m, bool unattempted) {
+    if (unattempted == std::exchange(m.unattempted, unattempted)) return;
+    m.priority_weight *= unattempted ? kOwedFirst : 1 / kOwedFirst;
+    unattempted ? m.group += 2 : m.group -= 2;
+  }
+  // Whether the share that is let through keeps it back. An unattempted message's one try comes at a moment
+  // drawn evenly from what it has left: the shares of hundreds of relays that came back together are far
+  // below one call each in its time, while what they have to try is bounded by what they held.
   bool try_comes(Request& m, const Target& t, Gate& gate) {
     const double share = admission_probability(t);
     if (share >= 1 || serves_us(t)) return true;
@@ -762,7 +763,7 @@
     return m.out.empty() && !m.may_ran_zone;
   }
   // For want of room. What an earlier life took on is tried first: what comes in now waits or is refused.
-  bool may_hand_back(const Request& m) const { return may_refuse(m) && !m.owed; }
+  bool may_hand_back(const Request& m) const { return may_refuse(m) && !m.unattempted; }
   void finish(Request& m, bool again) {
     if (m.over) return;
     end(m);
@@ -774,7 +775,7 @@
   void end(Request& m) {
     live -= !m.over;
     m.over = true;
-    waiting.remove(m);
+    send_queue.remove(m);
     touch(m, m.id);
   }
   // Forgets a message that is over and has nothing out, and lets the next of its key step up.
@@ -869,7 +870,7 @@
     }
     if (last) calls.erase(call_it), e.used_at = now, ended_at.insert(e.info.id);
     count_trials(e);
-    waiting.news(e.info.destination);
+    send_queue.unblock(e.info.destination);
 
     const bool never_ran = ev.outcome == Outcome::rejected || ev.outcome == Outcome::connect_failed ||
                            ev.outcome == Outcome::not_sent;
@@ -906,16 +907,16 @@
   }
 
   // ---- The gate. Every send passes here; it tells when to look again. ----
-  // What it says of a message holds for all of its lane, but for what it calls the message's own; and until
-  // the time it tells, unless something happens at the destination or, where it wants one, a trial call is
-  // free.
+  // What it says of a message holds for all of its subqueue, but for what it calls the message's own; and
+  // until the time it tells, unless something happens at the destination or, where it wants one, a trial call
+  // is free.
   bool passes(Request& m, EndpointState& e, Gate& gate) {
     Microseconds& when = gate.when;
     if (e.info.listing != Listing::active) return false;
     const bool keyed_by_zone = m.cls->idempotency == Idempotency::keyed && m.cls->key_scope == KeyScope::zone;
     if (keyed_by_zone && m.may_ran_zone && e.info.zone != *m.may_ran_zone) return false;
     Target& t = target_of(e);
-    const bool own_try = m.owed && !perhaps_shut(t);  // else by the share that is let through
+    const bool own_try = m.unattempted && !perhaps_shut(t);  // else by the share that is let through
     const Microseconds held = own_try ? t.wait_until : std::max(t.wait_until, t.hold_until);
     if (held > now) return when = std::min(when, held), false;
     if (room_in_call(e)) return true;
@@ -925,18 +926,18 @@
     if (e.health != Health::healthy) when = std::min(when, e.since + health_span());
     if (ready > now) return when = std::min(when, ready), false;
     if (e.health == Health::ejected && m.cls->idempotency == Idempotency::non_idempotent && e.doubt_run &&
-        now < m.latency_objective) {
+        now < m.objective_at) {
       // A trial call that may be lost is no place for a message that can't be repeated.
-      return gate.own = true, when = std::min(when, m.latency_objective), false;
+      return gate.own = true, when = std::min(when, m.objective_at), false;
     }
     if (static_cast<int>(e.calls.size()) >= call_limit(e)) return gate.trial |= on_trial(e), false;
     return !own_try || e.health != Health::healthy || try_comes(m, t, gate);
   }
-  Waiting::LaneKey lane_of(const Request& m) const {
+  SendQueue::SubqueueKey subqueue_of(const Request& m) const {
     const bool one_zone =
         m.cls->idempotency == Idempotency::keyed && m.cls->key_scope == KeyScope::zone && m.may_ran_zone;
     return {m.destination, one_zone ? *m.may_ran_zone : -1, m.cls->idempotency == Idempotency::non_idempotent,
-            m.owed};
+            m.unattempted};
   }
   bool room_in_call(const EndpointState& e) const {
     if (e.open_call == 0) return false;
@@ -985,7 +986,7 @@
     }
     if (best == nullptr) return false;
     Target& t = target_of(*best);
-    const bool by_share = best->health == Health::healthy && !(m.owed && !perhaps_shut(t));
+    const bool by_share = best->health == Health::healthy && !(m.unattempted && !perhaps_shut(t));
     gate.chance = !room_in_call(*best) && by_share && !let(t);
     // Another route may take it in the next round.
     if (gate.chance && destination->second.endpoints.size() > 1) wake_by(now);
@@ -1011,9 +1012,9 @@
     }
     Call& call = calls[e.open_call];
     call.messages++, call.left++, call.with.push_back(m.id);
-    waiting.remove(m);
+    send_queue.remove(m);
     touch(m, m.id);
-    owe(m, false);
+    set_unattempted(m, false);
     const bool unsafe = m.cls->idempotency == Idempotency::non_idempotent;
     const double aims = seconds(m.cls->latency_objective) * (unsafe ? kUnsafeTimeoutAims : kSafeTimeoutAims);
     const Microseconds timeout =
@@ -1052,7 +1053,7 @@
     begun.push_back(&e);
     const Microseconds ahead = now + micros(kFirstLatency);
     const double u = urgency(with, ahead);
-    waiting.reopen(with.destination, [&](const Waiting::Entry& other) {
+    send_queue.unblock_if(with.destination, [&](const SendQueue::Entry& other) {
       const double v = urgency(static_cast<const Request&>(other), ahead);
       return v < u || (v == u && other.id > with.id);
     });
@@ -1081,7 +1082,7 @@
       touch(m, m.id);
     }
     const Microseconds ahead = now + micros(kFirstLatency);
-    waiting.advance(ahead);
+    send_queue.advance_phases(ahead);
     std::vector<MessageId> due = overdue_messages(slots_short), ended;
     for (const MessageId id : touched) {
       const auto it = messages.find(id);
@@ -1099,16 +1100,16 @@
       finish(m, false);
       ended.push_back(id);
     }
-    const auto urgent = [&](const Waiting::Entry& e) {
+    const auto urgent = [&](const SendQueue::Entry& e) {
       return urgency(static_cast<const Request&>(e), ahead);
     };
     const auto unlucky = send_open(urgent);
     fill_calls(urgent);
-    for (Request* m : unlucky) waiting.enter(*m, lane_of(*m));
+    for (Request* m : unlucky) send_queue.enqueue(*m, subqueue_of(*m));
     // Buffer nearly full: hand back what is worth least, rather than have the next ones turned away.
     const auto most = std::max<std::size_t>(static_cast<std::size_t>(kBufferFull * set.max_in_flight), 1);
     if (held_then > most)
-      for (auto* e : waiting.least(held_then - most, urgent)) {
+      for (auto* e : send_queue.least_urgent(held_then - most, urgent)) {
         Request& m = static_cast<Request&>(*e);
         // What an earlier life took on is tried before it is handed back: what comes in now waits or is
         // refused.
@@ -1125,7 +1126,7 @@
         calls.size() >= static_cast<std::size_t>(set.max_concurrent_calls))
       wake_by(now);
     if (!agenda.empty()) wake_by(agenda.begin()->first);
-    if (waiting.next_look() < kNever) wake_by(waiting.next_look());
+    if (send_queue.next_recheck() < kNever) wake_by(send_queue.next_recheck());
   }
   // Those in flight that may be given up.
   std::vector<MessageId> overdue_messages(bool slots_short) const {
@@ -1146,13 +1147,13 @@
   // Waits from now on, if its time has come and it does not wait already.
   void line_up(Request& m, Microseconds ahead) {
     if (!m.out.empty() || m.ready > now) return;
-    if (!m.listed()) waiting.list(m, ahead);
-    if (m.lane() == nullptr && turn(m) <= now) waiting.enter(m, lane_of(m));
+    if (!m.added()) send_queue.add(m, ahead);
+    if (m.subqueue() == nullptr && turn(m) <= now) send_queue.enqueue(m, subqueue_of(m));
   }
   void plan(Request& m) {
     m.touched = false;
     Microseconds at = m.over ? kNever : last_of(m);
-    if (!m.over && m.out.empty() && m.lane() == nullptr) at = std::min(at, std::max(m.ready, turn(m)));
+    if (!m.over && m.out.empty() && m.subqueue() == nullptr) at = std::min(at, std::max(m.ready, turn(m)));
     if (at == m.due) return;
     if (m.due < kNever) agenda.erase({m.due, m.id});
     if (at < kNever) agenda.emplace(at, m.id);
@@ -1161,20 +1162,21 @@
   // Those that were tried in vain, and are to be tried in the next round.
   template <class Urgency>
   std::vector<Request*> send_open(const Urgency& urgent) {
-    waiting.open_due(now);
+    send_queue.unblock_due(now);
     std::vector<Request*> again;
     while (calls.size() < static_cast<std::size_t>(set.max_concurrent_calls)) {
-      auto* const first = waiting.best(urgent, trial_free());
+      auto* const first = send_queue.most_urgent(urgent, trial_free());
       if (first == nullptr) break;
       Request& m = static_cast<Request&>(*first);
       Gate gate;
       if (try_send(m, gate)) continue;
       if (gate.chance || (gate.own && gate.trial))
-        waiting.leave(m), again.push_back(&m), wake_by(gate.when);
+        send_queue.dequeue(m), again.push_back(&m), wake_by(gate.when);
       else if (gate.own)
-        waiting.set_aside(m, gate.when);
+        send_queue.defer(m, gate.when);
       else
-        gate.trial ? waiting.await_trial(*m.lane(), gate.when) : waiting.shut(*m.lane(), gate.when);
+        gate.trial ? send_queue.block_until_health_check(*m.subqueue(), gate.when)
+                   : send_queue.block(*m.subqueue(), gate.when);
     }
     return again;
   }
@@ -1187,10 +1189,10 @@
                                               : std::get<1>(a) > std::get<1>(b);
     };
     std::priority_queue<Next, std::vector<Next>, decltype(later)> queue(later);
-    std::vector<Waiting::LaneKey> without;  // lanes that find no room
+    std::vector<SendQueue::SubqueueKey> without;  // subqueues that find no room
     const auto put = [&](EndpointState* e) {
       if (!room_in_call(*e)) return;
-      if (auto* const m = waiting.best_of(e->info.destination, urgent, without))
+      if (auto* const m = send_queue.most_urgent_for(e->info.destination, urgent, without))
         queue.emplace(urgent(*m), m->id, e);
     };
     for (EndpointState* e : std::exchange(begun, {})) put(e);
@@ -1198,8 +1200,8 @@
       const auto [u, id, e] = queue.top();
       queue.pop();
       const auto it = messages.find(id);
-      if (it != messages.end() && it->second.lane() != nullptr && room_in_call(*e)) {
-        const auto key = lane_of(it->second);
+      if (it != messages.end() && it->second.subqueue() != nullptr && room_in_call(*e)) {
+        const auto key = subqueue_of(it->second);
         Gate gate;
         if (std::find(without.begin(), without.end(), key) == without.end() && !try_send(it->second, gate))
           without.push_back(key);
@@ -1246,7 +1248,7 @@
          s.resting.size() + s.dirty.size() + s.swept.size();
 }
 
-std::size_t Dispatcher::queued_requests() const { return state_->waiting.size(); }
+std::size_t Dispatcher::queued_requests() const { return state_->send_queue.size(); }
 
 std::vector<LearnedState> Dispatcher::take_changed_state(Microseconds now, std::size_t most) {
   return state_->take_changed_state(now, most);
--- a/src/worth.cpp
+++ b/src/priority.cpp
@@ -1,4 +1,4 @@
-#include "worth.hpp"
+#include "priority.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-double worth_left(const ClassSettings& c, WeightDecay decay, Microseconds past) {
+double remaining_weight(const ClassSettings& c, WeightDecay decay, Microseconds past) {
   const Microseconds span = c.deadline - c.latency_objective;
   if (past >= span) return 0;
   if (past <= 0) return 1;
@@ -27,7 +27,7 @@
   return 1 - (1 - c.weight_at_deadline) * seconds(past) / std::max(1e-6, seconds(span));
 }
 
-std::vector<Phase> worth_phases(const ClassSettings& c, WeightDecay decay, Microseconds ahead) {
+std::vector<OrderPhase> order_phases(const ClassSettings& c, WeightDecay decay, Microseconds ahead) {
   const Microseconds span = c.deadline - c.latency_objective;
   // The first moment at which nothing more is lost until the deadline.
   Microseconds least = kNever;
@@ -49,14 +49,15 @@
   const bool rises = decay == WeightDecay::linear && c.weight_at_deadline > 1;
   const auto order = [&](Microseconds past) {
     const Part now = part(past), then = part(past + ahead);
-    if (now != Part::falling && then != Part::falling) return Phase::Order::by_id;
+    if (now != Part::falling && then != Part::falling) return OrderPhase::Order::by_id;
     // Where it falls now, later aims have more to lose; where it is about to, earlier ones are nearer to it.
-    return (now == Part::falling) != rises ? Phase::Order::later_aim : Phase::Order::earlier_aim;
+    return (now == Part::falling) != rises ? OrderPhase::Order::later_objective
+                                           : OrderPhase::Order::earlier_objective;
   };
   std::set<Microseconds> bends;
   for (const Microseconds bend : {Microseconds{1}, least, span})
     if (bend < kNever) bends.insert(bend), bends.insert(bend - ahead);
-  std::vector<Phase> phases{{-kNever, Phase::Order::by_id}};
+  std::vector<OrderPhase> phases{{-kNever, OrderPhase::Order::by_id}};
   for (const Microseconds bend : bends) phases.push_back({bend, order(bend)});
   return phases;
 }
--- a/src/state.hpp
+++ b/src/state.hpp
@@ -12,8 +12,8 @@
 
 #include "heronvane/dispatch/dispatcher.hpp"
 #include "rates.hpp"
+#include "send_queue.hpp"
 #include "time_units.hpp"
-#include "waiting.hpp"
 
 namespace heronvane::dispatch {
 
@@ -107,14 +107,14 @@
   std::vector<MessageId> with;
 };
 
-struct Request : Waiting::Entry {  // which has its id and its aim
+struct Request : SendQueue::Entry {  // which has its id and its aim
   const ClassSettings* cls = nullptr;
   DestinationId destination = 0;
   double priority_weight = 0;
   Microseconds deadline = 0, ready = 0;
   std::string key;
   int sends = 0, gave_up = -1;       // attempts made; the last one that was cancelled
-  bool owed = false;                 // of an earlier life, and no endpoint reached yet
+  bool unattempted = false;          // of an earlier life, and no endpoint reached yet
   Microseconds try_at = kNever;      // when it goes then, whatever share is let through; kNever: not drawn
   std::map<int, std::uint64_t> out;  // attempt to call
   std::optional<int> may_ran_zone;   // where the first attempt that may have run was made
--- a/tests/policy/worth_test.cpp
+++ b/tests/policy/priority_test.cpp
@@ -1,5 +1,5 @@
 // Within a phase the order of two messages of one class never changes, and is the one that the phase tells.
-#include "worth.hpp"
+#include "priority.hpp"
 
 #include <gtest/gtest.h>
 
@@ -9,11 +9,11 @@
 namespace {
 
 double urgency(const ClassSettings& c, WeightDecay decay, Microseconds past, Microseconds ahead) {
-  const double v = worth_left(c, decay, past);
-  return v - worth_left(c, decay, past + ahead) + 0.1 * v;
+  const double v = remaining_weight(c, decay, past);
+  return v - remaining_weight(c, decay, past + ahead) + 0.1 * v;
 }
 
-TEST(WorthPhases, OrderMessagesAsTheirUrgencyDoes) {
+TEST(OrderPhases, OrderMessagesAsTheirUrgencyDoes) {
   std::mt19937_64 random(1);
   std::size_t compared = 0;
   for (int i = 0; i < 300; i++) {
@@ -27,7 +27,7 @@
     const auto ahead =
         static_cast<Microseconds>(random() % static_cast<std::uint64_t>(c.latency_objective / 1'000 + 1)) *
         1'000;
-    const auto phases = worth_phases(c, decay, ahead);
+    const auto phases = order_phases(c, decay, ahead);
     ASSERT_FALSE(phases.empty());
     for (std::size_t p = 0; p < phases.size(); p++) {
       const Microseconds from = p == 0 ? phases[p].from / 1'000 : phases[p].from;
@@ -45,13 +45,13 @@
         const double of_a = urgency(c, decay, a, ahead), of_b = urgency(c, decay, b, ahead);
         compared++;
         switch (phases[p].order) {
-          case Phase::Order::by_id:
+          case OrderPhase::Order::by_id:
             EXPECT_EQ(of_a, of_b) << "class " << i << " phase " << p << ": " << a << ", " << b;
             break;
-          case Phase::Order::earlier_aim:
+          case OrderPhase::Order::earlier_objective:
             EXPECT_GT(of_a, of_b) << "class " << i << " phase " << p << ": " << a << ", " << b;
             break;
-          case Phase::Order::later_aim:
+          case OrderPhase::Order::later_objective:
             EXPECT_LT(of_a, of_b) << "class " << i << " phase " << p << ": " << a << ", " << b;
             break;
         }
