--- a/src/dispatcher.cpp
+++ b/src/dispatcher.cpp
@@ -24,6 +24,7 @@
 #include "rates.hpp"
 #include "send_queue.hpp"
 #include "state.hpp"
+#include "tenant_quota.hpp"
 
 namespace heronvane::dispatch {
 namespace {
@@ -82,9 +83,8 @@
 constexpr double kGapGain = 0.3, kMostGap = 100;  // weight of the newest gap between calls; the longest
 constexpr double kIdleSpared = 8;  // idle connections of all relays that an endpoint is trusted to spare
 // List and buffer.
-constexpr double kOwedFirst = 0x1p20;  // urgency of what an earlier life left untried: before all others
-constexpr double kTryWithin = 0.9;     // of what it has left: when it is tried at the latest, if need be
-constexpr double kLeastLeft = 0.05;    // of the shortest aim: with less time left, nothing is sent any more
+constexpr double kTryWithin = 0.9;   // of what it has left: when it is tried at the latest, if need be
+constexpr double kLeastLeft = 0.05;  // of the shortest aim: with less time left, nothing is sent any more
 constexpr double kAskAgain = 0.5, kAskAgainMost = 4;
 constexpr double kBufferFull = 0.92;  // above this share of the buffer the least worth is refused
 
@@ -115,7 +115,9 @@
   std::map<EndpointId, EndpointState> endpoints;
   std::map<DestinationId, DestinationState> destinations;
   std::unordered_map<MessageId, Request> messages;
-  std::size_t live = 0;                                 // of them, those that are not over
+  std::size_t live = 0;  // of them, those that are not over
+  Priority priority;
+  TenantQuota tenant_quota;
   SendQueue send_queue;                                 // those that are ready to go
   std::set<std::pair<Microseconds, MessageId>> agenda;  // when time alone changes something for a message
   std::vector<MessageId> touched;
@@ -128,8 +130,6 @@
   std::unordered_map<std::uint64_t, Call> calls;
   std::size_t trials_out = 0;  // calls out to endpoints on trial
   std::uint64_t next_call = 1;
-  std::vector<double> share_tokens;
-  std::vector<Microseconds> share_at;
   double unit = 0.1, shortest_aim = 1;
   std::vector<double> after_refusal;  // by kind: share of calls served that come after a refusal there
   double stray_share = 0;             // of calls that fail at endpoints which serve on
@@ -141,32 +141,16 @@
   std::set<Due> dirty;                        // targets with changes to give out, soonest first
   std::deque<std::pair<EndpointId, DestinationId>> swept;  // since they were given as known
 
-  State(const Settings& s, std::uint64_t seed) : set(s), random(seed), send_queue(groups_of(s)) {
-    shortest_aim = shortest_aim_of(s);
+  State(const Settings& s, std::uint64_t seed)
+      : set(s), random(seed), priority(set), tenant_quota(set), send_queue(priority.phases_by_group()) {
+    shortest_aim = priority.shortest_objective_s();
     unit = kUnitOfAim * shortest_aim;
-    for (const auto& t : set.tenants) share_tokens.push_back(burst_of(t));
     after_refusal.assign(set.kinds.size() + 1, kAgainFirst);
-    share_at.assign(set.tenants.size(), 0);
-  }
-
-  static double shortest_aim_of(const Settings& s) {
-    double shortest = seconds(s.classes[0].latency_objective);
-    for (const auto& c : s.classes) shortest = std::min(shortest, seconds(c.latency_objective));
-    return shortest;
-  }
-  // Messages of one class, within their tenant's share and beyond it, unattempted or not, keep their order
-  // for long.
-  static std::vector<std::vector<OrderPhase>> groups_of(const Settings& s) {
-    std::vector<std::vector<OrderPhase>> groups;
-    for (const auto& c : s.classes)
-      groups.resize(groups.size() + 4, order_phases(c, s.decay, micros(shortest_aim_of(s))));
-    return groups;
   }
 
   double uniform() { return random.uniform(); }
   double ramp_share() const { return set.relays > kFewRelays ? kRampShareMany : kRampShare; }
   double jittered(double d) { return random.jittered(d); }
-  double burst_of(const TenantSettings& t) const { return 2 + 2 * t.quota_per_s / set.relays; }
   void log(const std::string& text) { out->push_back(action::Log{text}); }
   void wake_by(Microseconds t) { pass->wake_up.no_later_than(t); }
 
@@ -689,13 +673,8 @@
   }
 
   // ---- Messages. ----
-  double value(const Request& m, Microseconds t) const {
-    return m.priority_weight * remaining_weight(*m.cls, set.decay, t - m.objective_at);
-  }
-  // What waiting one more short aim would lose, and a little for what is there to win.
   double urgency(const Request& m, Microseconds answer) const {
-    const double v = value(m, answer);
-    return v - value(m, answer + micros(shortest_aim)) + 0.1 * v;
+    return priority.urgency({m.cls, m.priority_weight, m.objective_at}, answer);
   }
   void on(const event::RequestArrived& ev) {
     const auto [it, fresh] = messages.try_emplace(ev.id);
@@ -707,9 +686,9 @@
     m.cls = &set.classes[static_cast<std::size_t>(ev.message_class)];
     m.deadline = now + ev.time_left, m.ready = now, m.unattempted = false;
     m.objective_at = m.deadline - m.cls->deadline + m.cls->latency_objective;
-    const double share = share_left(ev.tenant);
+    const double share = tenant_quota.consume(ev.tenant, now) ? 1 : set.over_quota_weight;
     m.priority_weight = m.cls->priority_weight * share;
-    m.group = 4 * static_cast<std::size_t>(ev.message_class) + (share != 1);
+    m.group = Priority::order_group(ev.message_class, share != 1, false);
     if (!m.cls->ordered) m.key.clear();
     if (!m.key.empty()) keys[m.key].line.push_back(m.id);
   }
@@ -728,7 +707,7 @@
   // What an earlier life left untried is tried before what comes in now, once.
   static void set_unattempted(Request& m, bool unattempted) {
     if (unattempted == std::exchange(m.unattempted, unattempted)) return;
-    m.priority_weight *= unattempted ? kOwedFirst : 1 / kOwedFirst;
+    m.priority_weight *= unattempted ? Priority::kUnattemptedFactor : 1 / Priority::kUnattemptedFactor;
     unattempted ? m.group += 2 : m.group -= 2;
   }
   // Whether the share that is let through keeps it back. An unattempted message's one try comes at a moment
@@ -744,19 +723,6 @@
         {gate.when, m.try_at, t.let_at + micros(-std::log(t.admission_probability) / kPaceRaise) + 1});
     return false;
   }
-  // Beyond its share a tenant's messages are worth little; the share is split over the relays.
-  double share_left(int tenant) {
-    if (tenant < 0 || tenant >= static_cast<int>(set.tenants.size())) return 1;
-    const auto i = static_cast<std::size_t>(tenant);
-    const double quota = set.tenants[i].quota_per_s / set.relays;
-    if (quota <= 0) return 1;
-    const double tokens = share_tokens[i] + quota * seconds(now - share_at[i]);
-    share_tokens[i] = std::min(tokens, burst_of(set.tenants[i]));
-    share_at[i] = now;
-    if (share_tokens[i] < 1) return set.over_quota_weight;
-    share_tokens[i] -= 1;
-    return 1;
-  }
   bool may_refuse(const Request& m) const {
     if (m.cls->idempotency == Idempotency::idempotent) return true;
     if (m.cls->idempotency == Idempotency::keyed && m.cls->key_scope == KeyScope::all) return true;
--- a/src/priority.cpp
+++ b/src/priority.cpp
@@ -4,62 +4,119 @@
 #include <cmath>
 #include <set>
 
-#include "rates.hpp"
+#include "time_units.hpp"
 
 namespace heronvane::dispatch {
 namespace {
 
-enum class Part {
-  full,
-  falling,
-  least,
-  none
-};  // of the curve: at the aim, between, at weight_at_deadline, too late
+constexpr std::size_t kGroupsPerClass = 4;  // over quota or not, unattempted or not
+constexpr std::size_t kUnattemptedOffset = 2;
+constexpr double kWeightShareInUrgency = 0.1;
 
-}  // namespace
+// The parts of the weight curve: full until the objective, falling, at weight_at_deadline, nothing.
+enum class CurvePart { full, falling, least, none };
 
-double remaining_weight(const ClassSettings& c, WeightDecay decay, Microseconds past) {
-  const Microseconds span = c.deadline - c.latency_objective;
-  if (past >= span) return 0;
-  if (past <= 0) return 1;
-  if (decay == WeightDecay::half_life)
-    return std::max(c.weight_at_deadline, std::exp2(-seconds(past) / seconds(c.latency_objective)));
-  return 1 - (1 - c.weight_at_deadline) * seconds(past) / std::max(1e-6, seconds(span));
+// The first time past the objective at which the weight has fallen to weight_at_deadline, where it stays
+// there for a while before the deadline; kNever where it does not.
+Microseconds least_weight_from(const ClassSettings& request_class, WeightDecay decay) {
+  if (decay == WeightDecay::linear) return request_class.weight_at_deadline == 1 ? 1 : kNever;
+  const Microseconds span = request_class.deadline - request_class.latency_objective;
+  if (span <= 1) return kNever;
+  const auto at_least_weight = [&](Microseconds past) {
+    return std::exp2(-seconds(past) / seconds(request_class.latency_objective)) <=
+           request_class.weight_at_deadline;
+  };
+  // Invariant: not at the least weight at `low`; at `high` it is, or `high` is the deadline.
+  Microseconds low = 0;
+  Microseconds high = span;
+  while (high - low > 1) {
+    const Microseconds middle = low + (high - low) / 2;
+    if (at_least_weight(middle)) {
+      high = middle;
+    } else {
+      low = middle;
+    }
+  }
+  return high < span ? high : kNever;
 }
 
-std::vector<OrderPhase> order_phases(const ClassSettings& c, WeightDecay decay, Microseconds ahead) {
-  const Microseconds span = c.deadline - c.latency_objective;
-  // The first moment at which nothing more is lost until the deadline.
-  Microseconds least = kNever;
-  if (decay == WeightDecay::half_life && span > 1) {
-    const auto down = [&](Microseconds past) {
-      return std::exp2(-seconds(past) / seconds(c.latency_objective)) <= c.weight_at_deadline;
-    };
-    Microseconds low = 0, high = span;  // not down at low; high: down, or never within the span
-    while (high - low > 1) {
-      const Microseconds middle = low + (high - low) / 2;
-      (down(middle) ? high : low) = middle;
-    }
-    if (high < span) least = high;
+CurvePart part_of_curve(Microseconds past, Microseconds least_from, Microseconds span) {
+  if (past >= span) return CurvePart::none;
+  if (past <= 0) return CurvePart::full;
+  return past >= least_from ? CurvePart::least : CurvePart::falling;
+}
+
+double shortest_objective_of(const Settings& settings) {
+  double shortest = seconds(settings.classes[0].latency_objective);
+  for (const auto& request_class : settings.classes)
+    shortest = std::min(shortest, seconds(request_class.latency_objective));
+  return shortest;
+}
+
+}  // namespace
+
+double remaining_weight(const ClassSettings& request_class, WeightDecay decay, Microseconds past_objective) {
+  const Microseconds span = request_class.deadline - request_class.latency_objective;
+  if (past_objective >= span) return 0;
+  if (past_objective <= 0) return 1;
+  if (decay == WeightDecay::half_life) {
+    return std::max(request_class.weight_at_deadline,
+                    std::exp2(-seconds(past_objective) / seconds(request_class.latency_objective)));
   }
-  if (decay == WeightDecay::linear && c.weight_at_deadline == 1) least = 1;
-  const auto part = [&](Microseconds past) {
-    return past >= span ? Part::none : past <= 0 ? Part::full : past >= least ? Part::least : Part::falling;
-  };
-  const bool rises = decay == WeightDecay::linear && c.weight_at_deadline > 1;
+  return 1 - (1 - request_class.weight_at_deadline) * seconds(past_objective) / std::max(1e-6, seconds(span));
+}
+
+std::vector<OrderPhase> order_phases(const ClassSettings& request_class, WeightDecay decay,
+                                     Microseconds lookahead) {
+  const Microseconds span = request_class.deadline - request_class.latency_objective;
+  const Microseconds least_from = least_weight_from(request_class, decay);
+  const bool rises = decay == WeightDecay::linear && request_class.weight_at_deadline > 1;
   const auto order = [&](Microseconds past) {
-    const Part now = part(past), then = part(past + ahead);
-    if (now != Part::falling && then != Part::falling) return OrderPhase::Order::by_id;
-    // Where it falls now, later aims have more to lose; where it is about to, earlier ones are nearer to it.
-    return (now == Part::falling) != rises ? OrderPhase::Order::later_objective
-                                           : OrderPhase::Order::earlier_objective;
+    const CurvePart now = part_of_curve(past, least_from, span);
+    const CurvePart then = part_of_curve(past + lookahead, least_from, span);
+    if (now != CurvePart::falling && then != CurvePart::falling) return OrderPhase::Order::by_id;
+    // Where it falls now, later objectives have more to lose; where it is about to fall, earlier ones are
+    // nearer to it.
+    return (now == CurvePart::falling) != rises ? OrderPhase::Order::later_objective
+                                                : OrderPhase::Order::earlier_objective;
   };
   std::set<Microseconds> bends;
-  for (const Microseconds bend : {Microseconds{1}, least, span})
-    if (bend < kNever) bends.insert(bend), bends.insert(bend - ahead);
+  for (const Microseconds bend : {Microseconds{1}, least_from, span}) {
+    if (bend >= kNever) continue;
+    bends.insert(bend);
+    bends.insert(bend - lookahead);
+  }
   std::vector<OrderPhase> phases{{-kNever, OrderPhase::Order::by_id}};
   for (const Microseconds bend : bends) phases.push_back({bend, order(bend)});
   return phases;
 }
 
+Priority::Priority(const Settings& settings)
+    : settings_(settings), shortest_objective_s_(shortest_objective_of(settings)) {}
+
+double Priority::weight(const WeightCurve& curve, Microseconds moment) const {
+  return curve.full_weight *
+         remaining_weight(*curve.request_class, settings_.decay, moment - curve.objective_at);
+}
+
+double Priority::urgency(const WeightCurve& curve, Microseconds moment) const {
+  const double weight_then = weight(curve, moment);
+  return weight_then - weight(curve, moment + microseconds(shortest_objective_s_)) +
+         kWeightShareInUrgency * weight_then;
+}
+
+std::size_t Priority::order_group(int message_class, bool over_quota, bool unattempted) {
+  return kGroupsPerClass * static_cast<std::size_t>(message_class) + (over_quota ? 1 : 0) +
+         (unattempted ? kUnattemptedOffset : 0);
+}
+
+std::vector<std::vector<OrderPhase>> Priority::phases_by_group() const {
+  std::vector<std::vector<OrderPhase>> groups;
+  for (const auto& request_class : settings_.classes) {
+    groups.resize(groups.size() + kGroupsPerClass,
+                  order_phases(request_class, settings_.decay, microseconds(shortest_objective_s_)));
+  }
+  return groups;
+}
+
 }  // namespace heronvane::dispatch
--- a/src/priority.hpp
+++ b/src/priority.hpp
@@ -1,20 +1,70 @@
-// What a message is worth as time passes, and how that orders messages of one class. No clock.
+// What a request is worth to its client as time passes, and how urgent that makes it. Pure: every moment is
+// handed in, nothing is remembered. Safe to use from any thread.
 #pragma once
 
+#include <cstddef>
 #include <vector>
 
 #include "heronvane/dispatch/dispatcher.hpp"
-#include "send_queue.hpp"
 
 namespace heronvane::dispatch {
 
-// The share of its full worth that a message has so long past its aim (before it: below 0).
-double remaining_weight(const ClassSettings& c, WeightDecay decay, Microseconds past);
+// From `from` past the latency objective on, until the next phase, requests of one order group stand in this
+// order of urgency: by id, or by their latency objectives (equal ones by id).
+struct OrderPhase {
+  enum class Order { by_id, earlier_objective, later_objective };
+  Microseconds from = 0;  // past the latency objective, negative before it
+  Order order = Order::by_id;
+};
 
-// The stretches of time past the aim in which messages of one class and one full worth keep their order by
-//   a * remaining_weight(past) - remaining_weight(past + ahead)
-// for any `a` above 1. `ahead`: from 0 to the class's aim (far beyond it rounding hides what order there is).
-// The first stretch begins before any time.
-std::vector<OrderPhase> order_phases(const ClassSettings& c, WeightDecay decay, Microseconds ahead);
+// The share of its full weight that a request still has `past_objective` after its latency objective
+// (negative: before it): 1 up to the objective, weight_at_deadline just before the deadline, 0 from the
+// deadline on.
+double remaining_weight(const ClassSettings& request_class, WeightDecay decay, Microseconds past_objective);
+
+// The stretches of time past the latency objective in which requests of one class and one full weight keep
+// their order by
+//   a * remaining_weight(past) - remaining_weight(past + lookahead)
+// for any `a` above 1. `lookahead` lies between 0 and the class's latency objective: far beyond it rounding
+// hides what order there is. The first phase begins before any time; they ascend.
+std::vector<OrderPhase> order_phases(const ClassSettings& request_class, WeightDecay decay,
+                                     Microseconds lookahead);
+
+// What a request's weight at a moment follows from. Refers to the settings, which must outlive it.
+struct WeightCurve {
+  const ClassSettings* request_class = nullptr;
+  double full_weight = 0;         // while the latency objective is met
+  Microseconds objective_at = 0;  // the moment of the latency objective
+};
+
+// Weight and urgency of requests under one set of settings, which must outlive it.
+class Priority {
+ public:
+  // Factor on the weight of recovered requests that reached no endpoint yet: they go before all others.
+  // A power of two, so that taking it back is exact.
+  static constexpr double kUnattemptedFactor = 0x1p20;
+
+  explicit Priority(const Settings& settings);
+
+  // The shortest latency objective of all classes, in seconds: the module's unit for waits.
+  double shortest_objective_s() const { return shortest_objective_s_; }
+
+  // The weight that a delivery at `moment` would earn.
+  double weight(const WeightCurve& curve, Microseconds moment) const;
+
+  // What waiting for one more shortest objective would lose of a delivery at `moment`, plus a tenth of what
+  // is there to win.
+  double urgency(const WeightCurve& curve, Microseconds moment) const;
+
+  // Requests of one order group have one class and one full weight, so that their phases order them.
+  static std::size_t order_group(int message_class, bool over_quota, bool unattempted);
+
+  // The phases of each order group, by its number.
+  std::vector<std::vector<OrderPhase>> phases_by_group() const;
+
+ private:
+  const Settings& settings_;
+  double shortest_objective_s_;
+};
 
 }  // namespace heronvane::dispatch
--- a/src/send_queue.hpp
+++ b/src/send_queue.hpp
@@ -18,18 +18,11 @@
 #include <vector>
 
 #include "heronvane/dispatch/dispatcher.hpp"
+#include "priority.hpp"
 #include "time_units.hpp"
 
 namespace heronvane::dispatch {
 
-// From so long past its aim on, messages of one group are urgent in this order: by id, or by their aims
-// (equal ones by id).
-struct OrderPhase {
-  enum class Order { by_id, earlier_objective, later_objective };
-  Microseconds from = 0;
-  Order order = Order::by_id;
-};
-
 class SendQueue {
  public:
   struct Subqueue;
--- a/tests/policy/priority_test.cpp
+++ b/tests/policy/priority_test.cpp
@@ -4,6 +4,7 @@
 #include <gtest/gtest.h>
 
 #include <random>
+#include <set>
 
 namespace heronvane::dispatch::testing {
 namespace {
@@ -13,6 +14,67 @@
   return v - remaining_weight(c, decay, past + ahead) + 0.1 * v;
 }
 
+ClassSettings class_with(Microseconds objective, Microseconds deadline, double weight_at_deadline) {
+  ClassSettings request_class;
+  request_class.latency_objective = objective;
+  request_class.deadline = deadline;
+  request_class.weight_at_deadline = weight_at_deadline;
+  return request_class;
+}
+
+TEST(RemainingWeight, IsFullUntilTheObjectiveAndNothingFromTheDeadlineOn) {
+  const ClassSettings c = class_with(1'000'000, 3'000'000, 0.2);
+  for (const auto decay : {WeightDecay::linear, WeightDecay::half_life}) {
+    EXPECT_EQ(remaining_weight(c, decay, -500'000), 1);
+    EXPECT_EQ(remaining_weight(c, decay, 0), 1);
+    EXPECT_EQ(remaining_weight(c, decay, 2'000'000), 0);
+  }
+}
+
+TEST(RemainingWeight, FallsLinearlyToTheWeightAtTheDeadline) {
+  const ClassSettings c = class_with(1'000'000, 3'000'000, 0.2);
+  EXPECT_DOUBLE_EQ(remaining_weight(c, WeightDecay::linear, 1'000'000), 0.6);
+  EXPECT_NEAR(remaining_weight(c, WeightDecay::linear, 1'999'999), 0.2, 1e-6);
+}
+
+TEST(RemainingWeight, HalvesWithEachObjectiveButNotBelowTheWeightAtTheDeadline) {
+  const ClassSettings c = class_with(1'000'000, 9'000'000, 0.2);
+  EXPECT_DOUBLE_EQ(remaining_weight(c, WeightDecay::half_life, 1'000'000), 0.5);
+  EXPECT_DOUBLE_EQ(remaining_weight(c, WeightDecay::half_life, 2'000'000), 0.25);
+  EXPECT_DOUBLE_EQ(remaining_weight(c, WeightDecay::half_life, 5'000'000), 0.2);
+}
+
+TEST(Priority, UrgencyIsTheLossOfOneMoreShortestObjectiveAndATenthOfTheWeight) {
+  Settings settings;
+  settings.classes = {class_with(2'000'000, 6'000'000, 0), class_with(1'000'000, 3'000'000, 0)};
+  const Priority priority(settings);
+  EXPECT_EQ(priority.shortest_objective_s(), 1);
+  const WeightCurve curve{settings.classes.data(), 8, 10'000'000};
+  EXPECT_DOUBLE_EQ(priority.weight(curve, 11'000'000), 6);
+  EXPECT_DOUBLE_EQ(priority.urgency(curve, 11'000'000), 6 - 4 + 0.6);
+  EXPECT_DOUBLE_EQ(priority.urgency(curve, 5'000'000), 0.8);
+}
+
+TEST(Priority, EachOrderGroupHasThePhasesOfItsClass) {
+  Settings settings;
+  settings.classes = {class_with(2'000'000, 6'000'000, 0), class_with(1'000'000, 1'000'000, 0)};
+  const Priority priority(settings);
+  const auto phases = priority.phases_by_group();
+  std::set<std::size_t> groups;
+  for (const int message_class : {0, 1}) {
+    const auto expected =
+        order_phases(settings.classes[static_cast<std::size_t>(message_class)], settings.decay, 1'000'000);
+    for (const bool over_quota : {false, true})
+      for (const bool unattempted : {false, true}) {
+        const std::size_t group = Priority::order_group(message_class, over_quota, unattempted);
+        groups.insert(group);
+        ASSERT_LT(group, phases.size());
+        EXPECT_EQ(phases[group].size(), expected.size());
+      }
+  }
+  EXPECT_EQ(groups.size(), phases.size());
+}
+
 TEST(OrderPhases, OrderMessagesAsTheirUrgencyDoes) {
   std::mt19937_64 random(1);
   std::size_t compared = 0;
