--- a/src/dispatcher.cpp
+++ b/src/dispatcher.cpp
@@ -20,8 +20,11 @@
 #include <unordered_map>
 
 #include "decision_pass.hpp"
+#include "load_shedding.hpp"
 #include "priority.hpp"
 #include "rates.hpp"
+#include "request.hpp"
+#include "retry_policy.hpp"
 #include "send_queue.hpp"
 #include "state.hpp"
 #include "tenant_quota.hpp"
@@ -36,8 +39,6 @@
 constexpr double kInitial = 2, kIncrement = 4, kLeast = 1, kMost = 20;  // in units
 constexpr double kFactor = 0.2;
 constexpr double kAgingHalfLife = 20;  // units: an unused D halves in this time
-// A relay may be held up for so long, in microseconds, between reading its clock and writing a call.
-constexpr Microseconds kWriteDelay = 150'000;
 // Pace.
 constexpr double kPaceCut = 0.85;                       // on a further refusal
 constexpr double kCutGap = 0.3;                         // refusals closer than this are one event
@@ -83,10 +84,8 @@
 constexpr double kGapGain = 0.3, kMostGap = 100;  // weight of the newest gap between calls; the longest
 constexpr double kIdleSpared = 8;  // idle connections of all relays that an endpoint is trusted to spare
 // List and buffer.
-constexpr double kTryWithin = 0.9;   // of what it has left: when it is tried at the latest, if need be
-constexpr double kLeastLeft = 0.05;  // of the shortest aim: with less time left, nothing is sent any more
+constexpr double kTryWithin = 0.9;  // of what it has left: when it is tried at the latest, if need be
 constexpr double kAskAgain = 0.5, kAskAgainMost = 4;
-constexpr double kBufferFull = 0.92;  // above this share of the buffer the least worth is refused
 
 // What outlasts the process.
 constexpr double kGiveGap = 1;      // seconds between changes given of one endpoint, unless they are urgent
@@ -118,6 +117,8 @@
   std::size_t live = 0;  // of them, those that are not over
   Priority priority;
   TenantQuota tenant_quota;
+  RetryPolicy retry_policy;
+  LoadShedding load_shedding;
   SendQueue send_queue;                                 // those that are ready to go
   std::set<std::pair<Microseconds, MessageId>> agenda;  // when time alone changes something for a message
   std::vector<MessageId> touched;
@@ -142,7 +143,13 @@
   std::deque<std::pair<EndpointId, DestinationId>> swept;  // since they were given as known
 
   State(const Settings& s, std::uint64_t seed)
-      : set(s), random(seed), priority(set), tenant_quota(set), send_queue(priority.phases_by_group()) {
+      : set(s),
+        random(seed),
+        priority(set),
+        tenant_quota(set),
+        retry_policy(set, priority.shortest_objective_s()),
+        load_shedding(set),
+        send_queue(priority.phases_by_group()) {
     shortest_aim = priority.shortest_objective_s();
     unit = kUnitOfAim * shortest_aim;
     after_refusal.assign(set.kinds.size() + 1, kAgainFirst);
@@ -674,7 +681,7 @@
 
   // ---- Messages. ----
   double urgency(const Request& m, Microseconds answer) const {
-    return priority.urgency({m.cls, m.priority_weight, m.objective_at}, answer);
+    return priority.urgency({m.request_class, m.full_weight, m.objective_at}, answer);
   }
   void on(const event::RequestArrived& ev) {
     const auto [it, fresh] = messages.try_emplace(ev.id);
@@ -682,32 +689,33 @@
     live += fresh;
     send_queue.remove(m);
     touch(m, ev.id);
-    m.id = ev.id, m.destination = ev.destination, m.key = ev.order_key;
-    m.cls = &set.classes[static_cast<std::size_t>(ev.message_class)];
-    m.deadline = now + ev.time_left, m.ready = now, m.unattempted = false;
-    m.objective_at = m.deadline - m.cls->deadline + m.cls->latency_objective;
+    m.id = ev.id, m.destination = ev.destination, m.order_key = ev.order_key;
+    m.request_class = &set.classes[static_cast<std::size_t>(ev.message_class)];
+    m.deadline = now + ev.time_left, m.ready_at = now, m.unattempted = false;
+    m.objective_at = m.deadline - m.request_class->deadline + m.request_class->latency_objective;
     const double share = tenant_quota.consume(ev.tenant, now) ? 1 : set.over_quota_weight;
-    m.priority_weight = m.cls->priority_weight * share;
+    m.full_weight = m.request_class->priority_weight * share;
     m.group = Priority::order_group(ev.message_class, share != 1, false);
-    if (!m.cls->ordered) m.key.clear();
-    if (!m.key.empty()) keys[m.key].line.push_back(m.id);
+    if (!m.request_class->ordered) m.order_key.clear();
+    if (!m.order_key.empty()) keys[m.order_key].line.push_back(m.id);
   }
   // Back from an earlier life. An attempt that may have run bars an unsafe message from all but failing; at
   // once, for no outcome of that life will come any more.
   void on(const event::RequestRecovered& ev) {
     on(ev.message);
     Request& m = messages.at(ev.message.id);
-    m.sends = ev.attempts;
-    m.may_ran_zone = ev.possibly_executed_zone, m.may_ran_sent = now - ev.possibly_executed_age;
-    const bool barred = m.cls->idempotency == Idempotency::non_idempotent && m.may_ran_zone;
-    if (!barred && m.sends < set.max_attempts && now < latest_send(m)) return set_unattempted(m, !ev.tried);
+    m.attempts_made = ev.attempts;
+    m.possible_execution.reset();
+    if (ev.possibly_executed_zone)
+      m.possible_execution = PossibleExecution{*ev.possibly_executed_zone, now - ev.possibly_executed_age};
+    if (retry_policy.may_attempt(m, now)) return set_unattempted(m, !ev.tried);
     finish(m, false);
     forget(messages.find(m.id));
   }
   // What an earlier life left untried is tried before what comes in now, once.
   static void set_unattempted(Request& m, bool unattempted) {
     if (unattempted == std::exchange(m.unattempted, unattempted)) return;
-    m.priority_weight *= unattempted ? Priority::kUnattemptedFactor : 1 / Priority::kUnattemptedFactor;
+    m.full_weight *= unattempted ? Priority::kUnattemptedFactor : 1 / Priority::kUnattemptedFactor;
     unattempted ? m.group += 2 : m.group -= 2;
   }
   // Whether the share that is let through keeps it back. An unattempted message's one try comes at a moment
@@ -716,45 +724,40 @@
   bool try_comes(Request& m, const Target& t, Gate& gate) {
     const double share = admission_probability(t);
     if (share >= 1 || serves_us(t)) return true;
-    if (m.try_at == kNever) m.try_at = now + micros(kTryWithin * uniform() * seconds(latest_send(m) - now));
-    if (now >= m.try_at) return true;
+    if (m.first_attempt_at == kNever)
+      m.first_attempt_at =
+          now + micros(kTryWithin * uniform() * seconds(retry_policy.latest_attempt(m) - now));
+    if (now >= m.first_attempt_at) return true;
     gate.own = true;
-    gate.when = std::min(
-        {gate.when, m.try_at, t.let_at + micros(-std::log(t.admission_probability) / kPaceRaise) + 1});
+    gate.when = std::min({gate.when, m.first_attempt_at,
+                          t.let_at + micros(-std::log(t.admission_probability) / kPaceRaise) + 1});
     return false;
   }
-  bool may_refuse(const Request& m) const {
-    if (m.cls->idempotency == Idempotency::idempotent) return true;
-    if (m.cls->idempotency == Idempotency::keyed && m.cls->key_scope == KeyScope::all) return true;
-    return m.out.empty() && !m.may_ran_zone;
-  }
-  // For want of room. What an earlier life took on is tried first: what comes in now waits or is refused.
-  bool may_hand_back(const Request& m) const { return may_refuse(m) && !m.unattempted; }
   void finish(Request& m, bool again) {
-    if (m.over) return;
+    if (m.completed) return;
     end(m);
-    if (again && may_refuse(m))
+    if (again && RetryPolicy::may_be_rejected(m))
       out->push_back(action::Reject{m.id, micros(unit * kInitial)});
     else
       out->push_back(action::Fail{m.id});
   }
   void end(Request& m) {
-    live -= !m.over;
-    m.over = true;
+    live -= !m.completed;
+    m.completed = true;
     send_queue.remove(m);
     touch(m, m.id);
   }
   // Forgets a message that is over and has nothing out, and lets the next of its key step up.
   void forget(std::unordered_map<MessageId, Request>::iterator it) {
     Request& m = it->second;
-    if (!m.over || !m.out.empty()) return;
-    if (!m.key.empty()) {
-      auto& line = keys[m.key].line;
+    if (!m.completed || !m.in_flight.empty()) return;
+    if (!m.order_key.empty()) {
+      auto& line = keys[m.order_key].line;
       line.erase(std::find(line.begin(), line.end(), m.id));
       if (!line.empty()) touch(messages.at(line.front()), line.front());
-      drop_key(m.key);
+      drop_key(m.order_key);
     }
-    if (m.due < kNever) agenda.erase({m.due, m.id});
+    if (m.reevaluate_at < kNever) agenda.erase({m.reevaluate_at, m.id});
     messages.erase(it);
   }
   void drop_key(const std::string& key) {
@@ -809,15 +812,15 @@
     auto it = messages.find(ev.id);
     if (it == messages.end()) return;
     Request& m = it->second;
-    auto attempt = m.out.find(ev.attempt);
-    if (attempt == m.out.end()) return;
+    auto attempt = m.in_flight.find(ev.attempt);
+    if (attempt == m.in_flight.end()) return;
     auto call_it = calls.find(attempt->second);
     Call& call = call_it->second;
     EndpointState& e = *call.endpoint;
     const Microseconds sent = call.sent;
     Microseconds& wait_until = target_of(e).wait_until;
     if (ev.retry_after > 0) wait_until = std::max(wait_until, now + ev.retry_after), give_by(e, now);
-    m.out.erase(attempt);
+    m.in_flight.erase(attempt);
     touch(m, ev.id);
     const bool last = --call.left == 0;
     if (last) std::erase_if(e.calls, [&](const OutCall& c) { return c.id == call_it->first; });
@@ -840,38 +843,23 @@
 
     const bool never_ran = ev.outcome == Outcome::rejected || ev.outcome == Outcome::connect_failed ||
                            ev.outcome == Outcome::not_sent;
-    if (!never_ran && (!m.may_ran_zone || sent < m.may_ran_sent))
-      m.may_ran_zone = e.info.zone, m.may_ran_sent = sent;
+    if (!never_ran && (!m.possible_execution || sent < m.possible_execution->sent_at))
+      m.possible_execution = PossibleExecution{e.info.zone, sent};
     const bool doubt =
         ev.outcome == Outcome::timeout || ev.outcome == Outcome::reset || ev.outcome == Outcome::cancelled;
-    if (doubt && !m.key.empty()) {
-      keys[m.key].rest_until = now + set.key_quiet_period;
-      resting.emplace_back(now + set.key_quiet_period, m.key);
+    if (doubt && !m.order_key.empty()) {
+      keys[m.order_key].rest_until = now + set.key_quiet_period;
+      resting.emplace_back(now + set.key_quiet_period, m.order_key);
     }
     if (ev.request_completed || ev.outcome == Outcome::served) end(m);
-    if (!m.over && m.out.empty()) {
+    if (!m.completed && m.in_flight.empty()) {
       // A retry waits the jittered D; one that would come too late, or may not be made, ends here.
       const double d = std::max(delay_now(target_of(e)), kLeast * unit);
-      m.ready = now + micros(jittered(d));
-      const bool barred = m.cls->idempotency == Idempotency::non_idempotent && m.may_ran_zone;
-      if (barred || m.sends >= set.max_attempts || m.ready >= latest_send(m)) finish(m, false);
+      m.ready_at = now + micros(jittered(d));
+      if (!retry_policy.may_attempt(m, m.ready_at)) finish(m, false);
     }
     forget(it);
   }
-  // After this a send can't be made any more: the deadline, or the end of the key's window.
-  Microseconds latest_send(const Request& m) const {
-    // Guards against ends that are told too late: a stall of a few rounds just before the deadline.
-    Microseconds t = m.deadline - std::max(2 * set.min_decision_interval, micros(kLeastLeft * shortest_aim));
-    if (m.cls->idempotency == Idempotency::keyed && m.may_ran_zone) t = std::min(t, key_end(m));
-    return t;
-  }
-  // Until when the destination surely knows the key of a message that may have run, for a call that is
-  // written as late as it may be after it was decided on. A window that is shorter than that allows no
-  // repeat.
-  Microseconds key_end(const Request& m) const {
-    return m.may_ran_sent + m.cls->key_window - std::max(set.min_decision_interval, kWriteDelay);
-  }
-
   // ---- The gate. Every send passes here; it tells when to look again. ----
   // What it says of a message holds for all of its subqueue, but for what it calls the message's own; and
   // until the time it tells, unless something happens at the destination or, where it wants one, a trial call
@@ -879,8 +867,7 @@
   bool passes(Request& m, EndpointState& e, Gate& gate) {
     Microseconds& when = gate.when;
     if (e.info.listing != Listing::active) return false;
-    const bool keyed_by_zone = m.cls->idempotency == Idempotency::keyed && m.cls->key_scope == KeyScope::zone;
-    if (keyed_by_zone && m.may_ran_zone && e.info.zone != *m.may_ran_zone) return false;
+    if (const auto zone = RetryPolicy::required_zone(m); zone && e.info.zone != *zone) return false;
     Target& t = target_of(e);
     const bool own_try = m.unattempted && !perhaps_shut(t);  // else by the share that is let through
     const Microseconds held = own_try ? t.wait_until : std::max(t.wait_until, t.hold_until);
@@ -891,8 +878,8 @@
     // Its health changes with time, whatever else keeps messages from it.
     if (e.health != Health::healthy) when = std::min(when, e.since + health_span());
     if (ready > now) return when = std::min(when, ready), false;
-    if (e.health == Health::ejected && m.cls->idempotency == Idempotency::non_idempotent && e.doubt_run &&
-        now < m.objective_at) {
+    if (e.health == Health::ejected && m.request_class->idempotency == Idempotency::non_idempotent &&
+        e.doubt_run && now < m.objective_at) {
       // A trial call that may be lost is no place for a message that can't be repeated.
       return gate.own = true, when = std::min(when, m.objective_at), false;
     }
@@ -900,10 +887,8 @@
     return !own_try || e.health != Health::healthy || try_comes(m, t, gate);
   }
   SendQueue::SubqueueKey subqueue_of(const Request& m) const {
-    const bool one_zone =
-        m.cls->idempotency == Idempotency::keyed && m.cls->key_scope == KeyScope::zone && m.may_ran_zone;
-    return {m.destination, one_zone ? *m.may_ran_zone : -1, m.cls->idempotency == Idempotency::non_idempotent,
-            m.unattempted};
+    return {m.destination, RetryPolicy::required_zone(m).value_or(-1),
+            m.request_class->idempotency == Idempotency::non_idempotent, m.unattempted};
   }
   bool room_in_call(const EndpointState& e) const {
     if (e.open_call == 0) return false;
@@ -940,7 +925,7 @@
            (e.info.zone == set.zone ? 0 : 0.02);
   }
   bool try_send(Request& m, Gate& gate) {
-    if (m.sends >= set.max_attempts || now >= latest_send(m)) return false;
+    if (!retry_policy.has_attempt_left(m, now)) return false;
     EndpointState* best = nullptr;
     double best_price = 0;
     const auto destination = destinations.find(m.destination);
@@ -968,7 +953,7 @@
       e.calls.push_back({e.open_call, now});
       count_trials(e);
       if (e.bundle > 1) share_call(m, e);
-      if (e.health == Health::healthy && m.sends == 0) e.asked.add(now);
+      if (e.health == Health::healthy && m.attempts_made == 0) e.asked.add(now);
       e.use_gap += kGapGain * (std::min(seconds(now - e.used_at), kMostGap) - e.use_gap);
       e.used_at = now;
       if (t.pace != kUnbounded) save_tokens(t), t.tokens -= 1;
@@ -981,13 +966,14 @@
     send_queue.remove(m);
     touch(m, m.id);
     set_unattempted(m, false);
-    const bool unsafe = m.cls->idempotency == Idempotency::non_idempotent;
-    const double aims = seconds(m.cls->latency_objective) * (unsafe ? kUnsafeTimeoutAims : kSafeTimeoutAims);
+    const bool unsafe = m.request_class->idempotency == Idempotency::non_idempotent;
+    const double aims =
+        seconds(m.request_class->latency_objective) * (unsafe ? kUnsafeTimeoutAims : kSafeTimeoutAims);
     const Microseconds timeout =
         std::min(micros(std::max(aims, kTimeoutTimes * e.latency)), m.deadline - now);
-    m.out[m.sends++] = e.open_call;
+    m.in_flight[m.attempts_made++] = e.open_call;
     action::Send a{m.id, e.info.id, timeout, {}};
-    if (m.cls->idempotency == Idempotency::keyed && m.may_ran_zone) a.start_within = key_end(m) - now;
+    a.start_within = retry_policy.start_within(m, now);
     out->push_back(std::move(a));
   }
 
@@ -996,20 +982,21 @@
   // while slots are short, sooner, also those since whose send nothing was served there. Unsafe messages,
   // which it loses, have an aim's time first. May cut a call that is merely heavy.
   void give_up(Request& m, bool slots_short) {
-    const auto [attempt, call_id] = *m.out.begin();
+    const auto [attempt, call_id] = *m.in_flight.begin();
     const Call& call = calls[call_id];
-    const bool unsafe = m.cls->idempotency == Idempotency::non_idempotent,
+    const bool unsafe = m.request_class->idempotency == Idempotency::non_idempotent,
                overtaken = call.sent < call.endpoint->served_sent;
     const bool silent = call.sent >= call.endpoint->served_at;  // answers to earlier calls: slow, at work
-    if (m.gave_up == attempt || !(overtaken || (slots_short && silent))) return;
-    const double least = unsafe ? seconds(m.cls->latency_objective) : 0;
+    if (m.cancelled_attempt == attempt || !(overtaken || (slots_short && silent))) return;
+    const double least = unsafe ? seconds(m.request_class->latency_objective) : 0;
     const double times = slots_short ? kOverdueTimes : kTimeoutTimes;
     double after = times * call.endpoint->latency + kOverdueMore;
     // Later it is worth less; but where all destinations answer slowly, patience is cheaper than cutting.
-    if (slots_short) after = std::min(after, seconds(m.cls->latency_objective)) * std::max(1.0, slowness);
+    if (slots_short)
+      after = std::min(after, seconds(m.request_class->latency_objective)) * std::max(1.0, slowness);
     const Microseconds due = call.sent + micros(std::max(least, after));
     if (now < due) return wake_by(due);
-    m.gave_up = attempt;
+    m.cancelled_attempt = attempt;
     out->push_back(action::Cancel{m.id, attempt});
   }
 
@@ -1025,16 +1012,13 @@
     });
   }
   void touch(Request& m, MessageId id) {
-    if (!std::exchange(m.touched, true)) touched.push_back(id);
-  }
-  Microseconds last_of(const Request& m) const {
-    return m.out.empty() ? latest_send(m) : m.deadline - 2 * set.min_decision_interval;
+    if (!std::exchange(m.reevaluation_queued, true)) touched.push_back(id);
   }
   // When its key lets it go: kNever where others come first.
   Microseconds turn(const Request& m) const {
-    if (m.key.empty()) return now;
-    const KeyLine& k = keys.at(m.key);
-    return k.line.front() != m.id ? kNever : m.sends == 0 ? k.rest_until : now;
+    if (m.order_key.empty()) return now;
+    const KeyLine& k = keys.at(m.order_key);
+    return k.line.front() != m.id ? kNever : m.attempts_made == 0 ? k.rest_until : now;
   }
 #ifdef HERONVANE_FULL_WALK
 #include HERONVANE_FULL_WALK
@@ -1044,7 +1028,7 @@
     const std::size_t held_then = live;
     for (; !agenda.empty() && agenda.begin()->first <= now; agenda.erase(agenda.begin())) {
       Request& m = messages.at(agenda.begin()->second);
-      m.due = kNever;
+      m.reevaluate_at = kNever;
       touch(m, m.id);
     }
     const Microseconds ahead = now + micros(kFirstLatency);
@@ -1052,14 +1036,14 @@
     std::vector<MessageId> due = overdue_messages(slots_short), ended;
     for (const MessageId id : touched) {
       const auto it = messages.find(id);
-      if (it == messages.end() || it->second.over) continue;
-      now >= last_of(it->second) ? due.push_back(id) : line_up(it->second, ahead);
+      if (it == messages.end() || it->second.completed) continue;
+      now >= retry_policy.ends_at(it->second) ? due.push_back(id) : line_up(it->second, ahead);
     }
     std::sort(due.begin(), due.end());
     due.erase(std::unique(due.begin(), due.end()), due.end());
     for (const MessageId id : due) {
       Request& m = messages.at(id);
-      if (now < last_of(m)) {
+      if (now < retry_policy.ends_at(m)) {
         give_up(m, slots_short);
         continue;
       }
@@ -1073,13 +1057,12 @@
     fill_calls(urgent);
     for (Request* m : unlucky) send_queue.enqueue(*m, subqueue_of(*m));
     // Buffer nearly full: hand back what is worth least, rather than have the next ones turned away.
-    const auto most = std::max<std::size_t>(static_cast<std::size_t>(kBufferFull * set.max_in_flight), 1);
-    if (held_then > most)
-      for (auto* e : send_queue.least_urgent(held_then - most, urgent)) {
+    if (const std::size_t excess = load_shedding.excess(held_then); excess > 0)
+      for (auto* e : send_queue.least_urgent(excess, urgent)) {
         Request& m = static_cast<Request&>(*e);
         // What an earlier life took on is tried before it is handed back: what comes in now waits or is
         // refused.
-        if (!may_hand_back(m)) continue;
+        if (!LoadShedding::may_shed(m)) continue;
         finish(m, true);
         ended.push_back(m.id);
       }
@@ -1104,26 +1087,27 @@
       if (!overtaken && !(slots_short && silent)) continue;
       for (const MessageId with : call.with) {
         const auto it = messages.find(with);
-        const bool there = it != messages.end() && !it->second.over && !it->second.out.empty();
-        if (there && it->second.out.begin()->second == id) found.push_back(with);
+        const bool there = it != messages.end() && !it->second.completed && !it->second.in_flight.empty();
+        if (there && it->second.in_flight.begin()->second == id) found.push_back(with);
       }
     }
     return found;
   }
   // Waits from now on, if its time has come and it does not wait already.
   void line_up(Request& m, Microseconds ahead) {
-    if (!m.out.empty() || m.ready > now) return;
+    if (!m.in_flight.empty() || m.ready_at > now) return;
     if (!m.added()) send_queue.add(m, ahead);
     if (m.subqueue() == nullptr && turn(m) <= now) send_queue.enqueue(m, subqueue_of(m));
   }
   void plan(Request& m) {
-    m.touched = false;
-    Microseconds at = m.over ? kNever : last_of(m);
-    if (!m.over && m.out.empty() && m.subqueue() == nullptr) at = std::min(at, std::max(m.ready, turn(m)));
-    if (at == m.due) return;
-    if (m.due < kNever) agenda.erase({m.due, m.id});
+    m.reevaluation_queued = false;
+    Microseconds at = m.completed ? kNever : retry_policy.ends_at(m);
+    if (!m.completed && m.in_flight.empty() && m.subqueue() == nullptr)
+      at = std::min(at, std::max(m.ready_at, turn(m)));
+    if (at == m.reevaluate_at) return;
+    if (m.reevaluate_at < kNever) agenda.erase({m.reevaluate_at, m.id});
     if (at < kNever) agenda.emplace(at, m.id);
-    m.due = at;
+    m.reevaluate_at = at;
   }
   // Those that were tried in vain, and are to be tried in the next round.
   template <class Urgency>
--- a/src/state.hpp
+++ b/src/state.hpp
@@ -12,6 +12,7 @@
 
 #include "heronvane/dispatch/dispatcher.hpp"
 #include "rates.hpp"
+#include "request.hpp"
 #include "send_queue.hpp"
 #include "time_units.hpp"
 
@@ -107,23 +108,6 @@
   std::vector<MessageId> with;
 };
 
-struct Request : SendQueue::Entry {  // which has its id and its aim
-  const ClassSettings* cls = nullptr;
-  DestinationId destination = 0;
-  double priority_weight = 0;
-  Microseconds deadline = 0, ready = 0;
-  std::string key;
-  int sends = 0, gave_up = -1;       // attempts made; the last one that was cancelled
-  bool unattempted = false;          // of an earlier life, and no endpoint reached yet
-  Microseconds try_at = kNever;      // when it goes then, whatever share is let through; kNever: not drawn
-  std::map<int, std::uint64_t> out;  // attempt to call
-  std::optional<int> may_ran_zone;   // where the first attempt that may have run was made
-  Microseconds may_ran_sent = 0;
-  bool over = false;
-  bool touched = false;       // something happened to it in this round
-  Microseconds due = kNever;  // its place in the agenda
-};
-
 struct KeyLine {
   std::deque<MessageId> line;
   Microseconds rest_until = 0;
