--- a/src/send_queue.cpp
+++ b/src/send_queue.cpp
@@ -4,185 +4,212 @@
 
 namespace heronvane::dispatch {
 
-SendQueue::SendQueue(const std::vector<std::vector<OrderPhase>>& groups) {
-  for (const auto& phases : groups) {
+SendQueue::SendQueue(const std::vector<std::vector<OrderPhase>>& phases_by_group) {
+  for (const auto& phases : phases_by_group) {
     first_phase_.push_back(phase_queues_.size());
     for (std::size_t i = 0; i < phases.size(); i++) {
-      PhaseQueue& phase_queue = phase_queues_.emplace_back();
-      phase_queue.phase = phases[i];
-      if (i + 1 < phases.size()) phase_queue.until = phases[i + 1].from;
+      PhaseQueue& queue = phase_queues_.emplace_back();
+      queue.phase = phases[i];
+      if (i + 1 < phases.size()) queue.until = phases[i + 1].from;
     }
   }
 }
+
 SendQueue::~SendQueue() = default;
 
-SendQueue::Key SendQueue::key_of(Entry& e) const {
-  switch (phase_queues_[e.phase_].phase.order) {
+SendQueue::Key SendQueue::key_of(Entry& entry) const {
+  switch (phase_queues_[entry.phase_].phase.order) {
     case OrderPhase::Order::by_id:
-      return {0, e.id, &e};
+      return {0, entry.id, &entry};
     case OrderPhase::Order::earlier_objective:
-      return {e.objective_at, e.id, &e};
+      return {entry.objective_at, entry.id, &entry};
     case OrderPhase::Order::later_objective:
-      return {-e.objective_at, e.id, &e};
+      return {-entry.objective_at, entry.id, &entry};
   }
   return {};
 }
 
-// Finds its phase_queue from the present one on.
-void SendQueue::enter_phase(Entry& e, Microseconds at) {
-  while (phase_queues_[e.phase_].until <= at - e.objective_at) e.phase_++;
-  const Microseconds until = phase_queues_[e.phase_].until;
-  e.phase_ends_at_ = until < kNever ? e.objective_at + until : kNever;
-  if (e.phase_ends_at_ < kNever) phase_changes_.emplace(e.phase_ends_at_, &e);
+// Goes on from the entry's present phase to the one that holds at `at`, and notes when that ends.
+void SendQueue::enter_phase(Entry& entry, Microseconds at) {
+  while (phase_queues_[entry.phase_].until <= at - entry.objective_at) entry.phase_++;
+  const Microseconds until = phase_queues_[entry.phase_].until;
+  entry.phase_ends_at_ = until < kNever ? entry.objective_at + until : kNever;
+  if (entry.phase_ends_at_ < kNever) phase_changes_.insert({entry.phase_ends_at_, &entry});
 }
 
-void SendQueue::add(Entry& e, Microseconds at) {
-  e.added_ = true;
-  e.phase_ = first_phase_[e.group];
-  enter_phase(e, at);
-  phase_queues_[e.phase_].all.insert(key_of(e));
+void SendQueue::add(Entry& entry, Microseconds at) {
+  entry.added_ = true;
+  entry.phase_ = first_phase_[entry.group];
+  enter_phase(entry, at);
+  phase_queues_[entry.phase_].all.insert(key_of(entry));
   size_++;
 }
 
-void SendQueue::remove(Entry& e) {
-  if (!e.added_) return;
-  if (e.subqueue_ != nullptr) dequeue(e);
-  if (e.phase_ends_at_ < kNever) phase_changes_.erase({e.phase_ends_at_, &e});
-  phase_queues_[e.phase_].all.erase(key_of(e));
-  e.added_ = false;
+void SendQueue::remove(Entry& entry) {
+  if (!entry.added_) return;
+  if (entry.subqueue_ != nullptr) dequeue(entry);
+  if (entry.phase_ends_at_ < kNever) phase_changes_.erase({entry.phase_ends_at_, &entry});
+  phase_queues_[entry.phase_].all.erase(key_of(entry));
+  entry.added_ = false;
   size_--;
 }
 
-void SendQueue::enqueue(Entry& e, const SubqueueKey& key) {
+void SendQueue::enqueue(Entry& entry, const SubqueueKey& key) {
   auto& subqueues = by_destination_[key.destination];
-  const auto found =
-      std::find_if(subqueues.begin(), subqueues.end(), [&](const auto& l) { return l->key == key; });
-  Subqueue* subqueue = found == subqueues.end() ? nullptr : found->get();
-  if (subqueue == nullptr) {
-    subqueue = subqueues.emplace_back(std::make_unique<Subqueue>()).get();
-    subqueue->key = key;
+  auto found = std::find_if(subqueues.begin(), subqueues.end(),
+                            [&](const auto& subqueue) { return subqueue->key_ == key; });
+  if (found == subqueues.end()) {
+    found = subqueues.insert(subqueues.end(), std::make_unique<Subqueue>(key));
     subqueue_count_++;
   }
-  e.subqueue_ = subqueue;
-  insert(*subqueue, e);
+  entry.subqueue_ = found->get();
+  insert(**found, entry);
+}
+
+void SendQueue::dequeue(Entry& entry) {
+  Subqueue& subqueue = *entry.subqueue_;
+  if (entry.deferred_) {
+    subqueue.deferred_.erase({entry.deferred_until_, &entry});
+  } else {
+    erase(subqueue, entry);
+  }
+  entry.subqueue_ = nullptr;
+  entry.deferred_ = false;
+  drop_if_empty(subqueue);
+}
+
+void SendQueue::drop_if_empty(Subqueue& subqueue) {
+  if (!subqueue.phases_.empty() || !subqueue.deferred_.empty()) return;
+  set_recheck(subqueue, kNever);
+  const auto siblings = by_destination_.find(subqueue.key_.destination);
+  std::erase_if(siblings->second, [&](const auto& sibling) { return sibling.get() == &subqueue; });
+  subqueue_count_--;
+  if (siblings->second.empty()) by_destination_.erase(siblings);
 }
 
 void SendQueue::advance_phases(Microseconds at) {
-  while (!phase_changes_.empty() && phase_changes_.begin()->first <= at) {
-    Entry& e = *phase_changes_.begin()->second;
+  while (!phase_changes_.empty() && phase_changes_.begin()->at <= at) {
+    Entry& entry = *phase_changes_.begin()->item;
     phase_changes_.erase(phase_changes_.begin());
-    const bool in_subqueue = e.subqueue_ != nullptr && !e.deferred_;
-    if (in_subqueue) erase(*e.subqueue_, e);
-    phase_queues_[e.phase_].all.erase(key_of(e));
-    enter_phase(e, at);
-    phase_queues_[e.phase_].all.insert(key_of(e));
-    if (in_subqueue) insert(*e.subqueue_, e);
+    const bool in_subqueue = entry.subqueue_ != nullptr && !entry.deferred_;
+    if (in_subqueue) erase(*entry.subqueue_, entry);
+    phase_queues_[entry.phase_].all.erase(key_of(entry));
+    enter_phase(entry, at);
+    phase_queues_[entry.phase_].all.insert(key_of(entry));
+    if (in_subqueue) insert(*entry.subqueue_, entry);
   }
 }
 
-// ---- Lanes. ----
-void SendQueue::insert(Subqueue& subqueue, Entry& e) {
-  auto entries = std::find_if(subqueue.by_phase.begin(), subqueue.by_phase.end(),
-                              [&](const PhaseEntries& b) { return b.phase_queue == e.phase_; });
-  if (entries == subqueue.by_phase.end()) entries = subqueue.by_phase.insert(entries, {e.phase_, {}});
-  const Key key = key_of(e);
-  if (subqueue.state != State::blocked && (entries->keys.empty() || key < *entries->keys.begin())) {
-    auto& heads = phase_queues_[e.phase_].heads[static_cast<int>(subqueue.state)];
-    if (!entries->keys.empty()) heads.erase(*entries->keys.begin());
-    heads.insert(key);
+// The heads among which the subqueue's first entry of the phase stands; null while it is blocked.
+SendQueue::Keys* SendQueue::heads_of(const Subqueue& subqueue, std::size_t phase) {
+  switch (subqueue.eligibility_) {
+    case Eligibility::eligible:
+      return &phase_queues_[phase].eligible_heads;
+    case Eligibility::awaiting_health_check:
+      return &phase_queues_[phase].awaiting_heads;
+    case Eligibility::blocked:
+      break;
   }
-  entries->keys.insert(key);
-}
-
-void SendQueue::erase(Subqueue& subqueue, Entry& e) {
-  const auto entries = std::find_if(subqueue.by_phase.begin(), subqueue.by_phase.end(),
-                                    [&](const PhaseEntries& b) { return b.phase_queue == e.phase_; });
-  const auto at = entries->keys.find(key_of(e));
-  const bool head = at == entries->keys.begin();
-  if (head && subqueue.state != State::blocked)
-    phase_queues_[e.phase_].heads[static_cast<int>(subqueue.state)].erase(*at);
-  entries->keys.erase(at);
-  if (entries->keys.empty()) {
-    subqueue.by_phase.erase(entries);
-  } else if (head && subqueue.state != State::blocked) {
-    phase_queues_[e.phase_].heads[static_cast<int>(subqueue.state)].insert(*entries->keys.begin());
+  return nullptr;
+}
+
+void SendQueue::insert(Subqueue& subqueue, Entry& entry) {
+  auto& phases = subqueue.phases_;
+  auto phase = std::find_if(phases.begin(), phases.end(),
+                            [&](const auto& candidate) { return candidate.phase == entry.phase_; });
+  if (phase == phases.end()) phase = phases.insert(phase, {entry.phase_, {}});
+  const Key key = key_of(entry);
+  Keys* const heads = heads_of(subqueue, entry.phase_);
+  if (heads != nullptr && (phase->keys.empty() || key < *phase->keys.begin())) {
+    if (!phase->keys.empty()) heads->erase(*phase->keys.begin());
+    heads->insert(key);
+  }
+  phase->keys.insert(key);
+}
+
+void SendQueue::erase(Subqueue& subqueue, Entry& entry) {
+  auto& phases = subqueue.phases_;
+  const auto phase = std::find_if(phases.begin(), phases.end(),
+                                  [&](const auto& candidate) { return candidate.phase == entry.phase_; });
+  const auto position = phase->keys.find(key_of(entry));
+  const bool was_head = position == phase->keys.begin();
+  Keys* const heads = heads_of(subqueue, entry.phase_);
+  if (was_head && heads != nullptr) heads->erase(*position);
+  phase->keys.erase(position);
+  if (phase->keys.empty()) {
+    phases.erase(phase);
+  } else if (was_head && heads != nullptr) {
+    heads->insert(*phase->keys.begin());
+  }
+}
+
+void SendQueue::erase_heads(const Subqueue& subqueue) {
+  for (const auto& phase : subqueue.phases_) {
+    if (Keys* const heads = heads_of(subqueue, phase.phase)) heads->erase(*phase.keys.begin());
   }
 }
 
-// Its first ones among those of all subqueues in that state.
-void SendQueue::show_heads(Subqueue& subqueue, bool shown) {
-  if (subqueue.state == State::blocked) return;
-  for (const PhaseEntries& entries : subqueue.by_phase) {
-    auto& heads = phase_queues_[entries.phase_queue].heads[static_cast<int>(subqueue.state)];
-    shown ? void(heads.insert(*entries.keys.begin())) : void(heads.erase(*entries.keys.begin()));
+void SendQueue::insert_heads(const Subqueue& subqueue) {
+  for (const auto& phase : subqueue.phases_) {
+    if (Keys* const heads = heads_of(subqueue, phase.phase)) heads->insert(*phase.keys.begin());
   }
 }
 
 void SendQueue::set_recheck(Subqueue& subqueue, Microseconds at) {
-  if (subqueue.recheck_at < kNever) rechecks_.erase({subqueue.recheck_at, &subqueue});
-  subqueue.recheck_at = at;
-  if (at < kNever) rechecks_.emplace(at, &subqueue);
+  if (subqueue.recheck_at_ < kNever) rechecks_.erase({subqueue.recheck_at_, &subqueue});
+  subqueue.recheck_at_ = at;
+  if (at < kNever) rechecks_.insert({at, &subqueue});
 }
 
-void SendQueue::set_state(Subqueue& subqueue, State state, Microseconds recheck_at) {
-  if (subqueue.state != state) {
-    show_heads(subqueue, false);
-    subqueue.state = state;
-    show_heads(subqueue, true);
+void SendQueue::set_eligibility(Subqueue& subqueue, Eligibility eligibility, Microseconds recheck_at) {
+  if (subqueue.eligibility_ != eligibility) {
+    erase_heads(subqueue);
+    subqueue.eligibility_ = eligibility;
+    insert_heads(subqueue);
   }
-  // What was set deferred is looked at in its own time, too.
-  if (!subqueue.deferred.empty()) recheck_at = std::min(recheck_at, subqueue.deferred.begin()->first);
-  if (recheck_at != subqueue.recheck_at) set_recheck(subqueue, recheck_at);
+  // Deferred entries become eligible at their own time, whatever the state of the subqueue.
+  if (!subqueue.deferred_.empty()) recheck_at = std::min(recheck_at, subqueue.deferred_.begin()->at);
+  if (recheck_at != subqueue.recheck_at_) set_recheck(subqueue, recheck_at);
 }
 
 void SendQueue::block(Subqueue& subqueue, Microseconds recheck_at) {
-  set_state(subqueue, State::blocked, recheck_at);
+  set_eligibility(subqueue, Eligibility::blocked, recheck_at);
 }
+
 void SendQueue::block_until_health_check(Subqueue& subqueue, Microseconds recheck_at) {
-  set_state(subqueue, State::awaiting_health_check, recheck_at);
+  set_eligibility(subqueue, Eligibility::awaiting_health_check, recheck_at);
 }
 
-void SendQueue::defer(Entry& e, Microseconds until) {
-  Subqueue& subqueue = *e.subqueue_;
-  erase(subqueue, e);
-  e.deferred_ = true, e.deferred_until_ = until;
-  subqueue.deferred.emplace(until, &e);
-  if (until < subqueue.recheck_at) set_recheck(subqueue, until);
+void SendQueue::defer(Entry& entry, Microseconds until) {
+  Subqueue& subqueue = *entry.subqueue_;
+  erase(subqueue, entry);
+  entry.deferred_ = true;
+  entry.deferred_until_ = until;
+  subqueue.deferred_.insert({until, &entry});
+  if (until < subqueue.recheck_at_) set_recheck(subqueue, until);
 }
 
 void SendQueue::unblock_due(Microseconds now) {
-  while (!rechecks_.empty() && rechecks_.begin()->first <= now) {
-    Subqueue& subqueue = *rechecks_.begin()->second;
-    while (!subqueue.deferred.empty() && subqueue.deferred.begin()->first <= now)
-      undefer(subqueue, subqueue.deferred.begin());
-    set_state(subqueue, State::eligible, kNever);
+  while (!rechecks_.empty() && rechecks_.begin()->at <= now) {
+    Subqueue& subqueue = *rechecks_.begin()->item;
+    Deferred& deferred = subqueue.deferred_;
+    while (!deferred.empty() && deferred.begin()->at <= now) restore(subqueue, deferred.begin());
+    set_eligibility(subqueue, Eligibility::eligible, kNever);
   }
 }
 
-SendQueue::Deferred::iterator SendQueue::undefer(Subqueue& subqueue, Deferred::iterator it) {
-  Entry& e = *it->second;
-  e.deferred_ = false;
-  insert(subqueue, e);
-  return subqueue.deferred.erase(it);
-}
+Microseconds SendQueue::next_recheck() const { return rechecks_.empty() ? kNever : rechecks_.begin()->at; }
 
 void SendQueue::unblock(DestinationId destination) {
   unblock_if(destination, [](const Entry&) { return true; });
 }
 
-void SendQueue::dequeue(Entry& e) {
-  Subqueue& subqueue = *e.subqueue_;
-  if (e.deferred_)
-    subqueue.deferred.erase({e.deferred_until_, &e});
-  else
-    erase(subqueue, e);
-  e.subqueue_ = nullptr, e.deferred_ = false;
-  if (!subqueue.by_phase.empty() || !subqueue.deferred.empty()) return;
-  set_recheck(subqueue, kNever);
-  const auto of = by_destination_.find(subqueue.key.destination);
-  std::erase_if(of->second, [&](const auto& l) { return l.get() == &subqueue; });
-  subqueue_count_--;
-  if (of->second.empty()) by_destination_.erase(of);
+// Puts a deferred entry back among the others of its subqueue; returns the next deferred one.
+SendQueue::Deferred::iterator SendQueue::restore(Subqueue& subqueue, Deferred::iterator deferred) {
+  Entry& entry = *deferred->item;
+  entry.deferred_ = false;
+  insert(subqueue, entry);
+  return subqueue.deferred_.erase(deferred);
 }
 
 }  // namespace heronvane::dispatch
--- a/src/send_queue.hpp
+++ b/src/send_queue.hpp
@@ -1,16 +1,20 @@
-// The messages that wait, in the order in which they are to go, found without walking them all.
+// The requests that wait to be sent, in the order in which they are to go, found without walking them all.
 //
-// Each message that waits is listed, and may stand in a subqueue: subqueues hold those of one destination
-// that pass or fail its gate alike. Which message comes first is asked of the subqueues that are open alone;
-// a subqueue that was found shut is opened eligible_again by news of its destination or at a time told when
-// it was shut. What is kept of a message costs the logarithm of how many there are, each time that something
-// changes for it.
+// Each request that waits is added, and may stand in a subqueue: a subqueue holds those requests of one
+// destination that are eligible for a send, or blocked, all alike. The most urgent request is looked for
+// among the subqueues that are not blocked; a blocked one is looked at again when something happens at its
+// destination or at the time told when it was blocked. Each change costs the logarithm of how many requests
+// wait.
 //
-// No decision is made here: what is urgent, and whether a subqueue is shut, is the caller's.
+// Makes no decision: how urgent a request is, and whether a subqueue is blocked, the caller says.
+//
+// Owns the subqueues; the entries belong to the caller and must stay at their addresses while they are added.
+// Not synchronised, used on the dispatcher's thread only.
 #pragma once
 
 #include <algorithm>
 #include <cstddef>
+#include <iterator>
 #include <memory>
 #include <set>
 #include <unordered_map>
@@ -25,177 +29,246 @@
 
 class SendQueue {
  public:
-  struct Subqueue;
-  // A message's place here; the message owns it, and it must stay where it is while it is listed.
+  class Subqueue;
+
+  // A request's place in the queue.
   struct Entry {
     MessageId id = 0;
-    Microseconds objective_at = 0;
-    std::size_t group = 0;
+    Microseconds objective_at = 0;  // the moment of its latency objective
+    std::size_t group = 0;          // order group
 
     bool added() const { return added_; }
-    Subqueue* subqueue() const {
-      return subqueue_;
-    }  // which it is in or was set deferred from; null: in none
+    // The subqueue that it is in or was deferred from; null where it is in none.
+    Subqueue* subqueue() const { return subqueue_; }
 
    private:
     friend class SendQueue;
-    bool added_ = false, deferred_ = false;
+    bool added_ = false;
+    bool deferred_ = false;
     Subqueue* subqueue_ = nullptr;
-    std::size_t phase_ = 0;
-    Microseconds phase_ends_at_ = kNever, deferred_until_ = kNever;
+    std::size_t phase_ = 0;  // index of its phase queue
+    Microseconds phase_ends_at_ = kNever;
+    Microseconds deferred_until_ = kNever;
   };
+
+  // What requests of one destination must have in common to be eligible or blocked alike.
   struct SubqueueKey {
     DestinationId destination = 0;
     int zone = -1;                // only endpoints there may serve it; -1: all may
-    bool non_idempotent = false;  // its messages may not run twice
-    bool unattempted = false;     // of an earlier life, and no endpoint reached yet
+    bool non_idempotent = false;  // its requests must not run twice
+    bool unattempted = false;     // recovered, and no attempt has reached an endpoint
     bool operator==(const SubqueueKey&) const = default;
   };
 
-  // By group, the phases in the order of their times; the first begins before any time.
-  explicit SendQueue(const std::vector<std::vector<OrderPhase>>& groups);
+  // `phases_by_group`: by order group, the phases in the order of their times; the first begins before any
+  // time.
+  explicit SendQueue(const std::vector<std::vector<OrderPhase>>& phases_by_group);
+  SendQueue(const SendQueue&) = delete;
+  SendQueue& operator=(const SendQueue&) = delete;
   ~SendQueue();
 
-  // `at` is the moment that aims are compared with; it never goes back.
-  void add(Entry& e, Microseconds at);
-  // Out of all: its subqueue and the list.
-  void remove(Entry& e);
-  // Into a subqueue, which is opened if it is new. The entry must be listed and in none.
-  void enqueue(Entry& e, const SubqueueKey& key);
-  // Out of its subqueue, or of what was set deferred there; it stays listed.
-  void dequeue(Entry& e);
-  // Messages pass into their next phases.
+  // Adds an entry that is not added. `at`, here and in advance_phases, is the moment that latency objectives
+  // are compared with; it never goes back.
+  void add(Entry& entry, Microseconds at);
+  // Takes the entry out of its subqueue and the queue. Does nothing where it is not added.
+  void remove(Entry& entry);
+  // Puts an added entry, which is in no subqueue, into the one with this key.
+  void enqueue(Entry& entry, const SubqueueKey& key);
+  // Takes the entry out of its subqueue, deferred or not; it stays added.
+  void dequeue(Entry& entry);
+  // Moves entries into the phases that have begun by `at`.
   void advance_phases(Microseconds at);
 
-  // Opens what was to be looked at by now; tells when the next is.
-  void unblock_due(Microseconds now);
-  Microseconds next_recheck() const { return rechecks_.empty() ? kNever : rechecks_.begin()->first; }
-  // Opens all subqueues of a destination, with what was set deferred.
-  void unblock(DestinationId destination);
-  // Opens them with those alone of what was set deferred that `eligible_again(entry)` tells.
-  template <class Again>
-  void unblock_if(DestinationId destination, const Again& eligible_again) {
-    const auto of = by_destination_.find(destination);
-    if (of == by_destination_.end()) return;
-    for (const auto& subqueue : of->second) {
-      for (auto it = subqueue->deferred.begin(); it != subqueue->deferred.end();)
-        it = eligible_again(*it->second) ? undefer(*subqueue, it) : std::next(it);
-      set_state(*subqueue, State::eligible, kNever);
-    }
-  }
-  // No message of the subqueue passes before `recheck_at`, or news.
+  // No request of the subqueue is eligible before `recheck_at`, or until something happens at its
+  // destination.
   void block(Subqueue& subqueue, Microseconds recheck_at);
-  // The same, but any may pass as soon as a trial call is allowed.
+  // The same, but its requests become eligible as soon as a health check is allowed.
   void block_until_health_check(Subqueue& subqueue, Microseconds recheck_at);
-  // This message alone does not pass before `until`, or news; its subqueue stays as it is.
-  void defer(Entry& e, Microseconds until);
+  // This entry alone is not eligible before `until`; its subqueue stays as it is.
+  void defer(Entry& entry, Microseconds until);
+  // Makes eligible what was to be looked at again by `now`.
+  void unblock_due(Microseconds now);
+  // When unblock_due has something to do next; kNever where nothing is due by time alone.
+  Microseconds next_recheck() const;
+  // Makes all requests of the destination eligible, those that were deferred, too.
+  void unblock(DestinationId destination);
+  // Makes the destination's subqueues eligible, and those deferred entries for which `eligible_again(entry)`.
+  template <class Predicate>
+  void unblock_if(DestinationId destination, const Predicate& eligible_again);
 
   std::size_t size() const { return size_; }
   std::size_t subqueues() const { return subqueue_count_; }
 
-  // The most urgent message in open subqueues, of equal ones the lowest id; null where there is none. With
-  // `trials` also in subqueues that await one. `urgency(entry)` must be in keeping with the phases.
+  // In the following, `urgency(entry)` is a double that must keep to the order of the phases.
+
+  // The most urgent entry that is eligible, of equal ones the lowest id; null where there is none. With
+  // `health_check_allowed`, those that wait for a health check are eligible, too.
   template <class Urgency>
-  Entry* most_urgent(const Urgency& urgency, bool trials) const {
-    Entry* first = nullptr;
-    double most = 0;
-    for (const PhaseQueue& phase_queue : phase_queues_)
-      for (int state = 0; state <= int{trials}; state++)
-        if (!phase_queue.heads[state].empty())
-          better(*phase_queue.heads[state].begin()->entry, urgency, first, most);
-    return first;
-  }
-  // The same in the open subqueues of one destination alone, but for those in `but`.
+  Entry* most_urgent(const Urgency& urgency, bool health_check_allowed) const;
+  // The same in the eligible subqueues of one destination, but for those with a key in `excluded`.
   template <class Urgency>
   Entry* most_urgent_for(DestinationId destination, const Urgency& urgency,
-                         const std::vector<SubqueueKey>& but) const {
-    Entry* first = nullptr;
-    double most = 0;
-    const auto of = by_destination_.find(destination);
-    if (of == by_destination_.end()) return nullptr;
-    for (const auto& subqueue : of->second) {
-      if (subqueue->state != State::eligible || std::find(but.begin(), but.end(), subqueue->key) != but.end())
-        continue;
-      for (const PhaseEntries& entries : subqueue->by_phase)
-        better(*entries.keys.begin()->entry, urgency, first, most);
-    }
-    return first;
-  }
-  // The least urgent of all that are listed, that one first, of equal ones the highest id; `most` at most.
+                         const std::vector<SubqueueKey>& excluded) const;
+  // At most `count` of all that are added, the least urgent first, of equal ones the highest id.
   template <class Urgency>
-  std::vector<Entry*> least_urgent(std::size_t most, const Urgency& urgency) const {
-    std::vector<Entry*> found;
-    std::vector<std::pair<Keys::const_reverse_iterator, Keys::const_reverse_iterator>> ends;
-    for (const PhaseQueue& phase_queue : phase_queues_)
-      if (!phase_queue.all.empty()) ends.emplace_back(phase_queue.all.rbegin(), phase_queue.all.rend());
-    while (found.size() < most && !ends.empty()) {
-      std::size_t last = 0;
-      double lowest = urgency(*ends[0].first->entry);
-      for (std::size_t i = 1; i < ends.size(); i++) {
-        const Entry& e = *ends[i].first->entry;
-        const double u = urgency(e);
-        if (u < lowest || (u == lowest && e.id > ends[last].first->id)) last = i, lowest = u;
-      }
-      found.push_back(ends[last].first->entry);
-      if (++ends[last].first == ends[last].second)
-        ends.erase(ends.begin() + static_cast<std::ptrdiff_t>(last));
-    }
-    return found;
-  }
+  std::vector<Entry*> least_urgent(std::size_t count, const Urgency& urgency) const;
 
  private:
+  // An entry's place in its phase queue.
   struct Key {
     Microseconds rank = 0;
     MessageId id = 0;
     Entry* entry = nullptr;
-    bool operator<(const Key& o) const { return rank != o.rank ? rank < o.rank : id < o.id; }
+    bool operator<(const Key& other) const { return rank != other.rank ? rank < other.rank : id < other.id; }
   };
   using Keys = std::set<Key>;
-  struct PhaseQueue {  // a phase of a group
+
+  enum class Eligibility { eligible, awaiting_health_check, blocked };
+
+  // All entries of one order group that are in one phase.
+  struct PhaseQueue {
     OrderPhase phase;
-    Microseconds until = kNever;  // past the aim, when the next phase begins
-    Keys all, heads[2];           // of the subqueues that are open, and that await a trial: their first ones
+    Microseconds until = kNever;  // past the latency objective, when the next phase begins
+    Keys all;
+    // The first entry of each subqueue that is in that state.
+    Keys eligible_heads;
+    Keys awaiting_heads;
   };
-  using Deferred = std::set<std::pair<Microseconds, Entry*>>;
-  struct PhaseEntries {  // of a subqueue, what is in one phase_queue
-    std::size_t phase_queue = 0;
-    Keys keys;
+
+  // An entry or a subqueue, by the moment at which it is looked at again.
+  template <class Item>
+  struct Timed {
+    Microseconds at = 0;
+    Item* item = nullptr;
+    auto operator<=>(const Timed&) const = default;
   };
-  enum class State { eligible = 0, awaiting_health_check = 1, blocked = 2 };
+  using Deferred = std::set<Timed<Entry>>;
 
- public:
-  struct Subqueue {
-    SubqueueKey key;
+  // Keeps the more urgent of `best` and `candidate`.
+  template <class Urgency>
+  class MostUrgent {
+   public:
+    explicit MostUrgent(const Urgency& urgency) : urgency_(urgency) {}
+    void consider(Entry& candidate);
+    Entry* entry() const { return entry_; }
 
    private:
-    friend class SendQueue;
-    State state = State::eligible;
-    Microseconds recheck_at = kNever;
-    std::vector<PhaseEntries> by_phase;  // empty ones are dropped
-    Deferred deferred;
+    const Urgency& urgency_;
+    Entry* entry_ = nullptr;
+    double most_ = 0;
   };
 
- private:
-  template <class Urgency>
-  static void better(Entry& e, const Urgency& urgency, Entry*& first, double& most) {
-    const double u = urgency(e);
-    if (first == nullptr || u > most || (u == most && e.id < first->id)) first = &e, most = u;
-  }
-  Key key_of(Entry& e) const;
-  Deferred::iterator undefer(Subqueue& subqueue, Deferred::iterator it);
-  void enter_phase(Entry& e, Microseconds at);
-  void insert(Subqueue& subqueue, Entry& e);
-  void erase(Subqueue& subqueue, Entry& e);
-  void show_heads(Subqueue& subqueue, bool shown);
-  void set_state(Subqueue& subqueue, State state, Microseconds recheck_at);
+  Key key_of(Entry& entry) const;
+  Keys* heads_of(const Subqueue& subqueue, std::size_t phase);
+  Deferred::iterator restore(Subqueue& subqueue, Deferred::iterator deferred);
+  void enter_phase(Entry& entry, Microseconds at);
+  void insert(Subqueue& subqueue, Entry& entry);
+  void erase(Subqueue& subqueue, Entry& entry);
+  void erase_heads(const Subqueue& subqueue);
+  void insert_heads(const Subqueue& subqueue);
+  void set_eligibility(Subqueue& subqueue, Eligibility eligibility, Microseconds recheck_at);
   void set_recheck(Subqueue& subqueue, Microseconds at);
+  void drop_if_empty(Subqueue& subqueue);
 
   std::vector<PhaseQueue> phase_queues_;
-  std::vector<std::size_t> first_phase_;  // by group
+  std::vector<std::size_t> first_phase_;  // by order group, the index of its first phase queue
   std::unordered_map<DestinationId, std::vector<std::unique_ptr<Subqueue>>> by_destination_;
-  std::set<std::pair<Microseconds, Subqueue*>> rechecks_;
-  std::set<std::pair<Microseconds, Entry*>> phase_changes_;
-  std::size_t size_ = 0, subqueue_count_ = 0;
+  std::set<Timed<Subqueue>> rechecks_;
+  std::set<Timed<Entry>> phase_changes_;
+  std::size_t size_ = 0;
+  std::size_t subqueue_count_ = 0;
 };
 
+class SendQueue::Subqueue {
+ public:
+  explicit Subqueue(const SubqueueKey& key) : key_(key) {}
+  const SubqueueKey& key() const { return key_; }
+
+ private:
+  friend class SendQueue;
+  struct PhaseEntries {
+    std::size_t phase = 0;
+    Keys keys;
+  };
+
+  SubqueueKey key_;
+  Eligibility eligibility_ = Eligibility::eligible;
+  Microseconds recheck_at_ = kNever;
+  std::vector<PhaseEntries> phases_;  // those without entries are dropped
+  Deferred deferred_;
+};
+
+template <class Predicate>
+void SendQueue::unblock_if(DestinationId destination, const Predicate& eligible_again) {
+  const auto found = by_destination_.find(destination);
+  if (found == by_destination_.end()) return;
+  for (const auto& subqueue : found->second) {
+    auto deferred = subqueue->deferred_.begin();
+    while (deferred != subqueue->deferred_.end()) {
+      deferred = eligible_again(*deferred->item) ? restore(*subqueue, deferred) : std::next(deferred);
+    }
+    set_eligibility(*subqueue, Eligibility::eligible, kNever);
+  }
+}
+
+template <class Urgency>
+void SendQueue::MostUrgent<Urgency>::consider(Entry& candidate) {
+  const double urgency = urgency_(candidate);
+  const bool better = entry_ == nullptr || urgency > most_ || (urgency == most_ && candidate.id < entry_->id);
+  if (!better) return;
+  entry_ = &candidate;
+  most_ = urgency;
+}
+
+template <class Urgency>
+SendQueue::Entry* SendQueue::most_urgent(const Urgency& urgency, bool health_check_allowed) const {
+  MostUrgent<Urgency> best(urgency);
+  for (const PhaseQueue& queue : phase_queues_) {
+    if (!queue.eligible_heads.empty()) best.consider(*queue.eligible_heads.begin()->entry);
+    if (health_check_allowed && !queue.awaiting_heads.empty())
+      best.consider(*queue.awaiting_heads.begin()->entry);
+  }
+  return best.entry();
+}
+
+template <class Urgency>
+SendQueue::Entry* SendQueue::most_urgent_for(DestinationId destination, const Urgency& urgency,
+                                             const std::vector<SubqueueKey>& excluded) const {
+  MostUrgent<Urgency> best(urgency);
+  const auto found = by_destination_.find(destination);
+  if (found == by_destination_.end()) return nullptr;
+  for (const auto& subqueue : found->second) {
+    if (subqueue->eligibility_ != Eligibility::eligible) continue;
+    if (std::find(excluded.begin(), excluded.end(), subqueue->key_) != excluded.end()) continue;
+    for (const auto& phase : subqueue->phases_) best.consider(*phase.keys.begin()->entry);
+  }
+  return best.entry();
+}
+
+template <class Urgency>
+std::vector<SendQueue::Entry*> SendQueue::least_urgent(std::size_t count, const Urgency& urgency) const {
+  struct Tail {  // of one phase queue, what was not taken yet
+    Keys::const_reverse_iterator next;
+    Keys::const_reverse_iterator end;
+  };
+  std::vector<Tail> tails;
+  for (const PhaseQueue& queue : phase_queues_)
+    if (!queue.all.empty()) tails.push_back({queue.all.rbegin(), queue.all.rend()});
+  std::vector<Entry*> found;
+  while (found.size() < count && !tails.empty()) {
+    auto last = tails.begin();
+    double lowest = urgency(*last->next->entry);
+    for (auto tail = std::next(tails.begin()); tail != tails.end(); ++tail) {
+      const Entry& entry = *tail->next->entry;
+      const double candidate = urgency(entry);
+      if (candidate > lowest || (candidate == lowest && entry.id <= last->next->id)) continue;
+      last = tail;
+      lowest = candidate;
+    }
+    found.push_back(last->next->entry);
+    if (++last->next == last->end) tails.erase(last);
+  }
+  return found;
+}
+
 }  // namespace heronvane::dispatch
