--- a/src/dispatcher.cpp
+++ b/src/dispatcher.cpp
@@ -20,10 +20,12 @@
 #include <unordered_map>
 
 #include "decision_pass.hpp"
+#include "fleet_size.hpp"
 #include "load_shedding.hpp"
 #include "priority.hpp"
 #include "rates.hpp"
 #include "request.hpp"
+#include "restored_value.hpp"
 #include "retry_policy.hpp"
 #include "send_queue.hpp"
 #include "state.hpp"
@@ -33,36 +35,14 @@
 namespace {
 
 // ---- Constants. Times in seconds, unless derived from settings where they are used. ----
-// LIMD. The source's example figures are 2, 4, 1 with factor 0.2; their ratios are kept, the unit is
-// a share of the shortest aim, because its seconds are long against our deadlines.
-constexpr double kUnitOfAim = 0.1;
-constexpr double kInitial = 2, kIncrement = 4, kLeast = 1, kMost = 20;  // in units
-constexpr double kFactor = 0.2;
-constexpr double kAgingHalfLife = 20;  // units: an unused D halves in this time
-// Pace.
-constexpr double kPaceCut = 0.85;                       // on a further refusal
-constexpr double kCutGap = 0.3;                         // refusals closer than this are one event
-constexpr double kAgainFirst = 0.25, kAgainGain = 0.1;  // share served after a refusal: assumed; weight
-constexpr double kPaceRaise = 0.15;                     // growth a second while calls are served
-constexpr double kPaceStep = 0.25;                      // and calls in a shortest aim, a second, on top
-constexpr double kPaceRoom = 1.25;  // a cut starts from no more than this times the served rate
-constexpr double kFewServes = 2;    // recent serves under which a relay's own pace says little
-constexpr double kLeastThrough = 0.02, kThroughCut = 0.5;  // share let through: at least, and after a refusal
-constexpr double kTellGap = 0.03;  // seconds between notes of all relays together: they cost by the receiver
-constexpr int kFewRelays = 8;      // up to which the signs that each relay needs by itself are not too many
-constexpr double kBurst = 0.3;     // seconds of pace that may be saved up
 // Health.
-constexpr int kCloseRun = 3;             // bad signs without a serve that close an endpoint
-constexpr int kShutRun = 4;              // refusals without a serve that mean shut, not limited,
-constexpr double kShutSpan = 1.5;        // when they span this time
-constexpr double kMostFail = 0.5;        // share of failing calls that closes an endpoint
-constexpr double kFailMemory = 0.15;     // weight of the newest call in that share
-constexpr double kOverdueTimes = 4;      // a call out this many usual latencies, plus
-constexpr double kOverdueMore = 0.3;     // this, is a bad sign
-constexpr double kRampShare = 0.9;       // part of the push-over budget used; two thirds where own rates are
-constexpr double kRampShareMany = 0.67;  // guesses, of many relays: so much alone breaks the rule
-constexpr double kLeastCalls = 3;        // calls a second of all relays that an endpoint is taken to get
-constexpr double kEvidence = 3;          // seconds of own calls that must fail to close, kCloseRun at most
+constexpr int kCloseRun = 3;          // bad signs without a serve that close an endpoint
+constexpr double kMostFail = 0.5;     // share of failing calls that closes an endpoint
+constexpr double kFailMemory = 0.15;  // weight of the newest call in that share
+constexpr double kOverdueTimes = 4;   // a call out this many usual latencies, plus
+constexpr double kOverdueMore = 0.3;  // this, is a bad sign
+constexpr double kLeastCalls = 3;     // calls a second of all relays that an endpoint is taken to get
+constexpr double kEvidence = 3;       // seconds of own calls that must fail to close, kCloseRun at most
 // Stray failures: resets and errors at endpoints that serve on.
 constexpr double kStrayGain = 0.02;     // weight of the newest call in their share
 constexpr double kStrayLeast = 0.05;    // share from which on they are reckoned with
@@ -90,9 +70,6 @@
 // What outlasts the process.
 constexpr double kGiveGap = 1;      // seconds between changes given of one endpoint, unless they are urgent
 constexpr double kGiveShare = 0.2;  // change of a delay, a pace or a share that is worth giving
-constexpr double kMootPace = 100;   // calls a second and slot that are never made: bounds nothing
-
-const std::string kNoteRefused = "1r";  // a note between relays: its version, its kind, then the endpoint
 
 Microseconds micros(double s) { return microseconds(s); }
 
@@ -131,11 +108,12 @@
   std::unordered_map<std::uint64_t, Call> calls;
   std::size_t trials_out = 0;  // calls out to endpoints on trial
   std::uint64_t next_call = 1;
-  double unit = 0.1, shortest_aim = 1;
-  std::vector<double> after_refusal;  // by kind: share of calls served that come after a refusal there
-  double stray_share = 0;             // of calls that fail at endpoints which serve on
-  double slowness = 1;                // recent latencies of all serves, in usual ones
-  Microseconds tell_at = 0, timer_at = kNever, ask_at = kNever;
+  double shortest_aim;
+  BackoffScale backoff_scale;
+  SharedLimits shared_limits;
+  double stray_share = 0;  // of calls that fail at endpoints which serve on
+  double slowness = 1;     // recent latencies of all serves, in usual ones
+  Microseconds timer_at = kNever, ask_at = kNever;
   double ask_gap = kAskAgain;
   std::vector<EndpointState*> begun, warmed;  // in this round: with calls for many; no more on trial
   std::set<EndpointId> ended_at;              // endpoints at which a call ended in this round
@@ -149,114 +127,31 @@
         tenant_quota(set),
         retry_policy(set, priority.shortest_objective_s()),
         load_shedding(set),
-        send_queue(priority.phases_by_group()) {
-    shortest_aim = priority.shortest_objective_s();
-    unit = kUnitOfAim * shortest_aim;
-    after_refusal.assign(set.kinds.size() + 1, kAgainFirst);
-  }
+        send_queue(priority.phases_by_group()),
+        shortest_aim(priority.shortest_objective_s()),
+        backoff_scale(shortest_aim),
+        shared_limits(s.kinds.size() + 1, shortest_aim) {}
 
   double uniform() { return random.uniform(); }
-  double ramp_share() const { return set.relays > kFewRelays ? kRampShareMany : kRampShare; }
   double jittered(double d) { return random.jittered(d); }
   void log(const std::string& text) { out->push_back(action::Log{text}); }
   void wake_by(Microseconds t) { pass->wake_up.no_later_than(t); }
 
   DestinationState& destination_of(DestinationId id) {
-    const auto [it, fresh] = destinations.try_emplace(id);
+    const auto [it, fresh] = destinations.try_emplace(id, backoff_scale);
     if (fresh) bare.insert(id);
     return it->second;
   }
   Target& target_of(EndpointState& e) { return e.apart ? e.own : destination_of(e.info.destination).target; }
 
-  // ---- The LIMD delay: fixed step up on failure, factor down on success, aged when unused. ----
-  double delay_now(const Target& t) const {
-    const double aged = t.delay * std::exp2(-seconds(now - t.delay_at) / (kAgingHalfLife * unit));
-    return aged < kLeast * unit / 2 ? 0 : aged;
-  }
-  void delay_up(Target& t) {
-    // Departure: failures told in one round are one event, else calls out together multiply D.
-    if (t.delay > 0 && t.delay_at == now) return;
-    const double d = delay_now(t);
-    t.delay = d == 0 ? kInitial * unit : std::min(d + kIncrement * unit, kMost * unit);
-    t.delay_at = now;
-  }
-  void delay_down(Target& t) {
-    const double d = delay_now(t);
-    t.delay = d == 0 ? 0 : std::max(d * kFactor, kLeast * unit);
-    t.delay_at = now;
-  }
-
-  // ---- The pace: unbounded, set at the first refusal, cut on further ones, raised while served. ----
-  // A relay that calls seldom has no served rate to go by: it may make one call a D, rarer with each refusal
-  // in a row, the more so where such calls were mostly refused again (refused calls use up some limits).
-  double least_pace(const Target& t) const {
-    return std::pow(after_refusal[t.kind], t.refusals) / std::max(delay_now(t), kInitial * unit);
-  }
-  void learn_refusal(const Target& t, double served) {
-    double& share = after_refusal[t.kind];
-    if (t.refusals > 0) share += kAgainGain * (served - share);
-  }
-  void pace_cut(Target& t) {
-    if (now - t.cut_at < micros(kCutGap)) return;
-    const double least = least_pace(t), recent = std::max(t.served.at(now), least);
-    if (t.pace == kUnbounded) t.tokens = 0;  // what was saved up since the last call is lost with a cut
-    t.pace = t.pace == kUnbounded ? recent : std::max(std::min(t.pace, kPaceRoom * recent) * kPaceCut, least);
-    t.cut_at = t.raise_at = t.tokens_at = now;
-  }
-  // What all relays meet: a share of the attempts let through, cut and raised as the pace is, told to the
-  // others where notes are allowed. Guards against a limit that hundreds of relays overrun, each with a call
-  // a minute and no rate of its own to pace by. A note is a hint: it closes nothing; its effect grows back.
-  // May hold messages needlessly for a few seconds where a refusal was a passing clump's.
-  double admission_probability(const Target& t) const {
-    return std::min(1.0, t.admission_probability * std::exp(kPaceRaise * seconds(now - t.let_at)));
-  }
-  void cut_through(Target& t, const EndpointState& e, bool own) {
-    const double cut = std::clamp(2 * after_refusal[t.kind], kThroughCut, 1.0);
-    // Where most calls after a refusal are served, waiting D is enough.
-    if (cut >= 1 || now - t.let_at < micros(kCutGap)) return;
-    t.admission_probability = std::max(kLeastThrough, admission_probability(t) * cut);
-    t.let_at = now;
-    const bool tell = own && set.gossip && now >= tell_at && now - t.told_at >= micros(shortest_aim);
-    if (tell) out->push_back(action::SendGossip{-1, kNoteRefused + e.info.id});
-    if (tell) tell_at = now + micros(jittered(kTellGap * set.relays));
-    if (tell || !own) t.told_at = now;
-  }
-  // Refused twice and not served between. With few relays the run of refusals that closes comes soon enough;
-  // one of each of many is too much.
-  bool perhaps_shut(const Target& t) const { return t.refusals >= 2 && set.relays > kFewRelays; }
-  bool serves_us(const Target& t) const { return t.served.at(now) * kRateMemory >= kFewServes; }
-  // Whether this attempt is let through; else the target is held for a while.
-  bool let(Target& t) {
-    double share = admission_probability(t);
-    // No more than it stands when it returns cold.
-    if (perhaps_shut(t))
-      share = std::min(share, set.collapse_factor * ramp_share() * set.slow_start_min_share);
-    if (serves_us(t) || uniform() < share) return true;
-    t.hold_until = now + micros(jittered(kMost * unit));
-    return wake_by(t.hold_until), false;
-  }
   void on(const event::GossipReceived& ev) {
-    if (ev.body.rfind(kNoteRefused, 0) != 0) return;
-    const auto it = endpoints.find(ev.body.substr(kNoteRefused.size()));
+    const std::optional<EndpointId> rejecting = RejectionGossip::parse(ev.body);
+    if (!rejecting) return;
+    const auto it = endpoints.find(*rejecting);
     if (it == endpoints.end()) return;
-    cut_through(target_of(it->second), it->second, false);
+    target_of(it->second).limits.slow_down_by_gossip(now, shared_limits);
     give_later(it->second);
   }
-  void pace_raise(Target& t) {
-    const double dt = std::min(seconds(now - t.raise_at), std::max(1.0, 2 / t.pace));
-    if (t.pace != kUnbounded) save_tokens(t), t.pace += dt * (kPaceRaise * t.pace + kPaceStep / shortest_aim);
-    t.raise_at = now;
-  }
-  // Before the pace changes, or a token goes. Looking at pace and budget writes nothing: when a message may
-  // go does not hang on how often it was tried before.
-  void save_tokens(Target& t) {
-    t.tokens = std::min(t.tokens + t.pace * seconds(now - t.tokens_at), std::max(1.0, t.pace * kBurst));
-    t.tokens_at = now;
-  }
-  Microseconds pace_ready(const Target& t) const {
-    if (t.pace == kUnbounded || t.tokens >= 1) return t.tokens_at;
-    return t.tokens_at + micros((1 - t.tokens) / t.pace) + 1;
-  }
 
   // ---- Health: one ladder for every symptom. ----
   int overdue(const EndpointState& e) const {
@@ -287,7 +182,7 @@
     count_trials(e);
   }
   Microseconds trial_gap(EndpointState& e) {
-    return micros(jittered(std::max(delay_now(target_of(e)), kInitial * unit)));
+    return micros(jittered(std::max(target_of(e).limits.backoff_delay(now), backoff_scale.initial())));
   }
   // Calls a second that an endpoint out or returning may get from this relay: its part, by its own first
   // tries, of what the endpoint stands for sure. No floor: with hundreds of relays that each see a call a
@@ -296,7 +191,8 @@
   Growth growth(const EndpointState& e) const {
     const double usual = std::max(e.baseline_rate, 1e-9);
     // Not served since: perhaps it returned only now, so no more than was asked of it before, backlog or not.
-    const double most = on_trial(e) ? usual : kUnbounded, full = usual * set.collapse_factor * ramp_share();
+    const double most = on_trial(e) ? usual : kUnbounded,
+                 full = usual * set.collapse_factor * collapse_margin(set);
     if (e.health != Health::slow_start) return Growth(full, most, set.slow_start_min_share, 0);
     const double rise = (1 - set.slow_start_min_share) / seconds(health_span());
     return Growth(full, most, std::min(1.0, set.slow_start_min_share + rise * seconds(e.budget_at - e.since)),
@@ -331,15 +227,13 @@
     Target& t = target_of(e);
     save_budget(e);
     e.served_at = now, e.served_sent = std::max(e.served_sent, sent);
-    t.served.add(now), e.served.add(now);
-    learn_refusal(t, 1);
-    t.refusals = 0;
+    t.limits.record_served(now, shared_limits);
+    e.served.add(now);
     e.latency += kLatencyGain * (seconds(latency) - e.latency);
     if (e.usual == 0) e.usual = seconds(latency);
     slowness += kSlownessGain * (std::min(seconds(latency) / std::max(e.usual, 1e-3), kMostSlow) - slowness);
     e.usual += kUsualGain * (seconds(latency) - e.usual);
     e.failure_rate *= 1 - kFailMemory;
-    delay_down(t), pace_raise(t);
     if (e.health == Health::ejected) {
       // Closed on overdue calls alone and they came after all: slow, not out, so nothing is cold.
       e.health = e.consecutive_failures == 0 && e.failure_rate < kMostFail / 2 ? Health::healthy
@@ -357,13 +251,11 @@
   void call_refused(EndpointState& e) {
     Target& t = target_of(e);
     save_budget(e);
-    delay_up(t);
-    learn_refusal(t, 0);
-    if (t.refusals++ == 0) t.refused_from = now;
-    if (e.health != Health::ejected) pace_cut(t), cut_through(t, e, true);
+    t.limits.record_rejected(now, shared_limits);
+    if (e.health != Health::ejected) t.limits.slow_down(*pass, e.info.id, shared_limits);
     e.doubt_run = false;
     // Shut, not limited: nothing was served between the refusals.
-    const bool shut = t.refusals >= kShutRun && now - t.refused_from >= micros(kShutSpan);
+    const bool shut = t.limits.is_outage(now);
     if (!shut && e.health == Health::healthy) return;
     e.consecutive_failures = std::max(e.consecutive_failures, 1);
     if (e.apart) return shut || e.health == Health::ejected ? close(e, "refuses all") : void();
@@ -382,7 +274,7 @@
     return std::min(kStrayMost, static_cast<int>(std::ceil(std::log(kStrayChance) / std::log(stray_share))));
   }
   void call_failed(EndpointState& e, const event::AttemptEnded& ev, int taken) {
-    delay_up(target_of(e));
+    target_of(e).limits.record_failed(now);
     save_budget(e);
     if (ev.outcome == Outcome::connect_failed && e.consecutive_failures == 0 && !e.calls.empty() &&
         overdue(e) == 0 && e.health == Health::healthy) {
@@ -448,26 +340,13 @@
   // Called after each outcome: nearly always there is nothing to give, or it is due already.
   void give_later(EndpointState& e) {
     const Target& t = target_of(e);
-    const bool known =
-        t.delay > 0 || kept_pace(t) > 0 || t.admission_probability < 1 || e.health != Health::healthy;
+    const bool known = t.limits.has_learned(set) || e.health != Health::healthy;
     if (known || t.given_known) give_by(e, std::max(now, t.looked_at + micros(kGiveGap)));
   }
-  double kept_pace(const Target& t) const {
-    return t.pace < kMootPace * set.max_concurrent_calls ? t.pace : 0;
-  }
-  // A retry waits the least D in any case, and a busy target never gets under it.
-  double kept_delay(double d) const { return d > 1.001 * kLeast * unit ? d : 0; }
-  double aged_delay(double d, Microseconds age) const {
-    return kept_delay(d * std::exp2(-seconds(age) / (kAgingHalfLife * unit)));
-  }
   LearnedState memory_of(const EndpointState& e, const Target& t) const {
     LearnedState m;
     m.endpoint = e.info.id, m.destination = e.info.destination;
-    m.retry_after_left = std::max<Microseconds>(0, t.wait_until - now);
-    m.backoff_delay = kept_delay(delay_now(t)), m.send_rate = kept_pace(t),
-    m.admission_probability = admission_probability(t);
-    m.consecutive_rejections = t.refusals;
-    if (t.refusals > 0) m.first_rejection_age = now - t.refused_from;
+    t.limits.save(now, set, m);
     // A ramp that is over is noticed with the next message only.
     if (e.health == Health::healthy || (e.health == Health::slow_start && now >= e.since + health_span()))
       return m;
@@ -478,28 +357,25 @@
     return m;
   }
   // When `m` may be given: now, later, or never where it tells nothing new.
-  Microseconds give_at(const EndpointState& e, const LearnedState& m) const {
+  Microseconds give_at(const EndpointState& e, const Target& t, const LearnedState& m) const {
     const Given& g = e.given;
     if (m.health != g.health || (m.retry_after_left > 0 && now + m.retry_after_left > g.wait_until))
       return now;
     const auto differs = [](double a, double b) { return std::abs(a - b) > kGiveShare * std::max(a, b); };
-    const double let_then =
-        std::min(1.0, g.admission_probability * std::exp(kPaceRaise * seconds(now - g.at)));
-    const bool changed = m.blank() || !g.known
-                             ? m.blank() == g.known
-                             : (m.health != Health::healthy && e.since != g.since) ||
-                                   m.consecutive_rejections != g.refusals ||
-                                   differs(m.backoff_delay, aged_delay(g.delay, now - g.at)) ||
-                                   differs(m.send_rate, g.pace) || differs(m.admission_probability, let_then);
+    const double let_then = Admission::recovered(g.admission_probability, now - g.at);
+    const bool changed =
+        m.blank() || !g.known
+            ? m.blank() == g.known
+            : (m.health != Health::healthy && e.since != g.since) || m.consecutive_rejections != g.refusals ||
+                  differs(m.backoff_delay, t.limits.stored_delay_after(g.delay, now - g.at)) ||
+                  differs(m.send_rate, g.pace) || differs(m.admission_probability, let_then);
     return changed ? std::max(now, g.at + micros(kGiveGap)) : kNever;
   }
   // When what was given of the endpoint is over with time alone; kNever where it takes more than that.
   Microseconds over_at(const EndpointState& e, const Target& t) const {
-    if (!e.given.known || e.health == Health::ejected || kept_pace(t) > 0) return kNever;
-    Microseconds at = std::max(t.wait_until, now);
-    if (const double d = kept_delay(delay_now(t)); d > 0)
-      at = std::max(at, now + micros(std::log2(d / (kLeast * unit)) * kAgingHalfLife * unit));
-    at = std::max(at, now + micros(-std::log(admission_probability(t)) / kPaceRaise));
+    if (!e.given.known || e.health == Health::ejected) return kNever;
+    Microseconds at = t.limits.blank_at(now, set);
+    if (at == kNever) return kNever;
     if (e.health == Health::slow_start) at = std::max(at, e.since + health_span());
     return at + 1'000;  // rounded up
   }
@@ -529,7 +405,7 @@
     for (EndpointState* e : of) {
       if (&target_of(*e) != &t) continue;  // moved
       LearnedState m = memory_of(*e, t);
-      Microseconds next = give_at(*e, m);
+      Microseconds next = give_at(*e, t, m);
       if (next <= now && given.size() < most) {
         e->given = Given{!m.blank(),
                          now,
@@ -554,12 +430,11 @@
       for (const EndpointState* e : d.endpoints) {
         if (e->info.listing == Listing::gone || e->info.destination != id) continue;
         const Target& t = e->apart ? e->own : d.target;
-        const bool blank = e->health == Health::healthy && t.wait_until <= at && t.delay == 0 &&
-                           t.pace == kUnbounded && t.admission_probability >= 1;
+        const bool blank = e->health == Health::healthy && t.limits.is_blank(at);
         if (known.size() >= (blank ? most : 4 * most)) continue;
         LearnedState& m = known.emplace_back(memory_of(*e, t));
         // As of the last round, but for what runs off by itself.
-        m.retry_after_left = std::max<Microseconds>(0, t.wait_until - std::max(at, now));
+        m.retry_after_left = std::max<Microseconds>(0, t.limits.retry_after_until() - std::max(at, now));
       }
   }
   void on(const event::LearnedStateRestored& ev) {
@@ -574,27 +449,7 @@
     const Microseconds age = within(Microseconds{0}, ev.age, kNever / 4), written = now - age;
     const Microseconds time_in_health = within(Microseconds{0}, m.time_in_health, kNever / 4);
     Target& t = target_of(e);
-    if (e.apart || m.destination == e.info.destination) {
-      t.wait_until =
-          std::max(t.wait_until, written + within(Microseconds{0}, m.retry_after_left, kNever / 4));
-      if (!t.heard && written >= t.recalled) {
-        if (t.let_at <= t.recalled) {  // else told by a peer since
-          const double let = within(kLeastThrough, m.admission_probability, 1.0);
-          t.admission_probability = written > t.recalled ? let : std::min(t.admission_probability, let),
-          t.let_at = written;
-        }
-        // Of one age: the more careful of both.
-        if (written > t.recalled) t.delay = 0, t.pace = kUnbounded, t.refusals = 0, t.refused_from = now;
-        t.recalled = t.delay_at = written;
-        t.delay = std::max(t.delay, within(0.0, m.backoff_delay, kMost * unit));
-        if (m.send_rate > 0) t.pace = std::min(t.pace, m.send_rate);
-        t.refusals = std::max(t.refusals, within(0, m.consecutive_rejections, 1'000));
-        if (t.refusals > 0)
-          t.refused_from =
-              std::min(t.refused_from, written - within(Microseconds{0}, m.first_rejection_age, kNever / 4));
-        t.tokens = 0, t.tokens_at = t.raise_at = now;
-      }
-    }
+    if (e.apart || m.destination == e.info.destination) t.limits.restore(now, written, m);
     const bool known = m.health == Health::ejected || m.health == Health::slow_start;
     if (known && !e.heard && e.health == Health::healthy && e.consecutive_failures == 0) {
       e.health = m.health;
@@ -623,7 +478,7 @@
   // ---- The list. ----
   void take(const Endpoint& info) {
     list_changed = true;
-    auto [it, fresh] = endpoints.try_emplace(info.id);
+    auto [it, fresh] = endpoints.try_emplace(info.id, backoff_scale);
     EndpointState& e = it->second;
     const DestinationId from = fresh ? info.destination : e.info.destination;
     e.info = info;
@@ -631,7 +486,8 @@
     send_queue.unblock(info.destination);
     const auto place = std::min(static_cast<std::size_t>(std::max(info.kind, 0)), set.kinds.size());
     const KindSettings kind = place < set.kinds.size() ? set.kinds[place] : KindSettings{};
-    e.own.kind = destination_of(info.destination).target.kind = place;
+    e.own.limits.set_kind(place);
+    destination_of(info.destination).target.limits.set_kind(place);
     e.apart = kind.per_endpoint_limits, e.max_batch_size = kind.max_batch_size;
     if (fresh) e.bundle = e.max_batch_size, e.use_gap = set.relays, e.asked.start(now);
     auto& siblings = destinations.at(info.destination).endpoints;
@@ -722,22 +578,20 @@
   // drawn evenly from what it has left: the shares of hundreds of relays that came back together are far
   // below one call each in its time, while what they have to try is bounded by what they held.
   bool try_comes(Request& m, const Target& t, Gate& gate) {
-    const double share = admission_probability(t);
-    if (share >= 1 || serves_us(t)) return true;
+    if (t.limits.admission().probability(now) >= 1 || t.limits.serves_this_relay(now)) return true;
     if (m.first_attempt_at == kNever)
       m.first_attempt_at =
           now + micros(kTryWithin * uniform() * seconds(retry_policy.latest_attempt(m) - now));
     if (now >= m.first_attempt_at) return true;
     gate.own = true;
-    gate.when = std::min({gate.when, m.first_attempt_at,
-                          t.let_at + micros(-std::log(t.admission_probability) / kPaceRaise) + 1});
+    gate.when = std::min({gate.when, m.first_attempt_at, t.limits.admission().full_at()});
     return false;
   }
   void finish(Request& m, bool again) {
     if (m.completed) return;
     end(m);
     if (again && RetryPolicy::may_be_rejected(m))
-      out->push_back(action::Reject{m.id, micros(unit * kInitial)});
+      out->push_back(action::Reject{m.id, micros(backoff_scale.initial())});
     else
       out->push_back(action::Fail{m.id});
   }
@@ -775,7 +629,7 @@
     for (auto it = gone.begin(); it != gone.end();) {
       EndpointState& e = endpoints.at(*it);
       const bool known = e.health != Health::healthy && now < e.since + health_span();
-      if (!e.calls.empty() || known || e.own.wait_until > now) {
+      if (!e.calls.empty() || known || e.own.limits.retry_after_until() > now) {
         ++it;
         continue;
       }
@@ -789,7 +643,7 @@
     for (auto it = bare.begin(); it != bare.end();) {
       const auto d = destinations.find(*it);
       const bool done = d != destinations.end() && d->second.endpoints.empty();
-      if (done && d->second.target.wait_until > now) {
+      if (done && d->second.target.limits.retry_after_until() > now) {
         ++it;
         continue;
       }
@@ -818,8 +672,10 @@
     Call& call = call_it->second;
     EndpointState& e = *call.endpoint;
     const Microseconds sent = call.sent;
-    Microseconds& wait_until = target_of(e).wait_until;
-    if (ev.retry_after > 0) wait_until = std::max(wait_until, now + ev.retry_after), give_by(e, now);
+    if (ev.retry_after > 0) {
+      target_of(e).limits.extend_retry_after(now + ev.retry_after);
+      give_by(e, now);
+    }
     m.in_flight.erase(attempt);
     touch(m, ev.id);
     const bool last = --call.left == 0;
@@ -828,7 +684,8 @@
     const bool overtaken = ev.outcome == Outcome::cancelled && sent < e.served_at;
     if (!call.judged && ev.outcome != Outcome::not_sent && !overtaken) {
       call.judged = true;
-      e.heard = target_of(e).heard = true;
+      e.heard = true;
+      target_of(e).limits.note_attempt_ended();
       if (ev.outcome == Outcome::served)
         call_served(e, sent, ev.latency);
       else if (ev.outcome == Outcome::rejected)
@@ -854,7 +711,7 @@
     if (ev.request_completed || ev.outcome == Outcome::served) end(m);
     if (!m.completed && m.in_flight.empty()) {
       // A retry waits the jittered D; one that would come too late, or may not be made, ends here.
-      const double d = std::max(delay_now(target_of(e)), kLeast * unit);
+      const double d = std::max(target_of(e).limits.backoff_delay(now), backoff_scale.least());
       m.ready_at = now + micros(jittered(d));
       if (!retry_policy.may_attempt(m, m.ready_at)) finish(m, false);
     }
@@ -869,12 +726,13 @@
     if (e.info.listing != Listing::active) return false;
     if (const auto zone = RetryPolicy::required_zone(m); zone && e.info.zone != *zone) return false;
     Target& t = target_of(e);
-    const bool own_try = m.unattempted && !perhaps_shut(t);  // else by the share that is let through
-    const Microseconds held = own_try ? t.wait_until : std::max(t.wait_until, t.hold_until);
+    const bool own_try =
+        m.unattempted && !t.limits.is_presumed_unavailable(set);  // else by the share let through
+    const Microseconds held = own_try ? t.limits.retry_after_until() : t.limits.held_until();
     if (held > now) return when = std::min(when, held), false;
     if (room_in_call(e)) return true;
     if (calls.size() >= static_cast<std::size_t>(set.max_concurrent_calls)) return false;
-    const Microseconds ready = std::max(budget_ready(e), pace_ready(t));
+    const Microseconds ready = std::max(budget_ready(e), t.limits.send_rate_ready_at());
     // Its health changes with time, whatever else keeps messages from it.
     if (e.health != Health::healthy) when = std::min(when, e.since + health_span());
     if (ready > now) return when = std::min(when, ready), false;
@@ -937,8 +795,9 @@
     }
     if (best == nullptr) return false;
     Target& t = target_of(*best);
-    const bool by_share = best->health == Health::healthy && !(m.unattempted && !perhaps_shut(t));
-    gate.chance = !room_in_call(*best) && by_share && !let(t);
+    const bool by_share =
+        best->health == Health::healthy && !(m.unattempted && !t.limits.is_presumed_unavailable(set));
+    gate.chance = !room_in_call(*best) && by_share && !t.limits.admit(*pass);
     // Another route may take it in the next round.
     if (gate.chance && destination->second.endpoints.size() > 1) wake_by(now);
     if (gate.chance) return false;
@@ -956,7 +815,7 @@
       if (e.health == Health::healthy && m.attempts_made == 0) e.asked.add(now);
       e.use_gap += kGapGain * (std::min(seconds(now - e.used_at), kMostGap) - e.use_gap);
       e.used_at = now;
-      if (t.pace != kUnbounded) save_tokens(t), t.tokens -= 1;
+      t.limits.consume(now);
       if (e.health != Health::healthy) save_budget(e), e.budget -= 1;
       if (e.health == Health::ejected) e.next_trial = now + trial_gap(e);
       if (overdue(e) > 0) drop_idle(e);
--- a/src/rates.hpp
+++ b/src/rates.hpp
@@ -4,14 +4,13 @@
 
 #include <algorithm>
 #include <cmath>
-#include <limits>
 
 #include "heronvane/dispatch/dispatcher.hpp"
 #include "time_units.hpp"
 
 namespace heronvane::dispatch {
 
-constexpr double kUnbounded = std::numeric_limits<double>::infinity();
+constexpr double kRateMemory = 4;  // seconds: memory of served-rate estimates
 
 // Calls a second, forgetting old ones with a memory of so many seconds.
 class Rate {
--- a/src/state.hpp
+++ b/src/state.hpp
@@ -11,6 +11,7 @@
 #include <vector>
 
 #include "heronvane/dispatch/dispatcher.hpp"
+#include "rate_limit_scope.hpp"
 #include "rates.hpp"
 #include "request.hpp"
 #include "send_queue.hpp"
@@ -18,26 +19,13 @@
 
 namespace heronvane::dispatch {
 
-constexpr double kRateMemory = 4;       // seconds: memory of served-rate estimates
 constexpr double kLongMemory = 30;      // and of what a relay asks of an endpoint, calls a minute
 constexpr double kFirstLatency = 0.25;  // seconds: assumed before the first answer
 
-struct Target {               // what shares one limit: a destination, or a route apart
-  double delay = 0;           // D, in seconds; 0: no failure remembered
-  Microseconds delay_at = 0;  // when D last changed (a round counts as one failure)
-  double pace = kUnbounded;   // calls a second of this relay
-  double tokens = 1;
-  Microseconds tokens_at = 0, cut_at = -kNever, raise_at = 0;
-  Microseconds wait_until = 0;  // told wait
-  Rate served{kRateMemory};
-  int refusals = 0;  // since the last serve
-  std::size_t kind = 0;
-  double admission_probability =
-      1;  // share of attempts let through after refusals that this relay or others met
-  Microseconds let_at = -kNever, told_at = -kNever, hold_until = 0;
-  Microseconds refused_from = 0;
-  bool heard = false;                // a call ended in this life
-  Microseconds recalled = -kNever;   // when the record that counts was written, in an earlier one
+struct Target {  // what shares one limit: a destination, or a route apart
+  explicit Target(const BackoffScale& scale) : limits(scale) {}
+
+  RateLimitScope limits;
   Microseconds due = kNever;         // when changes are to be given out; its place in `dirty`
   Microseconds looked_at = -kNever;  // and when they were last looked for
   bool given_known = false;          // what was given of one of them may be more than blank
@@ -66,6 +54,8 @@
 };
 
 struct EndpointState {
+  explicit EndpointState(const BackoffScale& scale) : own(scale) {}
+
   Endpoint info;
   Target own;  // used where routes are apart
   bool apart = false;
@@ -96,6 +86,8 @@
 };
 
 struct DestinationState {
+  explicit DestinationState(const BackoffScale& scale) : target(scale) {}
+
   Target target;  // used where endpoints share a limit
   std::vector<EndpointState*> endpoints;
 };
