--- a/src/dispatcher.cpp
+++ b/src/dispatcher.cpp
@@ -19,12 +19,16 @@
 #include <tuple>
 #include <unordered_map>
 
+#include "call_table.hpp"
 #include "decision_pass.hpp"
 #include "fleet_size.hpp"
 #include "load_shedding.hpp"
+#include "order_keys.hpp"
 #include "priority.hpp"
 #include "rates.hpp"
+#include "reevaluation_queue.hpp"
 #include "request.hpp"
+#include "request_table.hpp"
 #include "restored_value.hpp"
 #include "retry_policy.hpp"
 #include "send_queue.hpp"
@@ -90,24 +94,19 @@
   DecisionPass* pass = nullptr;  // set while handle() runs
   std::map<EndpointId, EndpointState> endpoints;
   std::map<DestinationId, DestinationState> destinations;
-  std::unordered_map<MessageId, Request> messages;
-  std::size_t live = 0;  // of them, those that are not over
+  RequestTable requests;
+  CallTable calls;
+  OrderKeys order_keys;
+  ReevaluationQueue reevaluation;
   Priority priority;
   TenantQuota tenant_quota;
   RetryPolicy retry_policy;
   LoadShedding load_shedding;
-  SendQueue send_queue;                                 // those that are ready to go
-  std::set<std::pair<Microseconds, MessageId>> agenda;  // when time alone changes something for a message
-  std::vector<MessageId> touched;
-  std::map<std::string, KeyLine> keys;
-  std::deque<std::pair<Microseconds, std::string>>
-      resting;  // keys after an attempt in doubt, soonest rested first
+  SendQueue send_queue;  // those that are ready to go
   bool list_changed = false;
   std::set<EndpointId> gone;     // from the list, and still kept
   std::set<DestinationId> bare;  // perhaps without endpoints
-  std::unordered_map<std::uint64_t, Call> calls;
-  std::size_t trials_out = 0;  // calls out to endpoints on trial
-  std::uint64_t next_call = 1;
+  std::size_t trials_out = 0;    // calls out to endpoints on trial
   double shortest_aim;
   BackoffScale backoff_scale;
   SharedLimits shared_limits;
@@ -123,6 +122,7 @@
   State(const Settings& s, std::uint64_t seed)
       : set(s),
         random(seed),
+        calls(s.max_concurrent_calls),
         priority(set),
         tenant_quota(set),
         retry_policy(set, priority.shortest_objective_s()),
@@ -540,12 +540,10 @@
     return priority.urgency({m.request_class, m.full_weight, m.objective_at}, answer);
   }
   void on(const event::RequestArrived& ev) {
-    const auto [it, fresh] = messages.try_emplace(ev.id);
-    Request& m = it->second;
-    live += fresh;
+    Request& m = requests.add(ev.id);
     send_queue.remove(m);
-    touch(m, ev.id);
-    m.id = ev.id, m.destination = ev.destination, m.order_key = ev.order_key;
+    reevaluation.add(m);
+    m.destination = ev.destination, m.order_key = ev.order_key;
     m.request_class = &set.classes[static_cast<std::size_t>(ev.message_class)];
     m.deadline = now + ev.time_left, m.ready_at = now, m.unattempted = false;
     m.objective_at = m.deadline - m.request_class->deadline + m.request_class->latency_objective;
@@ -553,20 +551,20 @@
     m.full_weight = m.request_class->priority_weight * share;
     m.group = Priority::order_group(ev.message_class, share != 1, false);
     if (!m.request_class->ordered) m.order_key.clear();
-    if (!m.order_key.empty()) keys[m.order_key].line.push_back(m.id);
+    if (!m.order_key.empty()) order_keys.join(m.order_key, m.id);
   }
   // Back from an earlier life. An attempt that may have run bars an unsafe message from all but failing; at
   // once, for no outcome of that life will come any more.
   void on(const event::RequestRecovered& ev) {
     on(ev.message);
-    Request& m = messages.at(ev.message.id);
+    Request& m = *requests.find(ev.message.id);
     m.attempts_made = ev.attempts;
     m.possible_execution.reset();
     if (ev.possibly_executed_zone)
       m.possible_execution = PossibleExecution{*ev.possibly_executed_zone, now - ev.possibly_executed_age};
     if (retry_policy.may_attempt(m, now)) return set_unattempted(m, !ev.tried);
     finish(m, false);
-    forget(messages.find(m.id));
+    forget(m);
   }
   // What an earlier life left untried is tried before what comes in now, once.
   static void set_unattempted(Request& m, bool unattempted) {
@@ -596,34 +594,24 @@
       out->push_back(action::Fail{m.id});
   }
   void end(Request& m) {
-    live -= !m.completed;
-    m.completed = true;
+    requests.complete(m);
     send_queue.remove(m);
-    touch(m, m.id);
+    reevaluation.add(m);
   }
-  // Forgets a message that is over and has nothing out, and lets the next of its key step up.
-  void forget(std::unordered_map<MessageId, Request>::iterator it) {
-    Request& m = it->second;
+  // Forgets a request that is completed and has nothing in flight; the next of its order key may go then.
+  void forget(Request& m) {
     if (!m.completed || !m.in_flight.empty()) return;
     if (!m.order_key.empty()) {
-      auto& line = keys[m.order_key].line;
-      line.erase(std::find(line.begin(), line.end(), m.id));
-      if (!line.empty()) touch(messages.at(line.front()), line.front());
-      drop_key(m.order_key);
+      if (const auto next = order_keys.leave(m.order_key, m.id, now)) reevaluation.add(*requests.find(*next));
     }
-    if (m.reevaluate_at < kNever) agenda.erase({m.reevaluate_at, m.id});
-    messages.erase(it);
-  }
-  void drop_key(const std::string& key) {
-    const auto it = keys.find(key);
-    if (it != keys.end() && it->second.line.empty() && now >= it->second.rest_until) keys.erase(it);
+    reevaluation.remove(m);
+    requests.erase(m.id);
   }
   // Nothing is kept for ever: keys go when they are empty and rested; endpoints that left the list, when
   // their calls are over and what is known of an outage there has aged out; destinations with their last
   // endpoint.
   void sweep() {
-    for (; !resting.empty() && resting.front().first <= now; resting.pop_front())
-      drop_key(resting.front().second);
+    order_keys.forget_quiet(now);
     if (!list_changed) return;
     list_changed = false;
     for (auto it = gone.begin(); it != gone.end();) {
@@ -652,10 +640,10 @@
     }
   }
   void on(const event::RequestWithdrawn& ev) {
-    auto it = messages.find(ev.id);
-    if (it == messages.end()) return;
-    end(it->second);
-    forget(it);
+    Request* const m = requests.find(ev.id);
+    if (m == nullptr) return;
+    end(*m);
+    forget(*m);
   }
   void on(const event::TimerExpired&) {
     if (now >= timer_at) timer_at = kNever;
@@ -663,23 +651,23 @@
   void on(const event::HealthCheckEnded&) {}
 
   void on(const event::AttemptEnded& ev) {
-    auto it = messages.find(ev.id);
-    if (it == messages.end()) return;
-    Request& m = it->second;
+    Request* const found = requests.find(ev.id);
+    if (found == nullptr) return;
+    Request& m = *found;
     auto attempt = m.in_flight.find(ev.attempt);
     if (attempt == m.in_flight.end()) return;
-    auto call_it = calls.find(attempt->second);
-    Call& call = call_it->second;
+    const CallId call_id = attempt->second;
+    Call& call = *calls.find(call_id);
     EndpointState& e = *call.endpoint;
-    const Microseconds sent = call.sent;
+    const Microseconds sent = call.sent_at;
     if (ev.retry_after > 0) {
       target_of(e).limits.extend_retry_after(now + ev.retry_after);
       give_by(e, now);
     }
     m.in_flight.erase(attempt);
-    touch(m, ev.id);
-    const bool last = --call.left == 0;
-    if (last) std::erase_if(e.calls, [&](const OutCall& c) { return c.id == call_it->first; });
+    reevaluation.add(m);
+    const bool last = --call.without_outcome == 0;
+    if (last) std::erase_if(e.calls, [&](const OutCall& c) { return c.id == call_id; });
     // A call that we gave up in silence is a failure; one that was overtaken says nothing of the endpoint.
     const bool overtaken = ev.outcome == Outcome::cancelled && sent < e.served_at;
     if (!call.judged && ev.outcome != Outcome::not_sent && !overtaken) {
@@ -691,10 +679,10 @@
       else if (ev.outcome == Outcome::rejected)
         call_refused(e);
       else
-        call_failed(e, ev, call.messages);
+        call_failed(e, ev, call.batch_size());
       give_later(e);
     }
-    if (last) calls.erase(call_it), e.used_at = now, ended_at.insert(e.info.id);
+    if (last) calls.finish(call_id), e.used_at = now, ended_at.insert(e.info.id);
     count_trials(e);
     send_queue.unblock(e.info.destination);
 
@@ -705,8 +693,7 @@
     const bool doubt =
         ev.outcome == Outcome::timeout || ev.outcome == Outcome::reset || ev.outcome == Outcome::cancelled;
     if (doubt && !m.order_key.empty()) {
-      keys[m.order_key].rest_until = now + set.key_quiet_period;
-      resting.emplace_back(now + set.key_quiet_period, m.order_key);
+      order_keys.begin_quiet_period(m.order_key, now, set.key_quiet_period);
     }
     if (ev.request_completed || ev.outcome == Outcome::served) end(m);
     if (!m.completed && m.in_flight.empty()) {
@@ -715,7 +702,7 @@
       m.ready_at = now + micros(jittered(d));
       if (!retry_policy.may_attempt(m, m.ready_at)) finish(m, false);
     }
-    forget(it);
+    forget(m);
   }
   // ---- The gate. Every send passes here; it tells when to look again. ----
   // What it says of a message holds for all of its subqueue, but for what it calls the message's own; and
@@ -731,7 +718,7 @@
     const Microseconds held = own_try ? t.limits.retry_after_until() : t.limits.held_until();
     if (held > now) return when = std::min(when, held), false;
     if (room_in_call(e)) return true;
-    if (calls.size() >= static_cast<std::size_t>(set.max_concurrent_calls)) return false;
+    if (calls.full()) return false;
     const Microseconds ready = std::max(budget_ready(e), t.limits.send_rate_ready_at());
     // Its health changes with time, whatever else keeps messages from it.
     if (e.health != Health::healthy) when = std::min(when, e.since + health_span());
@@ -750,8 +737,8 @@
   }
   bool room_in_call(const EndpointState& e) const {
     if (e.open_call == 0) return false;
-    auto it = calls.find(e.open_call);
-    return it != calls.end() && it->second.sent == now && it->second.messages < e.bundle;
+    const Call* const call = calls.find(e.open_call);
+    return call != nullptr && call->sent_at == now && call->batch_size() < e.bundle;
   }
   // Bulkhead: one endpoint's calls out, so that a silent or slow one can't hold the slots of the rest.
   int call_limit(EndpointState& e) {
@@ -807,8 +794,7 @@
   void send(Request& m, EndpointState& e) {
     Target& t = target_of(e);
     if (!room_in_call(e)) {
-      e.open_call = next_call++;
-      calls[e.open_call] = Call{&e, now, 0, 0, false, {}};
+      e.open_call = calls.start(e, now);
       e.calls.push_back({e.open_call, now});
       count_trials(e);
       if (e.bundle > 1) share_call(m, e);
@@ -820,10 +806,9 @@
       if (e.health == Health::ejected) e.next_trial = now + trial_gap(e);
       if (overdue(e) > 0) drop_idle(e);
     }
-    Call& call = calls[e.open_call];
-    call.messages++, call.left++, call.with.push_back(m.id);
+    calls.add_request(e.open_call, m.id);
     send_queue.remove(m);
-    touch(m, m.id);
+    reevaluation.add(m);
     set_unattempted(m, false);
     const bool unsafe = m.request_class->idempotency == Idempotency::non_idempotent;
     const double aims =
@@ -842,10 +827,10 @@
   // which it loses, have an aim's time first. May cut a call that is merely heavy.
   void give_up(Request& m, bool slots_short) {
     const auto [attempt, call_id] = *m.in_flight.begin();
-    const Call& call = calls[call_id];
+    const Call& call = *calls.find(call_id);
     const bool unsafe = m.request_class->idempotency == Idempotency::non_idempotent,
-               overtaken = call.sent < call.endpoint->served_sent;
-    const bool silent = call.sent >= call.endpoint->served_at;  // answers to earlier calls: slow, at work
+               overtaken = call.sent_at < call.endpoint->served_sent;
+    const bool silent = call.sent_at >= call.endpoint->served_at;  // answers to earlier calls: slow, at work
     if (m.cancelled_attempt == attempt || !(overtaken || (slots_short && silent))) return;
     const double least = unsafe ? seconds(m.request_class->latency_objective) : 0;
     const double times = slots_short ? kOverdueTimes : kTimeoutTimes;
@@ -853,7 +838,7 @@
     // Later it is worth less; but where all destinations answer slowly, patience is cheaper than cutting.
     if (slots_short)
       after = std::min(after, seconds(m.request_class->latency_objective)) * std::max(1.0, slowness);
-    const Microseconds due = call.sent + micros(std::max(least, after));
+    const Microseconds due = call.sent_at + micros(std::max(least, after));
     if (now < due) return wake_by(due);
     m.cancelled_attempt = attempt;
     out->push_back(action::Cancel{m.id, attempt});
@@ -870,38 +855,30 @@
       return v < u || (v == u && other.id > with.id);
     });
   }
-  void touch(Request& m, MessageId id) {
-    if (!std::exchange(m.reevaluation_queued, true)) touched.push_back(id);
-  }
   // When its key lets it go: kNever where others come first.
   Microseconds turn(const Request& m) const {
     if (m.order_key.empty()) return now;
-    const KeyLine& k = keys.at(m.order_key);
-    return k.line.front() != m.id ? kNever : m.attempts_made == 0 ? k.rest_until : now;
+    return order_keys.ready_at(m.order_key, m.id, m.attempts_made > 0, now);
   }
 #ifdef HERONVANE_FULL_WALK
 #include HERONVANE_FULL_WALK
 #else
   void dispatch() {
-    const bool slots_short = calls.size() >= static_cast<std::size_t>(set.max_concurrent_calls);
-    const std::size_t held_then = live;
-    for (; !agenda.empty() && agenda.begin()->first <= now; agenda.erase(agenda.begin())) {
-      Request& m = messages.at(agenda.begin()->second);
-      m.reevaluate_at = kNever;
-      touch(m, m.id);
-    }
+    const bool slots_short = calls.full();
+    const std::size_t held_then = requests.uncompleted();
+    reevaluation.add_due(now);
     const Microseconds ahead = now + micros(kFirstLatency);
     send_queue.advance_phases(ahead);
     std::vector<MessageId> due = overdue_messages(slots_short), ended;
-    for (const MessageId id : touched) {
-      const auto it = messages.find(id);
-      if (it == messages.end() || it->second.completed) continue;
-      now >= retry_policy.ends_at(it->second) ? due.push_back(id) : line_up(it->second, ahead);
+    for (const MessageId id : reevaluation.pending()) {
+      Request* const m = requests.find(id);
+      if (m == nullptr || m->completed) continue;
+      now >= retry_policy.ends_at(*m) ? due.push_back(id) : line_up(*m, ahead);
     }
     std::sort(due.begin(), due.end());
     due.erase(std::unique(due.begin(), due.end()), due.end());
     for (const MessageId id : due) {
-      Request& m = messages.at(id);
+      Request& m = *requests.find(id);
       if (now < retry_policy.ends_at(m)) {
         give_up(m, slots_short);
         continue;
@@ -925,29 +902,27 @@
         finish(m, true);
         ended.push_back(m.id);
       }
-    for (auto id : ended) forget(messages.find(id));
-    for (const MessageId id : touched)
-      if (const auto it = messages.find(id); it != messages.end()) plan(it->second);
-    touched.clear();
+    for (auto id : ended) forget(*requests.find(id));
+    for (const MessageId id : reevaluation.pending())
+      if (Request* const m = requests.find(id)) plan(*m);
+    reevaluation.clear_pending();
     // Short from now on: some that are out may be given up sooner.
-    if (set.cancellation && !slots_short &&
-        calls.size() >= static_cast<std::size_t>(set.max_concurrent_calls))
-      wake_by(now);
-    if (!agenda.empty()) wake_by(agenda.begin()->first);
+    if (set.cancellation && !slots_short && calls.full()) wake_by(now);
+    if (reevaluation.next_due() < kNever) wake_by(reevaluation.next_due());
     if (send_queue.next_recheck() < kNever) wake_by(send_queue.next_recheck());
   }
   // Those in flight that may be given up.
   std::vector<MessageId> overdue_messages(bool slots_short) const {
     std::vector<MessageId> found;
     if (!set.cancellation) return found;
-    for (const auto& [id, call] : calls) {
-      const bool overtaken = call.sent < call.endpoint->served_sent,
-                 silent = call.sent >= call.endpoint->served_at;
+    for (const auto& [id, call] : calls.all()) {
+      const bool overtaken = call.sent_at < call.endpoint->served_sent,
+                 silent = call.sent_at >= call.endpoint->served_at;
       if (!overtaken && !(slots_short && silent)) continue;
-      for (const MessageId with : call.with) {
-        const auto it = messages.find(with);
-        const bool there = it != messages.end() && !it->second.completed && !it->second.in_flight.empty();
-        if (there && it->second.in_flight.begin()->second == id) found.push_back(with);
+      for (const MessageId with : call.requests) {
+        const Request* const m = requests.find(with);
+        const bool there = m != nullptr && !m->completed && !m->in_flight.empty();
+        if (there && m->in_flight.begin()->second == id) found.push_back(with);
       }
     }
     return found;
@@ -959,21 +934,18 @@
     if (m.subqueue() == nullptr && turn(m) <= now) send_queue.enqueue(m, subqueue_of(m));
   }
   void plan(Request& m) {
-    m.reevaluation_queued = false;
+    ReevaluationQueue::mark_evaluated(m);
     Microseconds at = m.completed ? kNever : retry_policy.ends_at(m);
     if (!m.completed && m.in_flight.empty() && m.subqueue() == nullptr)
       at = std::min(at, std::max(m.ready_at, turn(m)));
-    if (at == m.reevaluate_at) return;
-    if (m.reevaluate_at < kNever) agenda.erase({m.reevaluate_at, m.id});
-    if (at < kNever) agenda.emplace(at, m.id);
-    m.reevaluate_at = at;
+    reevaluation.schedule(m, at);
   }
   // Those that were tried in vain, and are to be tried in the next round.
   template <class Urgency>
   std::vector<Request*> send_open(const Urgency& urgent) {
     send_queue.unblock_due(now);
     std::vector<Request*> again;
-    while (calls.size() < static_cast<std::size_t>(set.max_concurrent_calls)) {
+    while (!calls.full()) {
       auto* const first = send_queue.most_urgent(urgent, trial_free());
       if (first == nullptr) break;
       Request& m = static_cast<Request&>(*first);
@@ -1008,11 +980,11 @@
     while (!queue.empty()) {
       const auto [u, id, e] = queue.top();
       queue.pop();
-      const auto it = messages.find(id);
-      if (it != messages.end() && it->second.subqueue() != nullptr && room_in_call(*e)) {
-        const auto key = subqueue_of(it->second);
+      Request* const m = requests.find(id);
+      if (m != nullptr && m->subqueue() != nullptr && room_in_call(*e)) {
+        const auto key = subqueue_of(*m);
         Gate gate;
-        if (std::find(without.begin(), without.end(), key) == without.end() && !try_send(it->second, gate))
+        if (std::find(without.begin(), without.end(), key) == without.end() && !try_send(*m, gate))
           without.push_back(key);
       }
       put(e);
@@ -1053,8 +1025,8 @@
 
 std::size_t Dispatcher::retained_objects() const {
   const State& s = *state_;
-  return s.endpoints.size() + s.destinations.size() + s.messages.size() + s.keys.size() + s.calls.size() +
-         s.resting.size() + s.dirty.size() + s.swept.size();
+  return s.endpoints.size() + s.destinations.size() + s.requests.size() + s.order_keys.retained() +
+         s.calls.size() + s.dirty.size() + s.swept.size();
 }
 
 std::size_t Dispatcher::queued_requests() const { return state_->send_queue.size(); }
--- /dev/null
+++ b/src/reevaluation_queue.hpp
@@ -0,0 +1,55 @@
+// Which requests have to be looked at in this decision pass, and when time alone makes it necessary to look
+// at the others.
+//
+// Keeps a mark and a moment in each request that it knows (reevaluation_queued, reevaluate_at), which nothing
+// else writes. A request must be removed before it is erased. Not synchronised, used on the dispatcher's
+// thread only.
+#pragma once
+
+#include <set>
+#include <vector>
+
+#include "heronvane/dispatch/dispatcher.hpp"
+#include "request.hpp"
+#include "time_units.hpp"
+
+namespace heronvane::dispatch {
+
+class ReevaluationQueue {
+ public:
+  // Something happened to the request: it is looked at in this pass.
+  void add(Request& request);
+
+  // The request is looked at in the pass at `moment`, unless something happens to it before; kNever: only
+  // then. Replaces what was scheduled.
+  void schedule(Request& request, Microseconds moment);
+
+  // Drops what was scheduled. The request's id may still be in pending().
+  void remove(Request& request);
+
+  // Adds the requests that are scheduled for `now` or before.
+  void add_due(Microseconds now);
+
+  // The ids of those that were added, in that order. Some may be unknown by now, or stand here twice.
+  const std::vector<MessageId>& pending() const { return pending_; }
+
+  // Ends the pass: nothing is pending. The marks are taken off with mark_evaluated.
+  void clear_pending() { pending_.clear(); }
+  static void mark_evaluated(Request& request) { request.reevaluation_queued = false; }
+
+  // The earliest scheduled moment; kNever where there is none.
+  Microseconds next_due() const { return scheduled_.empty() ? kNever : scheduled_.begin()->at; }
+
+ private:
+  struct Scheduled {
+    Microseconds at = 0;
+    MessageId id = 0;
+    Request* request = nullptr;
+    bool operator<(const Scheduled& other) const { return at != other.at ? at < other.at : id < other.id; }
+  };
+
+  std::vector<MessageId> pending_;
+  std::set<Scheduled> scheduled_;
+};
+
+}  // namespace heronvane::dispatch
--- a/src/state.hpp
+++ b/src/state.hpp
@@ -92,17 +92,4 @@
   std::vector<EndpointState*> endpoints;
 };
 
-struct Call {
-  EndpointState* endpoint = nullptr;
-  Microseconds sent = 0;
-  int messages = 0, left = 0;  // taken along; without an outcome yet
-  bool judged = false;         // its fate was counted
-  std::vector<MessageId> with;
-};
-
-struct KeyLine {
-  std::deque<MessageId> line;
-  Microseconds rest_until = 0;
-};
-
 }  // namespace heronvane::dispatch
