--- /dev/null
+++ b/src/batching.hpp
@@ -0,0 +1,43 @@
+// How many requests one call to an endpoint may carry, and the call of this pass that more can join.
+#pragma once
+
+#include <cstdint>
+
+#include "heronvane/dispatch/dispatcher.hpp"
+
+namespace heronvane::dispatch {
+
+class Batching {
+ public:
+  // `most`: requests in one call, by the settings of the destination's kind.
+  void set_most(int most) { most_ = most; }
+  // A new endpoint is trusted with full calls.
+  void reset() { trusted_ = most_; }
+
+  // Requests that are trusted to one call now.
+  int trusted() const { return trusted_; }
+  void record_served();
+  // A call that carried `requests` failed: they share its fate, so fewer go along with the next one.
+  void record_failed(int requests);
+  // Takes the size that an earlier incarnation had learned; 0: unknown.
+  void restore(int trusted);
+
+  void begin_call(std::uint64_t call, Microseconds now);
+  void add_request() { open_requests_++; }
+  void end_call(std::uint64_t call);
+  // The call that was begun last; meaningful while has_room().
+  std::uint64_t open_call() const { return open_call_; }
+  // Whether a request can join a call that was begun in this pass.
+  bool has_room(Microseconds now) const;
+
+ private:
+  static constexpr std::uint64_t kNoCall = 0;
+
+  int most_ = 1;
+  int trusted_ = 1;
+  std::uint64_t open_call_ = kNoCall;
+  Microseconds opened_at_ = 0;
+  int open_requests_ = 0;
+};
+
+}  // namespace heronvane::dispatch
--- a/src/dispatcher.cpp
+++ b/src/dispatcher.cpp
@@ -22,6 +22,7 @@
 #include "call_table.hpp"
 #include "decision_pass.hpp"
 #include "fleet_size.hpp"
+#include "list_polling.hpp"
 #include "load_shedding.hpp"
 #include "order_keys.hpp"
 #include "priority.hpp"
@@ -43,8 +44,6 @@
 constexpr int kCloseRun = 3;          // bad signs without a serve that close an endpoint
 constexpr double kMostFail = 0.5;     // share of failing calls that closes an endpoint
 constexpr double kFailMemory = 0.15;  // weight of the newest call in that share
-constexpr double kOverdueTimes = 4;   // a call out this many usual latencies, plus
-constexpr double kOverdueMore = 0.3;  // this, is a bad sign
 constexpr double kLeastCalls = 3;     // calls a second of all relays that an endpoint is taken to get
 constexpr double kEvidence = 3;       // seconds of own calls that must fail to close, kCloseRun at most
 // Stray failures: resets and errors at endpoints that serve on.
@@ -53,23 +52,11 @@
 constexpr double kStrayChance = 0.003;  // a run that is likelier than this by chance closes nothing
 constexpr int kStraysOfOne = 2;         // of one run counted at most: the rest may be an outage
 constexpr int kStrayMost = 8;           // bad signs that close whatever the chance
-// Slots.
-constexpr double kTargetSlots = 0.5;   // share of the slots for one endpoint at most
-constexpr double kTrialSlots = 0.25;   // for trial calls of all closed endpoints
-constexpr double kDoubtSlots = 0.125;  // while doubtful
-constexpr int kBaseCalls = 3;          // calls out that need no served rate to justify them
 // Time-outs.
-constexpr double kTimeoutTimes = 8;       // usual latencies
 constexpr double kSafeTimeoutAims = 2.5;  // least time-out of repeatable messages, in aims
 constexpr double kUnsafeTimeoutAims = 5;  // and of the others, which a time-out loses
-constexpr double kLatencyGain = 0.2, kUsualGain = 0.02, kSlownessGain = 0.1;  // weights of the newest answer
-constexpr double kMostSlow = 20;  // one answer counts as no more usual latencies than this
-// Connections.
-constexpr double kGapGain = 0.3, kMostGap = 100;  // weight of the newest gap between calls; the longest
-constexpr double kIdleSpared = 8;  // idle connections of all relays that an endpoint is trusted to spare
 // List and buffer.
 constexpr double kTryWithin = 0.9;  // of what it has left: when it is tried at the latest, if need be
-constexpr double kAskAgain = 0.5, kAskAgainMost = 4;
 
 // What outlasts the process.
 constexpr double kGiveGap = 1;      // seconds between changes given of one endpoint, unless they are urgent
@@ -106,14 +93,14 @@
   bool list_changed = false;
   std::set<EndpointId> gone;     // from the list, and still kept
   std::set<DestinationId> bare;  // perhaps without endpoints
-  std::size_t trials_out = 0;    // calls out to endpoints on trial
+  HealthCheckSlots health_check_slots;
   double shortest_aim;
   BackoffScale backoff_scale;
   SharedLimits shared_limits;
   double stray_share = 0;  // of calls that fail at endpoints which serve on
-  double slowness = 1;     // recent latencies of all serves, in usual ones
-  Microseconds timer_at = kNever, ask_at = kNever;
-  double ask_gap = kAskAgain;
+  Slowness slowness;
+  Microseconds timer_at = kNever;
+  ListPolling list_polling;
   std::vector<EndpointState*> begun, warmed;  // in this round: with calls for many; no more on trial
   std::set<EndpointId> ended_at;              // endpoints at which a call ended in this round
   std::set<Due> dirty;                        // targets with changes to give out, soonest first
@@ -154,19 +141,10 @@
   }
 
   // ---- Health: one ladder for every symptom. ----
-  int overdue(const EndpointState& e) const {
-    const Microseconds late = micros(kOverdueTimes * e.latency + kOverdueMore);
-    const auto sent_before = [](const OutCall& c, Microseconds t) { return c.sent < t; };
-    // Only calls sent since the last serve: one lost among many answered is no sign of silence.
-    const auto from = std::lower_bound(e.calls.begin(), e.calls.end(), e.served_at, sent_before);
-    const auto to = std::lower_bound(from, e.calls.end(), now - late, sent_before);
-    return static_cast<int>(to - from);
-  }
+  int overdue(const EndpointState& e) const { return e.calls.overdue(now, e.latency.overdue_after()); }
   // After each change of its health, its run of failures or its calls.
   void count_trials(EndpointState& e) {
-    trials_out -= e.trials;
-    e.trials = on_trial(e) ? e.calls.size() : 0;
-    trials_out += e.trials;
+    health_check_slots.set(e.health_check_slots, on_trial(e) ? e.calls.size() : 0);
   }
   void close(EndpointState& e, const char* why) {
     if (e.health == Health::healthy) {
@@ -226,13 +204,10 @@
   void call_served(EndpointState& e, Microseconds sent, Microseconds latency) {
     Target& t = target_of(e);
     save_budget(e);
-    e.served_at = now, e.served_sent = std::max(e.served_sent, sent);
+    e.calls.record_served(now, sent);
     t.limits.record_served(now, shared_limits);
     e.served.add(now);
-    e.latency += kLatencyGain * (seconds(latency) - e.latency);
-    if (e.usual == 0) e.usual = seconds(latency);
-    slowness += kSlownessGain * (std::min(seconds(latency) / std::max(e.usual, 1e-3), kMostSlow) - slowness);
-    e.usual += kUsualGain * (seconds(latency) - e.usual);
+    e.latency.record_served(latency, slowness);
     e.failure_rate *= 1 - kFailMemory;
     if (e.health == Health::ejected) {
       // Closed on overdue calls alone and they came after all: slow, not out, so nothing is cold.
@@ -244,9 +219,10 @@
     }
     for (; e.strays > 0; e.strays--) stray_share += kStrayGain * (1 - stray_share);
     stray_share *= 1 - kStrayGain;
-    e.consecutive_failures = 0, e.idle_closed = false;
-    e.bundle = std::min(e.bundle + 1, e.max_batch_size);
-    if (e.call_cap > 0 && now - e.capped_at > micros(2)) e.call_cap++, e.capped_at = now;
+    e.consecutive_failures = 0;
+    e.connections.record_served();
+    e.batching.record_served();
+    e.concurrency.record_served(now);
   }
   void call_refused(EndpointState& e) {
     Target& t = target_of(e);
@@ -279,8 +255,7 @@
     if (ev.outcome == Outcome::connect_failed && e.consecutive_failures == 0 && !e.calls.empty() &&
         overdue(e) == 0 && e.health == Health::healthy) {
       // Connects fail while calls are out and answered: its table of connections may be full.
-      e.call_cap = std::max<int>(1, static_cast<int>(e.calls.size()));
-      e.capped_at = now;
+      e.concurrency.record_connections_exhausted(now, e.calls.size());
     }
     e.consecutive_failures++;
     if (ev.outcome == Outcome::reset || ev.outcome == Outcome::error)
@@ -288,8 +263,8 @@
     e.doubt_run = ev.outcome != Outcome::connect_failed;
     e.failure_rate += kFailMemory * (1 - e.failure_rate);
     if (ev.outcome == Outcome::timeout || ev.outcome == Outcome::cancelled) {
-      e.latency = std::max(e.latency, std::min(e.latency * 2, seconds(ev.latency)));
-      drop_idle(e);
+      e.latency.record_unanswered(ev.latency);
+      e.connections.close_in_doubt(*pass, e.info.id);
     }
     // In the ramp two in a row close again: one stray failure must not start the ramp anew.
     // A single error proves little: some come from sound endpoints too.
@@ -297,7 +272,7 @@
     // A call's messages share its fate: failing calls take fewer along. Guards against whole bundles lost
     // to a doubtful endpoint, and against one that stumbles over large bundles only. Not where it may be a
     // stray failure: under a limit of calls, small bundles would starve the rest.
-    if (chance == 1 || e.consecutive_failures > 1) e.bundle = std::max(1, std::min(e.bundle, taken) / 2);
+    if (chance == 1 || e.consecutive_failures > 1) e.batching.record_failed(taken);
     const int few = std::max({signs_needed(e), ev.outcome == Outcome::error ? 2 : 1, chance});
     const int run = e.health == Health::healthy      ? std::max(kCloseRun, chance)
                     : e.health == Health::slow_start ? std::max(kCloseRun - 1, chance)
@@ -309,21 +284,13 @@
                : ev.outcome == Outcome::error        ? "errors"
                                                      : "silent");
   }
-  // Guards against unsafe messages lost in silence: a fresh connection fails provably, an old one doesn't.
-  void drop_idle(EndpointState& e) {
-    if (e.idle_closed) return;
-    e.idle_closed = true;
-    out->push_back(action::CloseIdle{e.info.id});
-  }
-
   // Guards against connection tables filled by idle connections of many relays, and against connections
   // that die unseen: one that will hardly be used again before its end is closed once its call is over.
   // Costs a handshake where the next call comes sooner than the mean gap tells.
   void drop_unused() {
     for (const auto& id : ended_at) {
       EndpointState& e = endpoints.at(id);
-      if (e.use_gap * set.relays > seconds(set.connection_idle_timeout) * kIdleSpared)
-        out->push_back(action::CloseIdle{id});
+      if (e.connections.is_rarely_used(set)) out->push_back(action::CloseIdle{id});
     }
     ended_at.clear();
   }
@@ -353,7 +320,7 @@
     m.health = e.health, m.time_in_health = now - e.since, m.baseline_rate = e.baseline_rate;
     m.slow_start_budget = std::clamp(budget_now(e), 0.0, 1.0);
     m.consecutive_failures = e.consecutive_failures, m.failure_rate = e.failure_rate,
-    m.last_failure_possibly_executed = e.doubt_run, m.batch_size = e.bundle;
+    m.last_failure_possibly_executed = e.doubt_run, m.batch_size = e.batching.trusted();
     return m;
   }
   // When `m` may be given: now, later, or never where it tells nothing new.
@@ -457,7 +424,7 @@
       e.consecutive_failures = within(0, m.consecutive_failures, 1'000),
       e.failure_rate = within(0.0, m.failure_rate, 1.0);
       e.doubt_run = m.last_failure_possibly_executed;
-      if (m.batch_size > 0) e.bundle = std::min(m.batch_size, e.max_batch_size);
+      e.batching.restore(m.batch_size);
       // It warms up whoever calls. But none made trials that would have kept it closed; and it may have been
       // closed anew within the gap before the end.
       e.since = m.health == Health::slow_start
@@ -488,8 +455,13 @@
     const KindSettings kind = place < set.kinds.size() ? set.kinds[place] : KindSettings{};
     e.own.limits.set_kind(place);
     destination_of(info.destination).target.limits.set_kind(place);
-    e.apart = kind.per_endpoint_limits, e.max_batch_size = kind.max_batch_size;
-    if (fresh) e.bundle = e.max_batch_size, e.use_gap = set.relays, e.asked.start(now);
+    e.apart = kind.per_endpoint_limits;
+    e.batching.set_most(kind.max_batch_size);
+    if (fresh) {
+      e.batching.reset();
+      e.connections.start(set.relays);
+      e.asked.start(now);
+    }
     auto& siblings = destinations.at(info.destination).endpoints;
     if (from != info.destination) {
       std::erase(destinations.at(from).endpoints, &e);
@@ -515,25 +487,15 @@
     for (auto& [id, e] : endpoints)
       if (e.info.listing == Listing::gone) gone.insert(id);
     if (!ev.cached)
-      ask_gap = kAskAgain;
+      list_polling.record_list();
     else if (set.list_subscription)
-      ask_at = now;
+      list_polling.poll_at(now);
   }
   void on(const event::EndpointListUpdate& ev) {
     for (const auto& info : ev.endpoints) take(info);
-    ask_gap = kAskAgain;
-  }
-  // A list that is told behind it is no sign that the next one will come: it may have waited to be told, be
-  // one of several parts, or the answer to another question. So it is asked again whatever comes.
-  void on(const event::EndpointListFailed&) {
-    ask_at = now + micros(jittered(ask_gap));
-    ask_gap = std::min(2 * ask_gap, kAskAgainMost);
-  }
-  void ask() {
-    if (now < ask_at) return wake_by(ask_at);
-    ask_at = kNever;  // one answer or one failure comes
-    out->push_back(action::Subscribe{true});
+    list_polling.record_list();
   }
+  void on(const event::EndpointListFailed&) { list_polling.record_failure(*pass); }
 
   // ---- Messages. ----
   double urgency(const Request& m, Microseconds answer) const {
@@ -667,9 +629,9 @@
     m.in_flight.erase(attempt);
     reevaluation.add(m);
     const bool last = --call.without_outcome == 0;
-    if (last) std::erase_if(e.calls, [&](const OutCall& c) { return c.id == call_id; });
+    if (last) e.calls.end(call_id);
     // A call that we gave up in silence is a failure; one that was overtaken says nothing of the endpoint.
-    const bool overtaken = ev.outcome == Outcome::cancelled && sent < e.served_at;
+    const bool overtaken = ev.outcome == Outcome::cancelled && !e.calls.is_silent_since(sent);
     if (!call.judged && ev.outcome != Outcome::not_sent && !overtaken) {
       call.judged = true;
       e.heard = true;
@@ -682,7 +644,12 @@
         call_failed(e, ev, call.batch_size());
       give_later(e);
     }
-    if (last) calls.finish(call_id), e.used_at = now, ended_at.insert(e.info.id);
+    if (last) {
+      e.batching.end_call(call_id);
+      e.connections.record_call_ended(now);
+      calls.finish(call_id);
+      ended_at.insert(e.info.id);
+    }
     count_trials(e);
     send_queue.unblock(e.info.destination);
 
@@ -735,38 +702,24 @@
     return {m.destination, RetryPolicy::required_zone(m).value_or(-1),
             m.request_class->idempotency == Idempotency::non_idempotent, m.unattempted};
   }
-  bool room_in_call(const EndpointState& e) const {
-    if (e.open_call == 0) return false;
-    const Call* const call = calls.find(e.open_call);
-    return call != nullptr && call->sent_at == now && call->batch_size() < e.bundle;
-  }
+  bool room_in_call(const EndpointState& e) const { return e.batching.has_room(now); }
   // Bulkhead: one endpoint's calls out, so that a silent or slow one can't hold the slots of the rest.
   int call_limit(EndpointState& e) {
     // Trials are spaced; all of them out together may hold a part of the slots only.
     if (on_trial(e)) return trial_free() ? set.max_concurrent_calls : 0;
-    const int late = overdue(e);
-    const double most = late > 0 || e.consecutive_failures > 0
-                            ? std::max(1.0, set.max_concurrent_calls * kDoubtSlots)
-                            : std::max(1.0, std::ceil(set.max_concurrent_calls * kTargetSlots));
-    // A slot is free again only in the round after the answer: without the tick, calls that are answered at
-    // once would justify no slots, and a round would send hardly more than the base.
-    const double turn = e.latency + seconds(set.min_decision_interval);
-    double limit = std::min(most, kBaseCalls + 3 * e.served.at(now) * turn);
-    if (e.call_cap > 0) limit = std::min<double>(limit, e.call_cap);
-    return std::max(1, static_cast<int>(limit));
+    const bool is_doubtful = overdue(e) > 0 || e.consecutive_failures > 0;
+    return e.concurrency.limit(set, {is_doubtful, e.served.at(now), e.latency.recent()});
   }
   bool on_trial(const EndpointState& e) const {
     return e.health != Health::healthy && e.consecutive_failures > 0;
   }
-  bool trial_free() const {
-    return static_cast<double>(trials_out) < std::max(1.0, kTrialSlots * set.max_concurrent_calls);
-  }
+  bool trial_free() const { return health_check_slots.is_any_free(set); }
   // Cheaper first: shorter expected wait there, its fee, the distance.
   double price(const EndpointState& e) const {
     const auto zone = static_cast<std::size_t>(e.info.zone);
     const double fee = e.apart && zone < set.zone_costs.size() ? set.zone_costs[zone] : 0;
     const double load = static_cast<double>(e.calls.size()) + 1 + e.consecutive_failures;
-    return load * e.latency * (e.health == Health::slow_start ? 2 : 1) * (1 + fee) +
+    return load * e.latency.recent() * (e.health == Health::slow_start ? 2 : 1) * (1 + fee) +
            (e.info.zone == set.zone ? 0 : 0.02);
   }
   bool try_send(Request& m, Gate& gate) {
@@ -794,19 +747,20 @@
   void send(Request& m, EndpointState& e) {
     Target& t = target_of(e);
     if (!room_in_call(e)) {
-      e.open_call = calls.start(e, now);
-      e.calls.push_back({e.open_call, now});
+      const CallId call = calls.start(e, now);
+      e.calls.begin(call, now);
+      e.batching.begin_call(call, now);
       count_trials(e);
-      if (e.bundle > 1) share_call(m, e);
+      if (e.batching.trusted() > 1) share_call(m, e);
       if (e.health == Health::healthy && m.attempts_made == 0) e.asked.add(now);
-      e.use_gap += kGapGain * (std::min(seconds(now - e.used_at), kMostGap) - e.use_gap);
-      e.used_at = now;
+      e.connections.record_call_began(now);
       t.limits.consume(now);
       if (e.health != Health::healthy) save_budget(e), e.budget -= 1;
       if (e.health == Health::ejected) e.next_trial = now + trial_gap(e);
-      if (overdue(e) > 0) drop_idle(e);
+      if (overdue(e) > 0) e.connections.close_in_doubt(*pass, e.info.id);
     }
-    calls.add_request(e.open_call, m.id);
+    e.batching.add_request();
+    calls.add_request(e.batching.open_call(), m.id);
     send_queue.remove(m);
     reevaluation.add(m);
     set_unattempted(m, false);
@@ -814,8 +768,8 @@
     const double aims =
         seconds(m.request_class->latency_objective) * (unsafe ? kUnsafeTimeoutAims : kSafeTimeoutAims);
     const Microseconds timeout =
-        std::min(micros(std::max(aims, kTimeoutTimes * e.latency)), m.deadline - now);
-    m.in_flight[m.attempts_made++] = e.open_call;
+        std::min(micros(std::max(aims, e.latency.timeout_seconds())), m.deadline - now);
+    m.in_flight[m.attempts_made++] = e.batching.open_call();
     action::Send a{m.id, e.info.id, timeout, {}};
     a.start_within = retry_policy.start_within(m, now);
     out->push_back(std::move(a));
@@ -829,15 +783,16 @@
     const auto [attempt, call_id] = *m.in_flight.begin();
     const Call& call = *calls.find(call_id);
     const bool unsafe = m.request_class->idempotency == Idempotency::non_idempotent,
-               overtaken = call.sent_at < call.endpoint->served_sent;
-    const bool silent = call.sent_at >= call.endpoint->served_at;  // answers to earlier calls: slow, at work
+               overtaken = call.endpoint->calls.is_overtaken(call.sent_at);
+    const bool silent =
+        call.endpoint->calls.is_silent_since(call.sent_at);  // answers to earlier calls: slow, at work
     if (m.cancelled_attempt == attempt || !(overtaken || (slots_short && silent))) return;
     const double least = unsafe ? seconds(m.request_class->latency_objective) : 0;
-    const double times = slots_short ? kOverdueTimes : kTimeoutTimes;
-    double after = times * call.endpoint->latency + kOverdueMore;
+    const LatencyEstimate& latency = call.endpoint->latency;
+    double after = slots_short ? latency.overdue_seconds() : latency.given_up_seconds();
     // Later it is worth less; but where all destinations answer slowly, patience is cheaper than cutting.
     if (slots_short)
-      after = std::min(after, seconds(m.request_class->latency_objective)) * std::max(1.0, slowness);
+      after = std::min(after, seconds(m.request_class->latency_objective)) * std::max(1.0, slowness.value());
     const Microseconds due = call.sent_at + micros(std::max(least, after));
     if (now < due) return wake_by(due);
     m.cancelled_attempt = attempt;
@@ -848,7 +803,7 @@
   // Messages that come after this one may go in its call, whatever kept them before.
   void share_call(const Request& with, EndpointState& e) {
     begun.push_back(&e);
-    const Microseconds ahead = now + micros(kFirstLatency);
+    const Microseconds ahead = now + micros(kAssumedLatencySeconds);
     const double u = urgency(with, ahead);
     send_queue.unblock_if(with.destination, [&](const SendQueue::Entry& other) {
       const double v = urgency(static_cast<const Request&>(other), ahead);
@@ -867,7 +822,7 @@
     const bool slots_short = calls.full();
     const std::size_t held_then = requests.uncompleted();
     reevaluation.add_due(now);
-    const Microseconds ahead = now + micros(kFirstLatency);
+    const Microseconds ahead = now + micros(kAssumedLatencySeconds);
     send_queue.advance_phases(ahead);
     std::vector<MessageId> due = overdue_messages(slots_short), ended;
     for (const MessageId id : reevaluation.pending()) {
@@ -916,8 +871,8 @@
     std::vector<MessageId> found;
     if (!set.cancellation) return found;
     for (const auto& [id, call] : calls.all()) {
-      const bool overtaken = call.sent_at < call.endpoint->served_sent,
-                 silent = call.sent_at >= call.endpoint->served_at;
+      const bool overtaken = call.endpoint->calls.is_overtaken(call.sent_at),
+                 silent = call.endpoint->calls.is_silent_since(call.sent_at);
       if (!overtaken && !(slots_short && silent)) continue;
       for (const MessageId with : call.requests) {
         const Request* const m = requests.find(with);
@@ -1000,7 +955,7 @@
     out = &actions;
     pass = &this_pass;
     for (const auto& ev : events) std::visit([this](const auto& e) { on(e); }, ev);
-    if (set.list_subscription) ask();
+    if (set.list_subscription) list_polling.poll_when_due(*pass);
     dispatch();
     if (!warmed.empty()) wake_by(now);
     for (EndpointState* e : std::exchange(warmed, {})) count_trials(*e);
--- /dev/null
+++ b/src/latency.hpp
@@ -0,0 +1,46 @@
+// How long an endpoint takes to answer, and what follows for time-outs.
+#pragma once
+
+#include "heronvane/dispatch/dispatcher.hpp"
+#include "time_units.hpp"
+
+namespace heronvane::dispatch {
+
+// Assumed before the first answer, in seconds.
+constexpr double kAssumedLatencySeconds = 0.25;
+
+// Recent latencies of all endpoints, as a multiple of what is usual for each of them: 1 on an ordinary day.
+class Slowness {
+ public:
+  double value() const { return value_; }
+  void record(double latency_s, double usual_latency_s);
+
+ private:
+  double value_ = 1;
+};
+
+class LatencyEstimate {
+ public:
+  // In seconds; stretched by calls that timed out.
+  double recent() const { return recent_; }
+  // How long a call may be out before it counts as overdue.
+  Microseconds overdue_after() const { return microseconds(overdue_seconds()); }
+  double overdue_seconds() const { return kOverdueLatencies * recent_ + kOverdueMarginSeconds; }
+  // The same for a call that nothing but its own silence makes suspect: as patient as the time-out.
+  double given_up_seconds() const { return kTimeoutLatencies * recent_ + kOverdueMarginSeconds; }
+  double timeout_seconds() const { return kTimeoutLatencies * recent_; }
+
+  void record_served(Microseconds latency, Slowness& slowness);
+  // A call that ended without an answer after `elapsed`.
+  void record_unanswered(Microseconds elapsed);
+
+ private:
+  static constexpr double kOverdueLatencies = 4;
+  static constexpr double kTimeoutLatencies = 8;
+  static constexpr double kOverdueMarginSeconds = 0.3;
+
+  double recent_ = kAssumedLatencySeconds;
+  double usual_ = 0;  // over many answers; 0: none yet
+};
+
+}  // namespace heronvane::dispatch
--- /dev/null
+++ b/src/list_polling.hpp
@@ -0,0 +1,30 @@
+// When the endpoint list is asked for again.
+#pragma once
+
+#include "decision_pass.hpp"
+#include "heronvane/dispatch/dispatcher.hpp"
+
+namespace heronvane::dispatch {
+
+class ListPolling {
+ public:
+  // A list or a change of it came. It does not put off a poll that is due: it may be one of several parts, or
+  // the answer to an earlier poll.
+  void record_list() { gap_s_ = kFirstGapSeconds; }
+  // Polls in the next pass: what is known comes from a cache.
+  void poll_at(Microseconds moment) { next_at_ = moment; }
+  // Draws the time of the next poll; the gap doubles with each failure.
+  void record_failure(DecisionPass& pass);
+
+  // Polls if it is time, or asks to be woken then. After a poll nothing is due until a failure comes.
+  void poll_when_due(DecisionPass& pass);
+
+ private:
+  static constexpr double kFirstGapSeconds = 0.5;
+  static constexpr double kMostGapSeconds = 4;
+
+  Microseconds next_at_ = kNever;
+  double gap_s_ = kFirstGapSeconds;
+};
+
+}  // namespace heronvane::dispatch
