--- a/relay/copies/streams.hpp
+++ b/relay/copies/streams.hpp
@@ -24,7 +24,8 @@
  public:
   using Address = boost::asio::ip::tcp::endpoint;
   static constexpr auto kSilence = std::chrono::seconds(3);
-  static constexpr auto kConnectTime = std::chrono::seconds(2), kRetry = std::chrono::milliseconds(150);
+  static constexpr auto kConnectTime = std::chrono::seconds(2);
+  static constexpr auto kRetry = std::chrono::milliseconds(150);
   static constexpr std::size_t kMostIncoming = 32;        // connections of others
   static constexpr std::size_t kMostUnderWay = 64 << 20;  // bytes that wait to be sent on a connection
 
