--- a/tools/lint/tidy.py
+++ b/tools/lint/tidy.py
@@ -22,7 +22,7 @@
 import threading
 
 ROOT = pathlib.Path(__file__).resolve().parents[2]
-# A header without a source of its own, or one near it, is compiled with the flags of this file.
+# A file that is in no target and near none is compiled with the flags of this one.
 FALLBACK_SOURCE = "relay/relay.cpp"
 EXTRA_ARGUMENTS = [
     "-Wno-unknown-warning-option",  # the compile commands carry GCC's
@@ -82,12 +82,12 @@
     return commands
 
 
-def command_for_header(header, commands):
-    """The command of the source beside the header, of another one in its folder, or of one in a folder above."""
-    twin = str(pathlib.PurePath(header).with_suffix(".cpp"))
+def command_near(file, commands):
+    """The command of the source beside a header, of another file in its folder, or of one in a folder above."""
+    twin = str(pathlib.PurePath(file).with_suffix(".cpp"))
     if twin in commands:
         return commands[twin]
-    folder = os.path.dirname(header)
+    folder = os.path.dirname(file)
     while folder:
         for path in sorted(commands):
             if path.startswith(folder + "/"):
@@ -97,17 +97,16 @@
 
 
 def source_units(paths, commands):
+    """A source that this configuration leaves out is compiled as one near it."""
     for path in paths:
-        if path in commands:
-            arguments, directory = commands[path]
+        if not path.endswith(".hpp"):
+            arguments, directory = commands.get(path) or command_near(path, commands)
             yield Unit(path, arguments, directory)
-        elif not path.endswith(".hpp"):
-            print(f"tidy: {path} is in no target; not checked", file=sys.stderr)
 
 
 def header_units(headers, commands):
     for header in headers:
-        arguments, directory = command_for_header(header, commands)
+        arguments, directory = command_near(header, commands)
         yield Unit(header, arguments + ["-x", "c++-header"], directory)
 
 
