--- a/src/dispatcher.cpp
+++ b/src/dispatcher.cpp
@@ -29,7 +29,8 @@
 #include "rates.hpp"
 #include "reevaluation_queue.hpp"
 #include "request.hpp"
-#include "request_table.hpp"
+#include "request_lifecycle.hpp"
+#include "request_state.hpp"
 #include "restored_value.hpp"
 #include "retry_policy.hpp"
 #include "send_queue.hpp"
@@ -81,15 +82,8 @@
   DecisionPass* pass = nullptr;  // set while handle() runs
   std::map<EndpointId, EndpointState> endpoints;
   std::map<DestinationId, DestinationState> destinations;
-  RequestTable requests;
-  CallTable calls;
-  OrderKeys order_keys;
-  ReevaluationQueue reevaluation;
-  Priority priority;
-  TenantQuota tenant_quota;
-  RetryPolicy retry_policy;
-  LoadShedding load_shedding;
-  SendQueue send_queue;  // those that are ready to go
+  RequestState request_state;
+  RequestLifecycle lifecycle;
   bool list_changed = false;
   std::set<EndpointId> gone;     // from the list, and still kept
   std::set<DestinationId> bare;  // perhaps without endpoints
@@ -109,16 +103,22 @@
   State(const Settings& s, std::uint64_t seed)
       : set(s),
         random(seed),
-        calls(s.max_concurrent_calls),
-        priority(set),
-        tenant_quota(set),
-        retry_policy(set, priority.shortest_objective_s()),
-        load_shedding(set),
-        send_queue(priority.phases_by_group()),
-        shortest_aim(priority.shortest_objective_s()),
+        request_state(set),
+        lifecycle(request_state,
+                  microseconds(BackoffScale(request_state.priority.shortest_objective_s()).initial())),
+        shortest_aim(request_state.priority.shortest_objective_s()),
         backoff_scale(shortest_aim),
         shared_limits(s.kinds.size() + 1, shortest_aim) {}
 
+  Priority& priority = request_state.priority;
+  RetryPolicy& retry_policy = request_state.retry_policy;
+  LoadShedding& load_shedding = request_state.load_shedding;
+  RequestTable& requests = request_state.requests;
+  OrderKeys& order_keys = request_state.order_keys;
+  CallTable& calls = request_state.calls;
+  ReevaluationQueue& reevaluation = request_state.reevaluation;
+  SendQueue& send_queue = request_state.send_queue;
+
   double uniform() { return random.uniform(); }
   double jittered(double d) { return random.jittered(d); }
   void log(const std::string& text) { out->push_back(action::Log{text}); }
@@ -501,39 +501,9 @@
   double urgency(const Request& m, Microseconds answer) const {
     return priority.urgency({m.request_class, m.full_weight, m.objective_at}, answer);
   }
-  void on(const event::RequestArrived& ev) {
-    Request& m = requests.add(ev.id);
-    send_queue.remove(m);
-    reevaluation.add(m);
-    m.destination = ev.destination, m.order_key = ev.order_key;
-    m.request_class = &set.classes[static_cast<std::size_t>(ev.message_class)];
-    m.deadline = now + ev.time_left, m.ready_at = now, m.unattempted = false;
-    m.objective_at = m.deadline - m.request_class->deadline + m.request_class->latency_objective;
-    const double share = tenant_quota.consume(ev.tenant, now) ? 1 : set.over_quota_weight;
-    m.full_weight = m.request_class->priority_weight * share;
-    m.group = Priority::order_group(ev.message_class, share != 1, false);
-    if (!m.request_class->ordered) m.order_key.clear();
-    if (!m.order_key.empty()) order_keys.join(m.order_key, m.id);
-  }
-  // Back from an earlier life. An attempt that may have run bars an unsafe message from all but failing; at
-  // once, for no outcome of that life will come any more.
-  void on(const event::RequestRecovered& ev) {
-    on(ev.message);
-    Request& m = *requests.find(ev.message.id);
-    m.attempts_made = ev.attempts;
-    m.possible_execution.reset();
-    if (ev.possibly_executed_zone)
-      m.possible_execution = PossibleExecution{*ev.possibly_executed_zone, now - ev.possibly_executed_age};
-    if (retry_policy.may_attempt(m, now)) return set_unattempted(m, !ev.tried);
-    finish(m, false);
-    forget(m);
-  }
-  // What an earlier life left untried is tried before what comes in now, once.
-  static void set_unattempted(Request& m, bool unattempted) {
-    if (unattempted == std::exchange(m.unattempted, unattempted)) return;
-    m.full_weight *= unattempted ? Priority::kUnattemptedFactor : 1 / Priority::kUnattemptedFactor;
-    unattempted ? m.group += 2 : m.group -= 2;
-  }
+  void on(const event::RequestArrived& ev) { lifecycle.arrive(ev, *pass); }
+  void on(const event::RequestRecovered& ev) { lifecycle.recover(ev, *pass); }
+  void on(const event::RequestWithdrawn& ev) { lifecycle.withdraw(ev.id, now); }
   // Whether the share that is let through keeps it back. An unattempted message's one try comes at a moment
   // drawn evenly from what it has left: the shares of hundreds of relays that came back together are far
   // below one call each in its time, while what they have to try is bounded by what they held.
@@ -547,28 +517,6 @@
     gate.when = std::min({gate.when, m.first_attempt_at, t.limits.admission().full_at()});
     return false;
   }
-  void finish(Request& m, bool again) {
-    if (m.completed) return;
-    end(m);
-    if (again && RetryPolicy::may_be_rejected(m))
-      out->push_back(action::Reject{m.id, micros(backoff_scale.initial())});
-    else
-      out->push_back(action::Fail{m.id});
-  }
-  void end(Request& m) {
-    requests.complete(m);
-    send_queue.remove(m);
-    reevaluation.add(m);
-  }
-  // Forgets a request that is completed and has nothing in flight; the next of its order key may go then.
-  void forget(Request& m) {
-    if (!m.completed || !m.in_flight.empty()) return;
-    if (!m.order_key.empty()) {
-      if (const auto next = order_keys.leave(m.order_key, m.id, now)) reevaluation.add(*requests.find(*next));
-    }
-    reevaluation.remove(m);
-    requests.erase(m.id);
-  }
   // Nothing is kept for ever: keys go when they are empty and rested; endpoints that left the list, when
   // their calls are over and what is known of an outage there has aged out; destinations with their last
   // endpoint.
@@ -601,12 +549,6 @@
       it = bare.erase(it);
     }
   }
-  void on(const event::RequestWithdrawn& ev) {
-    Request* const m = requests.find(ev.id);
-    if (m == nullptr) return;
-    end(*m);
-    forget(*m);
-  }
   void on(const event::TimerExpired&) {
     if (now >= timer_at) timer_at = kNever;
   }
@@ -616,9 +558,9 @@
     Request* const found = requests.find(ev.id);
     if (found == nullptr) return;
     Request& m = *found;
-    auto attempt = m.in_flight.find(ev.attempt);
-    if (attempt == m.in_flight.end()) return;
-    const CallId call_id = attempt->second;
+    const std::optional<CallId> taken = lifecycle.take_attempt(m, ev.attempt);
+    if (!taken) return;
+    const CallId call_id = *taken;
     Call& call = *calls.find(call_id);
     EndpointState& e = *call.endpoint;
     const Microseconds sent = call.sent_at;
@@ -626,8 +568,6 @@
       target_of(e).limits.extend_retry_after(now + ev.retry_after);
       give_by(e, now);
     }
-    m.in_flight.erase(attempt);
-    reevaluation.add(m);
     const bool last = --call.without_outcome == 0;
     if (last) e.calls.end(call_id);
     // A call that we gave up in silence is a failure; one that was overtaken says nothing of the endpoint.
@@ -653,23 +593,8 @@
     count_trials(e);
     send_queue.unblock(e.info.destination);
 
-    const bool never_ran = ev.outcome == Outcome::rejected || ev.outcome == Outcome::connect_failed ||
-                           ev.outcome == Outcome::not_sent;
-    if (!never_ran && (!m.possible_execution || sent < m.possible_execution->sent_at))
-      m.possible_execution = PossibleExecution{e.info.zone, sent};
-    const bool doubt =
-        ev.outcome == Outcome::timeout || ev.outcome == Outcome::reset || ev.outcome == Outcome::cancelled;
-    if (doubt && !m.order_key.empty()) {
-      order_keys.begin_quiet_period(m.order_key, now, set.key_quiet_period);
-    }
-    if (ev.request_completed || ev.outcome == Outcome::served) end(m);
-    if (!m.completed && m.in_flight.empty()) {
-      // A retry waits the jittered D; one that would come too late, or may not be made, ends here.
-      const double d = std::max(target_of(e).limits.backoff_delay(now), backoff_scale.least());
-      m.ready_at = now + micros(jittered(d));
-      if (!retry_policy.may_attempt(m, m.ready_at)) finish(m, false);
-    }
-    forget(m);
+    const double backoff_delay = std::max(target_of(e).limits.backoff_delay(now), backoff_scale.least());
+    lifecycle.record_result(m, {ev.outcome, ev.request_completed, e.info.zone, sent, backoff_delay}, *pass);
   }
   // ---- The gate. Every send passes here; it tells when to look again. ----
   // What it says of a message holds for all of its subqueue, but for what it calls the message's own; and
@@ -698,10 +623,6 @@
     if (static_cast<int>(e.calls.size()) >= call_limit(e)) return gate.trial |= on_trial(e), false;
     return !own_try || e.health != Health::healthy || try_comes(m, t, gate);
   }
-  SendQueue::SubqueueKey subqueue_of(const Request& m) const {
-    return {m.destination, RetryPolicy::required_zone(m).value_or(-1),
-            m.request_class->idempotency == Idempotency::non_idempotent, m.unattempted};
-  }
   bool room_in_call(const EndpointState& e) const { return e.batching.has_room(now); }
   // Bulkhead: one endpoint's calls out, so that a silent or slow one can't hold the slots of the rest.
   int call_limit(EndpointState& e) {
@@ -761,15 +682,12 @@
     }
     e.batching.add_request();
     calls.add_request(e.batching.open_call(), m.id);
-    send_queue.remove(m);
-    reevaluation.add(m);
-    set_unattempted(m, false);
     const bool unsafe = m.request_class->idempotency == Idempotency::non_idempotent;
     const double aims =
         seconds(m.request_class->latency_objective) * (unsafe ? kUnsafeTimeoutAims : kSafeTimeoutAims);
     const Microseconds timeout =
         std::min(micros(std::max(aims, e.latency.timeout_seconds())), m.deadline - now);
-    m.in_flight[m.attempts_made++] = e.batching.open_call();
+    lifecycle.record_sent(m, e.batching.open_call());
     action::Send a{m.id, e.info.id, timeout, {}};
     a.start_within = retry_policy.start_within(m, now);
     out->push_back(std::move(a));
@@ -810,11 +728,6 @@
       return v < u || (v == u && other.id > with.id);
     });
   }
-  // When its key lets it go: kNever where others come first.
-  Microseconds turn(const Request& m) const {
-    if (m.order_key.empty()) return now;
-    return order_keys.ready_at(m.order_key, m.id, m.attempts_made > 0, now);
-  }
 #ifdef HERONVANE_FULL_WALK
 #include HERONVANE_FULL_WALK
 #else
@@ -838,7 +751,7 @@
         give_up(m, slots_short);
         continue;
       }
-      finish(m, false);
+      lifecycle.fail(m, *pass);
       ended.push_back(id);
     }
     const auto urgent = [&](const SendQueue::Entry& e) {
@@ -854,10 +767,10 @@
         // What an earlier life took on is tried before it is handed back: what comes in now waits or is
         // refused.
         if (!LoadShedding::may_shed(m)) continue;
-        finish(m, true);
+        lifecycle.reject(m, *pass);
         ended.push_back(m.id);
       }
-    for (auto id : ended) forget(*requests.find(id));
+    for (auto id : ended) lifecycle.forget_if_done(*requests.find(id), now);
     for (const MessageId id : reevaluation.pending())
       if (Request* const m = requests.find(id)) plan(*m);
     reevaluation.clear_pending();
@@ -886,13 +799,13 @@
   void line_up(Request& m, Microseconds ahead) {
     if (!m.in_flight.empty() || m.ready_at > now) return;
     if (!m.added()) send_queue.add(m, ahead);
-    if (m.subqueue() == nullptr && turn(m) <= now) send_queue.enqueue(m, subqueue_of(m));
+    if (m.subqueue() == nullptr && lifecycle.turn_at(m, now) <= now) send_queue.enqueue(m, subqueue_of(m));
   }
   void plan(Request& m) {
     ReevaluationQueue::mark_evaluated(m);
     Microseconds at = m.completed ? kNever : retry_policy.ends_at(m);
     if (!m.completed && m.in_flight.empty() && m.subqueue() == nullptr)
-      at = std::min(at, std::max(m.ready_at, turn(m)));
+      at = std::min(at, std::max(m.ready_at, lifecycle.turn_at(m, now)));
     reevaluation.schedule(m, at);
   }
   // Those that were tried in vain, and are to be tried in the next round.
--- a/src/priority.cpp
+++ b/src/priority.cpp
@@ -10,7 +10,6 @@
 namespace {
 
 constexpr std::size_t kGroupsPerClass = 4;  // over quota or not, unattempted or not
-constexpr std::size_t kUnattemptedOffset = 2;
 constexpr double kWeightShareInUrgency = 0.1;
 
 // The parts of the weight curve: full until the objective, falling, at weight_at_deadline, nothing.
@@ -107,7 +106,7 @@
 
 std::size_t Priority::order_group(int message_class, bool over_quota, bool unattempted) {
   return kGroupsPerClass * static_cast<std::size_t>(message_class) + (over_quota ? 1 : 0) +
-         (unattempted ? kUnattemptedOffset : 0);
+         (unattempted ? kUnattemptedGroupOffset : 0);
 }
 
 std::vector<std::vector<OrderPhase>> Priority::phases_by_group() const {
--- a/src/priority.hpp
+++ b/src/priority.hpp
@@ -43,6 +43,8 @@
   // Factor on the weight of recovered requests that reached no endpoint yet: they go before all others.
   // A power of two, so that taking it back is exact.
   static constexpr double kUnattemptedFactor = 0x1p20;
+  // Added to their order group.
+  static constexpr std::size_t kUnattemptedGroupOffset = 2;
 
   explicit Priority(const Settings& settings);
 
--- a/src/send_queue.hpp
+++ b/src/send_queue.hpp
@@ -53,8 +53,10 @@
 
   // What requests of one destination must have in common to be eligible or blocked alike.
   struct SubqueueKey {
+    static constexpr int kAnyZone = -1;
+
     DestinationId destination = 0;
-    int zone = -1;                // only endpoints there may serve it; -1: all may
+    int zone = kAnyZone;          // whose endpoints alone may serve it
     bool non_idempotent = false;  // its requests must not run twice
     bool unattempted = false;     // recovered, and no attempt has reached an endpoint
     bool operator==(const SubqueueKey&) const = default;
