--- a/src/dispatcher.cpp
+++ b/src/dispatcher.cpp
@@ -42,17 +42,7 @@
 
 // ---- Constants. Times in seconds, unless derived from settings where they are used. ----
 // Health.
-constexpr int kCloseRun = 3;          // bad signs without a serve that close an endpoint
-constexpr double kMostFail = 0.5;     // share of failing calls that closes an endpoint
-constexpr double kFailMemory = 0.15;  // weight of the newest call in that share
-constexpr double kLeastCalls = 3;     // calls a second of all relays that an endpoint is taken to get
-constexpr double kEvidence = 3;       // seconds of own calls that must fail to close, kCloseRun at most
-// Stray failures: resets and errors at endpoints that serve on.
-constexpr double kStrayGain = 0.02;     // weight of the newest call in their share
-constexpr double kStrayLeast = 0.05;    // share from which on they are reckoned with
-constexpr double kStrayChance = 0.003;  // a run that is likelier than this by chance closes nothing
-constexpr int kStraysOfOne = 2;         // of one run counted at most: the rest may be an outage
-constexpr int kStrayMost = 8;           // bad signs that close whatever the chance
+constexpr double kLeastCalls = 3;  // calls a second of all relays that an endpoint is taken to get
 // Time-outs.
 constexpr double kSafeTimeoutAims = 2.5;  // least time-out of repeatable messages, in aims
 constexpr double kUnsafeTimeoutAims = 5;  // and of the others, which a time-out loses
@@ -91,7 +81,8 @@
   double shortest_aim;
   BackoffScale backoff_scale;
   SharedLimits shared_limits;
-  double stray_share = 0;  // of calls that fail at endpoints which serve on
+  SlowStartPolicy slow_start_policy;
+  BackgroundFailureRate background_failures;
   Slowness slowness;
   Microseconds timer_at = kNever;
   ListPolling list_polling;
@@ -108,7 +99,8 @@
                   microseconds(BackoffScale(request_state.priority.shortest_objective_s()).initial())),
         shortest_aim(request_state.priority.shortest_objective_s()),
         backoff_scale(shortest_aim),
-        shared_limits(s.kinds.size() + 1, shortest_aim) {}
+        shared_limits(s.kinds.size() + 1, shortest_aim),
+        slow_start_policy(set, shortest_aim) {}
 
   Priority& priority = request_state.priority;
   RetryPolicy& retry_policy = request_state.retry_policy;
@@ -144,146 +136,112 @@
   int overdue(const EndpointState& e) const { return e.calls.overdue(now, e.latency.overdue_after()); }
   // After each change of its health, its run of failures or its calls.
   void count_trials(EndpointState& e) {
-    health_check_slots.set(e.health_check_slots, on_trial(e) ? e.calls.size() : 0);
-  }
-  void close(EndpointState& e, const char* why) {
-    if (e.health == Health::healthy) {
-      // Each relay starts anywhere between two of its trials, else those of many would come together.
-      e.baseline_rate = std::max(e.asked.at(now), kLeastCalls / set.relays), e.budget = uniform(),
-      e.budget_at = now;
-    }
-    save_budget(e);
-    if (e.health != Health::ejected) log("closed " + e.info.id + ": " + why), give_by(e, now);
-    e.health = Health::ejected;
-    e.since = now;
-    e.next_trial = now + trial_gap(e);
+    health_check_slots.set(e.health_check_slots, e.is_on_trial() ? e.calls.size() : 0);
+  }
+  void eject(EndpointState& e, HealthChange why) {
+    if (e.health.is_healthy())
+      e.slow_start.begin(now, std::max(e.asked.at(now), kLeastCalls / set.relays), uniform());
+    else
+      settle_budget(e);
+    if (!e.health.is_ejected()) give_by(e, now);
+    e.health.apply(*pass, why, e.info.id);
+    e.slow_start.schedule_health_check(now + trial_gap(e));
     count_trials(e);
   }
   Microseconds trial_gap(EndpointState& e) {
     return micros(jittered(std::max(target_of(e).limits.backoff_delay(now), backoff_scale.initial())));
   }
-  // Calls a second that an endpoint out or returning may get from this relay: its part, by its own first
-  // tries, of what the endpoint stands for sure. No floor: with hundreds of relays that each see a call a
-  // minute, floors of one call each would push it over. What is known of an outage ages out.
-  Microseconds health_span() const { return std::max(set.slow_start_window, micros(shortest_aim)); }
-  Growth growth(const EndpointState& e) const {
-    const double usual = std::max(e.baseline_rate, 1e-9);
-    // Not served since: perhaps it returned only now, so no more than was asked of it before, backlog or not.
-    const double most = on_trial(e) ? usual : kUnbounded,
-                 full = usual * set.collapse_factor * collapse_margin(set);
-    if (e.health != Health::slow_start) return Growth(full, most, set.slow_start_min_share, 0);
-    const double rise = (1 - set.slow_start_min_share) / seconds(health_span());
-    return Growth(full, most, std::min(1.0, set.slow_start_min_share + rise * seconds(e.budget_at - e.since)),
-                  rise);
-  }
-  double budget_now(const EndpointState& e) const {
-    return std::min(1.0, e.budget + growth(e).after(seconds(now - e.budget_at)));
-  }
-  void save_budget(EndpointState& e) {  // before anything changes that its growth hangs on
-    if (e.health != Health::healthy) e.budget = budget_now(e), e.budget_at = now;
-  }
-  Microseconds budget_ready(EndpointState& e) {
-    if (e.health == Health::healthy) return now;
-    if (now >= e.since + health_span()) {
-      save_budget(e);
-      // The ramp comes after trials too that the budget never allowed: held messages must not go all at once.
-      const bool warm = e.health == Health::slow_start;
-      e.health = warm ? Health::healthy : Health::slow_start, e.since = now;
-      // A trial call that this frees is for the next round: which message comes first was settled without it.
-      if (warm) e.consecutive_failures = 0, e.failure_rate = 0, warmed.push_back(&e);
-      log((warm ? "warm " : "forgotten ") + e.info.id);
-      give_by(e, now);
-      if (warm) return now;
+  void settle_budget(EndpointState& e) { e.slow_start.settle(now, slow_start_policy, e.recovery_phase()); }
+  // The end of the present health, where time alone ends it.
+  Microseconds health_ends_at(const EndpointState& e) const {
+    return e.health.since() + slow_start_policy.window();
+  }
+  // Moves the health on where its time is up.
+  void advance_health(EndpointState& e) {
+    if (e.health.is_healthy() || now < health_ends_at(e)) return;
+    settle_budget(e);
+    if (e.health.is_slow_start()) {
+      e.health.apply(*pass, HealthChange::warmed_up, e.info.id);
+      e.evidence.clear();
+      // A health check that this frees is for the next pass: which request comes first was settled without
+      // it.
+      warmed.push_back(&e);
+    } else {
+      // Slow start follows health checks too that the budget never allowed: requests that waited must not go
+      // all at once.
+      e.health.apply(*pass, HealthChange::outage_expired, e.info.id);
     }
-    Microseconds ready = e.budget_at;
-    if (e.budget < 1)
-      ready = std::min(e.since + health_span(), e.budget_at + micros(growth(e).until(1 - e.budget)) + 1);
-    return e.health == Health::ejected ? std::max(ready, e.next_trial) : ready;
+    give_by(e, now);
+  }
+  Microseconds budget_ready(const EndpointState& e) const {
+    return e.health.is_healthy() ? now : e.slow_start.ready_at(slow_start_policy, e.recovery_phase());
   }
 
   void call_served(EndpointState& e, Microseconds sent, Microseconds latency) {
-    Target& t = target_of(e);
-    save_budget(e);
+    settle_budget(e);
     e.calls.record_served(now, sent);
-    t.limits.record_served(now, shared_limits);
+    target_of(e).limits.record_served(now, shared_limits);
     e.served.add(now);
     e.latency.record_served(latency, slowness);
-    e.failure_rate *= 1 - kFailMemory;
-    if (e.health == Health::ejected) {
-      // Closed on overdue calls alone and they came after all: slow, not out, so nothing is cold.
-      e.health = e.consecutive_failures == 0 && e.failure_rate < kMostFail / 2 ? Health::healthy
-                                                                               : Health::slow_start;
-      e.since = e.budget_at = now;
-      log((e.health == Health::healthy ? "slow " : "ramp ") + e.info.id);
+    const bool was_only_slow = e.evidence.record_served(background_failures);
+    if (e.health.is_ejected()) {
+      const auto change = was_only_slow ? HealthChange::answered_late : HealthChange::served_after_ejection;
+      e.health.apply(*pass, change, e.info.id);
       give_by(e, now);
     }
-    for (; e.strays > 0; e.strays--) stray_share += kStrayGain * (1 - stray_share);
-    stray_share *= 1 - kStrayGain;
-    e.consecutive_failures = 0;
     e.connections.record_served();
     e.batching.record_served();
     e.concurrency.record_served(now);
   }
-  void call_refused(EndpointState& e) {
-    Target& t = target_of(e);
-    save_budget(e);
-    t.limits.record_rejected(now, shared_limits);
-    if (e.health != Health::ejected) t.limits.slow_down(*pass, e.info.id, shared_limits);
-    e.doubt_run = false;
-    // Shut, not limited: nothing was served between the refusals.
-    const bool shut = t.limits.is_outage(now);
-    if (!shut && e.health == Health::healthy) return;
-    e.consecutive_failures = std::max(e.consecutive_failures, 1);
-    if (e.apart) return shut || e.health == Health::ejected ? close(e, "refuses all") : void();
-    for (auto* other : destination_of(e.info.destination).endpoints)
-      if (shut || other->health == Health::ejected)
-        save_budget(*other), other->consecutive_failures++, close(*other, "refuses all");
-  }
-  // Where this relay calls seldom, fewer signs must do, else each relay's would come too late.
-  int signs_needed(EndpointState& e) const {
-    return std::clamp(static_cast<int>(std::ceil(kEvidence * e.asked.at(now))), 1, kCloseRun);
-  }
-  // Where calls fail everywhere now and then, a run of failures must be longer to tell an outage. Guards
-  // against closing sound endpoints one after the other on a day of stray resets. 1: no strays to speak of.
-  int run_beyond_chance() const {
-    if (stray_share < kStrayLeast) return 1;
-    return std::min(kStrayMost, static_cast<int>(std::ceil(std::log(kStrayChance) / std::log(stray_share))));
+  void call_rejected(EndpointState& e) {
+    RateLimitScope& limits = target_of(e).limits;
+    settle_budget(e);
+    limits.record_rejected(now, shared_limits);
+    if (!e.health.is_ejected()) limits.slow_down(*pass, e.info.id, shared_limits);
+    e.evidence.record_rejected();
+    const bool is_outage = limits.is_outage(now);
+    if (!is_outage && e.health.is_healthy()) return;
+    e.evidence.mark_failing();
+    if (e.apart) {
+      if (is_outage || e.health.is_ejected()) eject(e, HealthChange::ejected_rejections);
+      return;
+    }
+    for (EndpointState* const sibling : destination_of(e.info.destination).endpoints) {
+      if (!is_outage && !sibling->health.is_ejected()) continue;
+      settle_budget(*sibling);
+      sibling->evidence.add_failure();
+      eject(*sibling, HealthChange::ejected_rejections);
+    }
   }
   void call_failed(EndpointState& e, const event::AttemptEnded& ev, int taken) {
     target_of(e).limits.record_failed(now);
-    save_budget(e);
-    if (ev.outcome == Outcome::connect_failed && e.consecutive_failures == 0 && !e.calls.empty() &&
-        overdue(e) == 0 && e.health == Health::healthy) {
-      // Connects fail while calls are out and answered: its table of connections may be full.
-      e.concurrency.record_connections_exhausted(now, e.calls.size());
-    }
-    e.consecutive_failures++;
-    if (ev.outcome == Outcome::reset || ev.outcome == Outcome::error)
-      e.strays = std::min(e.strays + 1, kStraysOfOne);
-    e.doubt_run = ev.outcome != Outcome::connect_failed;
-    e.failure_rate += kFailMemory * (1 - e.failure_rate);
+    settle_budget(e);
+    note_connections_exhausted(e, ev.outcome);
+    e.evidence.record_failed(ev.outcome);
     if (ev.outcome == Outcome::timeout || ev.outcome == Outcome::cancelled) {
       e.latency.record_unanswered(ev.latency);
       e.connections.close_in_doubt(*pass, e.info.id);
     }
-    // In the ramp two in a row close again: one stray failure must not start the ramp anew.
-    // A single error proves little: some come from sound endpoints too.
-    const int chance = run_beyond_chance();
-    // A call's messages share its fate: failing calls take fewer along. Guards against whole bundles lost
-    // to a doubtful endpoint, and against one that stumbles over large bundles only. Not where it may be a
-    // stray failure: under a limit of calls, small bundles would starve the rest.
-    if (chance == 1 || e.consecutive_failures > 1) e.batching.record_failed(taken);
-    const int few = std::max({signs_needed(e), ev.outcome == Outcome::error ? 2 : 1, chance});
-    const int run = e.health == Health::healthy      ? std::max(kCloseRun, chance)
-                    : e.health == Health::slow_start ? std::max(kCloseRun - 1, chance)
-                                                     : 1;
-    const double most_fail = kMostFail + (chance > 1 ? stray_share : 0);
-    if (e.consecutive_failures >= few || e.consecutive_failures + overdue(e) >= run ||
-        e.failure_rate > most_fail)
-      close(e, ev.outcome == Outcome::connect_failed ? "no connection"
-               : ev.outcome == Outcome::error        ? "errors"
-                                                     : "silent");
+    // Not where it may be a failure by chance: under a limit of calls, small batches would starve the rest.
+    if (background_failures.run_beyond_chance() == 1 || e.evidence.consecutive_failures() > 1)
+      e.batching.record_failed(taken);
+    const FailureEvidence::Circumstances circumstances{e.health.state(), ev.outcome, e.asked.at(now),
+                                                       overdue(e)};
+    if (e.evidence.is_outlier(circumstances, background_failures)) eject(e, ejection_by(ev.outcome));
+  }
+  // A connection that fails while calls are out and answered: the endpoint's table of connections may be
+  // full.
+  void note_connections_exhausted(EndpointState& e, Outcome outcome) {
+    if (outcome == Outcome::connect_failed && e.evidence.consecutive_failures() == 0 && !e.calls.empty() &&
+        overdue(e) == 0 && e.health.is_healthy())
+      e.concurrency.record_connections_exhausted(now, e.calls.size());
   }
+  static HealthChange ejection_by(Outcome outcome) {
+    if (outcome == Outcome::connect_failed) return HealthChange::ejected_connect_failed;
+    if (outcome == Outcome::error) return HealthChange::ejected_errors;
+    return HealthChange::ejected_unanswered;
+  }
+
   // Guards against connection tables filled by idle connections of many relays, and against connections
   // that die unseen: one that will hardly be used again before its end is closed once its call is over.
   // Costs a handshake where the next call comes sooner than the mean gap tells.
@@ -307,7 +265,7 @@
   // Called after each outcome: nearly always there is nothing to give, or it is due already.
   void give_later(EndpointState& e) {
     const Target& t = target_of(e);
-    const bool known = t.limits.has_learned(set) || e.health != Health::healthy;
+    const bool known = t.limits.has_learned(set) || !e.health.is_healthy();
     if (known || t.given_known) give_by(e, std::max(now, t.looked_at + micros(kGiveGap)));
   }
   LearnedState memory_of(const EndpointState& e, const Target& t) const {
@@ -315,12 +273,16 @@
     m.endpoint = e.info.id, m.destination = e.info.destination;
     t.limits.save(now, set, m);
     // A ramp that is over is noticed with the next message only.
-    if (e.health == Health::healthy || (e.health == Health::slow_start && now >= e.since + health_span()))
-      return m;
-    m.health = e.health, m.time_in_health = now - e.since, m.baseline_rate = e.baseline_rate;
-    m.slow_start_budget = std::clamp(budget_now(e), 0.0, 1.0);
-    m.consecutive_failures = e.consecutive_failures, m.failure_rate = e.failure_rate,
-    m.last_failure_possibly_executed = e.doubt_run, m.batch_size = e.batching.trusted();
+    if (e.health.is_healthy() || (e.health.is_slow_start() && now >= health_ends_at(e))) return m;
+    m.health = e.health.state();
+    m.time_in_health = now - e.health.since();
+    m.baseline_rate = e.slow_start.baseline_rate();
+    m.slow_start_budget =
+        std::clamp(e.slow_start.budget(now, slow_start_policy, e.recovery_phase()), 0.0, 1.0);
+    m.consecutive_failures = e.evidence.consecutive_failures();
+    m.failure_rate = e.evidence.failure_rate();
+    m.last_failure_possibly_executed = e.evidence.last_failure_possibly_executed();
+    m.batch_size = e.batching.trusted();
     return m;
   }
   // When `m` may be given: now, later, or never where it tells nothing new.
@@ -333,17 +295,18 @@
     const bool changed =
         m.blank() || !g.known
             ? m.blank() == g.known
-            : (m.health != Health::healthy && e.since != g.since) || m.consecutive_rejections != g.refusals ||
+            : (m.health != Health::healthy && e.health.since() != g.since) ||
+                  m.consecutive_rejections != g.refusals ||
                   differs(m.backoff_delay, t.limits.stored_delay_after(g.delay, now - g.at)) ||
                   differs(m.send_rate, g.pace) || differs(m.admission_probability, let_then);
     return changed ? std::max(now, g.at + micros(kGiveGap)) : kNever;
   }
   // When what was given of the endpoint is over with time alone; kNever where it takes more than that.
   Microseconds over_at(const EndpointState& e, const Target& t) const {
-    if (!e.given.known || e.health == Health::ejected) return kNever;
+    if (!e.given.known || e.health.is_ejected()) return kNever;
     Microseconds at = t.limits.blank_at(now, set);
     if (at == kNever) return kNever;
-    if (e.health == Health::slow_start) at = std::max(at, e.since + health_span());
+    if (e.health.is_slow_start()) at = std::max(at, health_ends_at(e));
     return at + 1'000;  // rounded up
   }
   std::vector<LearnedState> take_changed_state(Microseconds at, std::size_t most) {
@@ -377,7 +340,7 @@
         e->given = Given{!m.blank(),
                          now,
                          m.health,
-                         e->since,
+                         e->health.since(),
                          now + m.retry_after_left,
                          m.backoff_delay,
                          m.send_rate,
@@ -397,7 +360,7 @@
       for (const EndpointState* e : d.endpoints) {
         if (e->info.listing == Listing::gone || e->info.destination != id) continue;
         const Target& t = e->apart ? e->own : d.target;
-        const bool blank = e->health == Health::healthy && t.limits.is_blank(at);
+        const bool blank = e->health.is_healthy() && t.limits.is_blank(at);
         if (known.size() >= (blank ? most : 4 * most)) continue;
         LearnedState& m = known.emplace_back(memory_of(*e, t));
         // As of the last round, but for what runs off by itself.
@@ -411,30 +374,24 @@
     if (e.recalled) return;
     e.recalled = true;
     const LearnedState& m = ev.state;
-    // Guards against records of another make: not a number counts as the least.
-    const auto within = [](auto least, auto x, auto most) { return x > least ? std::min(x, most) : least; };
-    const Microseconds age = within(Microseconds{0}, ev.age, kNever / 4), written = now - age;
-    const Microseconds time_in_health = within(Microseconds{0}, m.time_in_health, kNever / 4);
+    const Microseconds written = now - bounded_duration(ev.age);
+    const Microseconds time_in_health = bounded_duration(m.time_in_health);
     Target& t = target_of(e);
     if (e.apart || m.destination == e.info.destination) t.limits.restore(now, written, m);
     const bool known = m.health == Health::ejected || m.health == Health::slow_start;
-    if (known && !e.heard && e.health == Health::healthy && e.consecutive_failures == 0) {
-      e.health = m.health;
-      e.baseline_rate = within(0.0, m.baseline_rate, 1e9);
-      e.consecutive_failures = within(0, m.consecutive_failures, 1'000),
-      e.failure_rate = within(0.0, m.failure_rate, 1.0);
-      e.doubt_run = m.last_failure_possibly_executed;
+    if (known && !e.heard && e.health.is_healthy() && e.evidence.consecutive_failures() == 0) {
+      // It warms up whoever calls. But none made health checks that would have kept it ejected; and it may
+      // have been ejected anew within the gap before the end.
+      const Microseconds since = m.health == Health::slow_start
+                                     ? written - time_in_health
+                                     : now - std::max<Microseconds>(0, time_in_health - micros(kGiveGap));
+      e.health.restore(*pass, m.health, since, e.info.id);
+      e.evidence.restore(m);
       e.batching.restore(m.batch_size);
-      // It warms up whoever calls. But none made trials that would have kept it closed; and it may have been
-      // closed anew within the gap before the end.
-      e.since = m.health == Health::slow_start
-                    ? written - time_in_health
-                    : now - std::max<Microseconds>(0, time_in_health - micros(kGiveGap));
-      // No more than it could have grown to, and spread as in close().
-      e.budget = within(0.0, m.slow_start_budget, 1.0), e.budget_at = written;
-      e.budget = std::min(uniform(), budget_now(e)), e.budget_at = now;
-      e.next_trial = now + trial_gap(e);
-      log("recalled " + e.info.id);
+      // No more than it could have grown to, and spread as in eject().
+      e.slow_start.begin(written, bounded(0.0, m.baseline_rate, 1e9), bounded(0.0, m.slow_start_budget, 1.0));
+      e.slow_start.limit_budget(now, uniform(), slow_start_policy, e.recovery_phase());
+      e.slow_start.schedule_health_check(now + trial_gap(e));
     }
     count_trials(e);
     send_queue.unblock(e.info.destination);
@@ -472,10 +429,11 @@
     // A new endpoint of a destination that is out or returning is no way around its siblings' state.
     const EndpointState* model = nullptr;
     for (const auto* other : siblings)
-      if (model == nullptr || other->health == Health::healthy) model = other;
-    if (model != nullptr && !e.apart && model->health != Health::healthy) {
-      e.health = model->health, e.since = model->since, e.baseline_rate = model->baseline_rate;
-      e.budget_at = now, e.next_trial = now, e.budget = uniform();
+      if (model == nullptr || other->health.is_healthy()) model = other;
+    if (model != nullptr && !e.apart && !model->health.is_healthy()) {
+      e.health.copy_from(model->health);
+      e.slow_start.begin(now, model->slow_start.baseline_rate(), uniform());
+      e.slow_start.schedule_health_check(now);
       give_by(e, now);
     }
     siblings.push_back(&e);
@@ -526,7 +484,7 @@
     list_changed = false;
     for (auto it = gone.begin(); it != gone.end();) {
       EndpointState& e = endpoints.at(*it);
-      const bool known = e.health != Health::healthy && now < e.since + health_span();
+      const bool known = !e.health.is_healthy() && now < health_ends_at(e);
       if (!e.calls.empty() || known || e.own.limits.retry_after_until() > now) {
         ++it;
         continue;
@@ -579,7 +537,7 @@
       if (ev.outcome == Outcome::served)
         call_served(e, sent, ev.latency);
       else if (ev.outcome == Outcome::rejected)
-        call_refused(e);
+        call_rejected(e);
       else
         call_failed(e, ev, call.batch_size());
       give_later(e);
@@ -611,36 +569,34 @@
     if (held > now) return when = std::min(when, held), false;
     if (room_in_call(e)) return true;
     if (calls.full()) return false;
+    advance_health(e);
     const Microseconds ready = std::max(budget_ready(e), t.limits.send_rate_ready_at());
     // Its health changes with time, whatever else keeps messages from it.
-    if (e.health != Health::healthy) when = std::min(when, e.since + health_span());
+    if (!e.health.is_healthy()) when = std::min(when, health_ends_at(e));
     if (ready > now) return when = std::min(when, ready), false;
-    if (e.health == Health::ejected && m.request_class->idempotency == Idempotency::non_idempotent &&
-        e.doubt_run && now < m.objective_at) {
+    if (e.health.is_ejected() && m.request_class->idempotency == Idempotency::non_idempotent &&
+        e.evidence.last_failure_possibly_executed() && now < m.objective_at) {
       // A trial call that may be lost is no place for a message that can't be repeated.
       return gate.own = true, when = std::min(when, m.objective_at), false;
     }
-    if (static_cast<int>(e.calls.size()) >= call_limit(e)) return gate.trial |= on_trial(e), false;
-    return !own_try || e.health != Health::healthy || try_comes(m, t, gate);
+    if (static_cast<int>(e.calls.size()) >= call_limit(e)) return gate.trial |= e.is_on_trial(), false;
+    return !own_try || !e.health.is_healthy() || try_comes(m, t, gate);
   }
   bool room_in_call(const EndpointState& e) const { return e.batching.has_room(now); }
   // Bulkhead: one endpoint's calls out, so that a silent or slow one can't hold the slots of the rest.
   int call_limit(EndpointState& e) {
     // Trials are spaced; all of them out together may hold a part of the slots only.
-    if (on_trial(e)) return trial_free() ? set.max_concurrent_calls : 0;
-    const bool is_doubtful = overdue(e) > 0 || e.consecutive_failures > 0;
+    if (e.is_on_trial()) return trial_free() ? set.max_concurrent_calls : 0;
+    const bool is_doubtful = overdue(e) > 0 || e.evidence.consecutive_failures() > 0;
     return e.concurrency.limit(set, {is_doubtful, e.served.at(now), e.latency.recent()});
   }
-  bool on_trial(const EndpointState& e) const {
-    return e.health != Health::healthy && e.consecutive_failures > 0;
-  }
   bool trial_free() const { return health_check_slots.is_any_free(set); }
   // Cheaper first: shorter expected wait there, its fee, the distance.
   double price(const EndpointState& e) const {
     const auto zone = static_cast<std::size_t>(e.info.zone);
     const double fee = e.apart && zone < set.zone_costs.size() ? set.zone_costs[zone] : 0;
-    const double load = static_cast<double>(e.calls.size()) + 1 + e.consecutive_failures;
-    return load * e.latency.recent() * (e.health == Health::slow_start ? 2 : 1) * (1 + fee) +
+    const double load = static_cast<double>(e.calls.size()) + 1 + e.evidence.consecutive_failures();
+    return load * e.latency.recent() * (e.health.is_slow_start() ? 2 : 1) * (1 + fee) +
            (e.info.zone == set.zone ? 0 : 0.02);
   }
   bool try_send(Request& m, Gate& gate) {
@@ -657,7 +613,7 @@
     if (best == nullptr) return false;
     Target& t = target_of(*best);
     const bool by_share =
-        best->health == Health::healthy && !(m.unattempted && !t.limits.is_presumed_unavailable(set));
+        best->health.is_healthy() && !(m.unattempted && !t.limits.is_presumed_unavailable(set));
     gate.chance = !room_in_call(*best) && by_share && !t.limits.admit(*pass);
     // Another route may take it in the next round.
     if (gate.chance && destination->second.endpoints.size() > 1) wake_by(now);
@@ -673,11 +629,14 @@
       e.batching.begin_call(call, now);
       count_trials(e);
       if (e.batching.trusted() > 1) share_call(m, e);
-      if (e.health == Health::healthy && m.attempts_made == 0) e.asked.add(now);
+      if (e.health.is_healthy() && m.attempts_made == 0) e.asked.add(now);
       e.connections.record_call_began(now);
       t.limits.consume(now);
-      if (e.health != Health::healthy) save_budget(e), e.budget -= 1;
-      if (e.health == Health::ejected) e.next_trial = now + trial_gap(e);
+      if (!e.health.is_healthy()) {
+        settle_budget(e);
+        e.slow_start.consume();
+      }
+      if (e.health.is_ejected()) e.slow_start.schedule_health_check(now + trial_gap(e));
       if (overdue(e) > 0) e.connections.close_in_doubt(*pass, e.info.id);
     }
     e.batching.add_request();
--- /dev/null
+++ b/src/endpoint_health.hpp
@@ -0,0 +1,44 @@
+// The health of one endpoint, and the one place that logs its changes.
+#pragma once
+
+#include <string_view>
+
+#include "decision_pass.hpp"
+#include "heronvane/dispatch/dispatcher.hpp"
+
+namespace heronvane::dispatch {
+
+// Why an endpoint is in the health that it enters.
+enum class HealthChange {
+  ejected_connect_failed,
+  ejected_errors,
+  ejected_unanswered,
+  ejected_rejections,
+  served_after_ejection,  // ejected -> slow_start
+  answered_late,          // ejected -> healthy: overdue calls were answered after all
+  outage_expired,         // ejected -> slow_start: what is known of the outage is too old
+  warmed_up,              // slow_start -> healthy
+};
+
+class EndpointHealth {
+ public:
+  Health state() const { return state_; }
+  bool is_healthy() const { return state_ == Health::healthy; }
+  bool is_ejected() const { return state_ == Health::ejected; }
+  bool is_slow_start() const { return state_ == Health::slow_start; }
+  // When the present health was entered; an ejection that is confirmed counts anew.
+  Microseconds since() const { return since_; }
+
+  // Enters the health that `change` leads to and logs it; confirming an ejection logs nothing.
+  void apply(DecisionPass& pass, HealthChange change, const EndpointId& endpoint);
+  // Takes a health that was `learned` at an earlier moment: by an earlier incarnation, which is logged, or
+  // with a new endpoint from its siblings, which is not.
+  void restore(DecisionPass& pass, Health learned, Microseconds since, const EndpointId& endpoint);
+  void copy_from(const EndpointHealth& sibling) { *this = sibling; }
+
+ private:
+  Health state_ = Health::healthy;
+  Microseconds since_ = 0;
+};
+
+}  // namespace heronvane::dispatch
--- a/src/state.hpp
+++ b/src/state.hpp
@@ -14,12 +14,15 @@
 #include "concurrency.hpp"
 #include "connection_reuse.hpp"
 #include "endpoint_calls.hpp"
+#include "endpoint_health.hpp"
 #include "heronvane/dispatch/dispatcher.hpp"
 #include "latency.hpp"
+#include "outlier_detection.hpp"
 #include "rate_limit_scope.hpp"
 #include "rates.hpp"
 #include "request.hpp"
 #include "send_queue.hpp"
+#include "slow_start.hpp"
 #include "time_units.hpp"
 
 namespace heronvane::dispatch {
@@ -65,17 +68,15 @@
   ConnectionReuse connections;
   LatencyEstimate latency;
   Rate served{kRateMemory}, asked{kLongMemory};  // calls served; first tries while open
-  double failure_rate = 0;
-  int consecutive_failures = 0;  // failed calls since the last serve
-  int strays = 0;                // resets and errors among them
-  bool doubt_run = false;        // the last failure may have run
-  Health health = Health::healthy;
-  double baseline_rate = 0;  // served calls a second before the trouble
-  Microseconds since = 0;    // of the present health
-  double budget = 0;         // calls allowed while closed or in the ramp
-  Microseconds budget_at = 0, next_trial = 0;
+  FailureEvidence evidence;
+  EndpointHealth health;
+  SlowStart slow_start;
   bool heard = false, recalled = false;  // a call ended in this life; a record of an earlier one was taken
   Given given;
+
+  // Ejected or recovering, and nothing served since the last failure: its calls are health checks.
+  bool is_on_trial() const { return !health.is_healthy() && evidence.consecutive_failures() > 0; }
+  RecoveryPhase recovery_phase() const { return {health.state(), health.since(), is_on_trial()}; }
 };
 
 struct DestinationState {
--- a/tests/policy/rates_test.cpp
+++ b/tests/policy/rates_test.cpp
@@ -1,5 +1,6 @@
 // What an endpoint that warms up may get: the sum of small steps of its rate, and the way back.
 #include "rates.hpp"
+#include "slow_start.hpp"
 
 #include <gtest/gtest.h>
 
@@ -14,16 +15,16 @@
   for (int i = 0; i < 2'000; i++) {
     const double full = 0.001 + 20 * part(), warm = part(), rise = random() % 3 == 0 ? 0 : part();
     const double most = random() % 3 == 0 ? kUnbounded : 0.001 + 20 * part();
-    const Growth g(full, most, warm, rise);
+    const BudgetGrowth g(full, most, warm, rise);
     double sum = 0, t = 0;
     constexpr double kStep = 0.001;
     for (int j = 0; j < 3'000; j++, t += kStep)
       sum += std::min(full * (warm + rise * (t + kStep / 2)), most) * kStep;
-    EXPECT_NEAR(g.after(t), sum, 1e-3 * std::max(1.0, sum));
+    EXPECT_NEAR(g.calls_after(t), sum, 1e-3 * std::max(1.0, sum));
     const double calls = 0.01 + part();
-    const double s = g.until(calls);
+    const double s = g.seconds_until(calls);
     if (s > 1e6) continue;  // never, nearly
-    EXPECT_NEAR(g.after(s), calls, 1e-6) << full << " " << warm << " " << rise << " " << most;
+    EXPECT_NEAR(g.calls_after(s), calls, 1e-6) << full << " " << warm << " " << rise << " " << most;
   }
 }
 
