--- a/relay/recent.hpp
+++ b/relay/core/completed_request_cache.hpp
@@ -10,9 +10,9 @@
 
 namespace heronvane {
 
-class RecentIds {
+class CompletedRequestCache {
  public:
-  explicit RecentIds(Microseconds kept) : kept_(kept) {}
+  explicit CompletedRequestCache(Microseconds kept) : kept_(kept) {}
   void add(const std::string& id, Microseconds now) {
     while (!order_.empty() && (now >= order_.front().first || order_.size() >= kMost)) {
       ids_.erase(order_.front().second);
--- a/relay/core/round_gap.hpp
+++ b/relay/core/cycle_pacing.hpp
@@ -10,10 +10,10 @@
 
 namespace heronvane {
 
-class RoundGap {
+class CyclePacing {
  public:
   using Microseconds = heronvane::dispatch::Microseconds;
-  RoundGap(Microseconds tick, bool early) : tick_(tick), early_(early) {}
+  CyclePacing(Microseconds tick, bool early) : tick_(tick), early_(early) {}
 
   // After a round that took so long.
   void ran(Microseconds took) {
--- a/relay/core/held_gauge.cpp
+++ b/relay/core/in_flight_gauge.cpp
@@ -1,17 +1,17 @@
-#include "core/held_gauge.hpp"
+#include "core/in_flight_gauge.hpp"
 
 #include <algorithm>
 
 namespace heronvane {
 
-void HeldGauge::taken(MessageId number, const std::string& message_class, Microseconds when) {
+void InFlightGauge::taken(MessageId number, const std::string& message_class, Microseconds when) {
   const auto of_class = by_class_.try_emplace(message_class).first;
   if (!held_.emplace(number, Entry{when / kStep, of_class}).second) return;
   of_class->second++;
   by_step_[when / kStep]++;
 }
 
-void HeldGauge::over(MessageId number) {
+void InFlightGauge::over(MessageId number) {
   const auto it = held_.find(number);
   if (it == held_.end()) return;
   const auto step = by_step_.find(it->second.step);
@@ -20,7 +20,7 @@
   held_.erase(it);
 }
 
-HeldGauge::Counts HeldGauge::counts(Microseconds now) const {
+InFlightGauge::Counts InFlightGauge::counts(Microseconds now) const {
   Counts c;
   c.by_class = by_class_;
   if (by_step_.empty()) return c;
--- a/relay/core/held_gauge.hpp
+++ b/relay/core/in_flight_gauge.hpp
@@ -11,7 +11,7 @@
 
 namespace heronvane {
 
-class HeldGauge {
+class InFlightGauge {
  public:
   static constexpr Microseconds kStep = 50'000;  // ages are told to this
 
--- a/relay/core/outbox.cpp
+++ b/relay/core/outbox.cpp
@@ -9,9 +9,9 @@
     it->first = ticket;
 }
 
-std::optional<Plan> Outbox::next(std::uint64_t durable) {
+std::optional<WriteAheadPlan> Outbox::next(std::uint64_t durable) {
   if (waiting_.empty() || waiting_.front().first > durable) return std::nullopt;
-  Plan plan = std::move(waiting_.front().second);
+  WriteAheadPlan plan = std::move(waiting_.front().second);
   waiting_.pop_front();
   return plan;
 }
@@ -43,12 +43,12 @@
               withdrawn);
 }
 
-std::vector<Plan::Answered> Outbox::take_answers(bool written) {
-  std::vector<Plan::Answered> all;
+std::vector<WriteAheadPlan::PendingReply> Outbox::take_replies(bool written) {
+  std::vector<WriteAheadPlan::PendingReply> all;
   for (auto& [ticket, plan] : waiting_) {
     if (!written && ticket != kNotWritten) continue;
-    std::move(plan.answers.begin(), plan.answers.end(), std::back_inserter(all));
-    plan.answers.clear();
+    std::move(plan.replies.begin(), plan.replies.end(), std::back_inserter(all));
+    plan.replies.clear();
   }
   return all;
 }
--- a/relay/core/outbox.hpp
+++ b/relay/core/outbox.hpp
@@ -17,23 +17,23 @@
 
 namespace heronvane {
 
-struct Answer {
+struct ClientReply {
   unsigned status = 202;
   Microseconds retry_after = 0;       // 0: none
   std::string_view turned_down = {};  // why the message makes no sense, where it makes none; a literal
 };
-using Reply = std::function<void(const Answer&)>;
+using ReplyCallback = std::function<void(const ClientReply&)>;
 
-struct Plan {
-  struct Answered {
+struct WriteAheadPlan {
+  struct PendingReply {
     MessageId id = 0;  // 0: of none that is held
-    Reply reply;
-    Answer answer;
+    ReplyCallback callback;
+    ClientReply reply;
   };
-  std::vector<Answered> answers;
+  std::vector<PendingReply> replies;
   std::vector<std::pair<EndpointId, std::vector<Outgoing>>> calls;
-  std::vector<MessageId> endings;  // whose notices are owed from now on
-  bool empty() const { return answers.empty() && calls.empty() && endings.empty(); }
+  std::vector<MessageId> notifications;  // whose notices are owed from now on
+  bool empty() const { return replies.empty() && calls.empty() && notifications.empty(); }
 };
 
 class Outbox {
@@ -43,12 +43,12 @@
 
   // A plan whose records are not written yet; once they are, `ticket` tells the last one that must stand.
   // Tickets ascend.
-  void put(Plan plan) {
+  void put(WriteAheadPlan plan) {
     if (!plan.empty()) waiting_.emplace_back(kNotWritten, std::move(plan));
   }
   void written(std::uint64_t ticket);
   // The next plan whose records stand when those up to `durable` do; nothing while there is none.
-  std::optional<Plan> next(std::uint64_t durable);
+  std::optional<WriteAheadPlan> next(std::uint64_t durable);
   bool empty() const { return waiting_.empty(); }
 
   // Takes back calls that wait: all to an endpoint, all, or one attempt of a message.
@@ -56,15 +56,15 @@
   void withdraw_all(const Withdrawn& withdrawn);
   void withdraw(MessageId id, int attempt, const Withdrawn& withdrawn);
   // Answers that wait, to be given otherwise: all, or those whose records are not written.
-  std::vector<Plan::Answered> take_answers() { return take_answers(true); }
-  std::vector<Plan::Answered> take_unwritten_answers() { return take_answers(false); }
+  std::vector<WriteAheadPlan::PendingReply> take_replies() { return take_replies(true); }
+  std::vector<WriteAheadPlan::PendingReply> take_unwritten_replies() { return take_replies(false); }
 
  private:
   static constexpr std::uint64_t kNotWritten = std::numeric_limits<std::uint64_t>::max();
-  std::vector<Plan::Answered> take_answers(bool written);
+  std::vector<WriteAheadPlan::PendingReply> take_replies(bool written);
   template <class Pick>
   void withdraw_if(Pick pick, const Withdrawn& withdrawn);
-  std::deque<std::pair<std::uint64_t, Plan>> waiting_;
+  std::deque<std::pair<std::uint64_t, WriteAheadPlan>> waiting_;
 };
 
 }  // namespace heronvane
--- a/relay/core/status.hpp
+++ b/relay/core/status.hpp
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "core/drain.hpp"
-#include "core/held_gauge.hpp"
+#include "core/in_flight_gauge.hpp"
 #include "core/message.hpp"
 #include "heronvane/dispatch/dispatcher.hpp"
 #include "settings.hpp"
@@ -26,7 +26,7 @@
   bool ready = false, draining = false, stopping = false;
   Fence fence = 0;
   std::size_t held = 0, given_up = 0;
-  HeldGauge::Counts counts;
+  InFlightGauge::Counts counts;
   std::size_t calls = 0, slots = 0, clients = 0;
   std::vector<Target> targets;
   std::uint64_t store_bytes = 0, store_limit = 0;
--- a/relay/core/wake.hpp
+++ b/relay/core/suspend_detector.hpp
@@ -17,7 +17,7 @@
   return static_cast<Microseconds>(t.tv_sec) * 1'000'000 + t.tv_nsec / 1'000;
 }
 
-class WakeWatch {
+class SuspendDetector {
  public:
   static constexpr Microseconds kBeat = 500'000;        // the loop turns at least so often
   static constexpr Microseconds kStopped = 2'000'000;   // stood still so long, it was stopped
--- a/relay/intake.cpp
+++ b/relay/intake.cpp
@@ -274,13 +274,13 @@
     }
     Handed handed = read_message(request, intake_.settings_, intake_.names_);
     if (handed.refused > 0) return turn_down(handed.refused, handed.why);
-    intake_.take_(std::move(handed.message), handed.left, [self = shared_from_this()](const Answer& a) {
+    intake_.take_(std::move(handed.message), handed.left, [self = shared_from_this()](const ClientReply& a) {
       a.turned_down.empty() ? self->answer(a) : self->turn_down(a.status, a.turned_down.data());
     });
   }
 
   // `why`, where it was turned down, is for people who read the answer.
-  void answer(const Answer& a, const char* why = nullptr) {
+  void answer(const ClientReply& a, const char* why = nullptr) {
     if (closed_) return;
     response_ = {};
     response_.version(11);
--- a/relay/intake.hpp
+++ b/relay/intake.hpp
@@ -24,7 +24,7 @@
 class Intake {
  public:
   // The message without its deadline, and the time that is left until then.
-  using Take = std::function<void(Message, Microseconds left, Reply)>;
+  using Take = std::function<void(Message, Microseconds left, ReplyCallback)>;
   using Ready = std::function<bool()>;
 
   // Accepts on `listener` at once. Each message goes to `take`, which answers by the reply, once, then or
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -156,7 +156,9 @@
   intake_.emplace(
       io, std::move(listener_), config.settings, config.names,
       IntakeLimits{config.client_connections, config.memory_bytes / kBodyPart},
-      [this](Message m, Microseconds left, Reply reply) { arrive(std::move(m), left, std::move(reply)); },
+      [this](Message m, Microseconds left, ReplyCallback reply) {
+        arrive(std::move(m), left, std::move(reply));
+      },
       [this] { return ready(); });
   beat();
   look_drained();
@@ -212,7 +214,7 @@
 }
 
 // ---- What comes in. ----
-void Relay::arrive(Message message, Microseconds left, Reply reply) {
+void Relay::arrive(Message message, Microseconds left, ReplyCallback reply) {
   // Of one id at a time: what the first is told holds for all.
   if (const auto first = twins_.find(message.id); first != twins_.end())
     return first->second.push_back(std::move(reply));
@@ -234,21 +236,21 @@
   if (unwritten_) return refuse(reply, "the folder can't be written");
   if (!store_.admit(message)) return refuse(reply, "no room in the folder or memory");
   reply = shared(message.id, std::move(reply));
-  if (HERONVANE_DEFECT("answer-before-record")) std::exchange(reply, [](const Answer&) {})({202, 0});
+  if (HERONVANE_DEFECT("answer-before-record")) std::exchange(reply, [](const ClientReply&) {})({202, 0});
   arrived_.push_back({std::move(message), std::move(reply)});
   schedule(true);
 }
 
 // Nothing was taken on; the client may come again.
-void Relay::refuse(const Reply& reply, const char* why) {
+void Relay::refuse(const ReplyCallback& reply, const char* why) {
   refused_.add(why);
   reply({503, kComeBack});
 }
 
 // A reply that answers all that hand in this id until then.
-Reply Relay::shared(const std::string& id, Reply reply) {
+ReplyCallback Relay::shared(const std::string& id, ReplyCallback reply) {
   twins_[id];
-  return [this, id, reply = std::move(reply)](const Answer& a) {
+  return [this, id, reply = std::move(reply)](const ClientReply& a) {
     reply(a);
     const auto twins = twins_.extract(id);
     for (const auto& twin : twins.mapped()) twin(a);
@@ -354,7 +356,7 @@
   round_due_ = false;
   if (!turned()) return;
   last_round_ = steady_now();
-  Plan plan;
+  WriteAheadPlan plan;
   for (auto& a : std::exchange(arrived_, {})) {
     const MessageId id = store_.next_number();
     numbers_[a.message.id] = id;
@@ -370,7 +372,8 @@
   }
   for (auto& [id, reply] : unanswered_) {
     const bool refused = HERONVANE_DEFECT_NOW("refuse-yet-keep");
-    plan.answers.push_back({id, std::move(reply), refused ? Answer{503, kComeBack} : Answer{202, 0}});
+    plan.replies.push_back(
+        {id, std::move(reply), refused ? ClientReply{503, kComeBack} : ClientReply{202, 0}});
   }
   unanswered_.clear();
   settle(std::move(plan));
@@ -378,7 +381,7 @@
   round_gap_.ran(steady_now() - last_round_);
 }
 
-void Relay::decide(Plan& plan) {
+void Relay::decide(WriteAheadPlan& plan) {
   std::vector<heronvane::dispatch::Action> actions;
   filling_.clear();
   const auto events = std::exchange(events_, {});
@@ -407,7 +410,7 @@
   }
 }
 
-void Relay::send(Plan& plan, const action::Send& a) {
+void Relay::send(WriteAheadPlan& plan, const action::Send& a) {
   const Held* const held = store_.find(a.id);
   const auto* const endpoint = directory_.find(a.endpoint);
   if (held == nullptr || held->ending) return;
@@ -435,19 +438,19 @@
 }
 
 // An end that is not a delivery: told in the answer where the client still waits for it, else by a notice.
-void Relay::finish(Plan& plan, MessageId id, const Ending& decided) {
+void Relay::finish(WriteAheadPlan& plan, MessageId id, const Ending& decided) {
   const Held* const held = store_.find(id);
   if (held == nullptr || held->ending) return;
   const Ending ending = HERONVANE_DEFECT("refuse-in-doubt") ? Ending{true, kComeBack} : decided;
   if (const auto waiting = unanswered_.find(id); waiting != unanswered_.end()) {
     refused_.add(ending.deferred ? "turned away by the decisions" : "failed by the decisions");
-    plan.answers.push_back(
-        {0, std::move(waiting->second), ending.deferred ? Answer{503, ending.again} : Answer{504, 0}});
+    plan.replies.push_back({0, std::move(waiting->second),
+                            ending.deferred ? ClientReply{503, ending.again} : ClientReply{504, 0}});
     unanswered_.erase(waiting);
     return over(id, false);
   }
   store_.ending(id, ending);
-  plan.endings.push_back(id);
+  plan.notifications.push_back(id);
 }
 
 void Relay::over(MessageId id, bool was_taken_on) {
@@ -485,7 +488,7 @@
 }
 
 // Writes the records, then does what waited for them.
-void Relay::settle(Plan plan) {
+void Relay::settle(WriteAheadPlan plan) {
   settle_due_ = false;
   outbox_.put(std::move(plan));
   HERONVANE_POINT("commit.before");
@@ -505,7 +508,7 @@
   if (copies_ && !outbox_.empty()) copies_->hurry();
   carry_out();
   // Their records may stand after all, so nothing is promised.
-  if (store_.sync_hangs()) turn_away(outbox_.take_answers(), 504);
+  if (store_.sync_hangs()) turn_away(outbox_.take_replies(), 504);
   if (!store_.trouble().empty() || !outbox_.empty()) retry_later();
 }
 
@@ -515,8 +518,8 @@
   unwritten_ = true;
   HERONVANE_POINT("not-written");
   // Their clients wait only so long: what stands in no record was not taken on. Others wait for their sync.
-  turn_away(outbox_.take_unwritten_answers(), 503);
-  if (store_.sync_hangs()) turn_away(outbox_.take_answers(), 504);
+  turn_away(outbox_.take_unwritten_replies(), 503);
+  if (store_.sync_hangs()) turn_away(outbox_.take_replies(), 504);
   outbox_.withdraw_all([this](const EndpointId& to, const Outgoing& m) { take_back(to, m); });
   retry_later();
 }
@@ -526,7 +529,7 @@
   carry_out();
   if (!store_.trouble().empty()) {
     // Their records may stand after all, so nothing is promised.
-    turn_away(outbox_.take_answers(), 504);
+    turn_away(outbox_.take_replies(), 504);
     retry_later();
   }
   if (store_.wants_compaction()) compact();
@@ -558,10 +561,10 @@
   }
 }
 
-void Relay::turn_away(std::vector<Plan::Answered> answers, unsigned status) {
+void Relay::turn_away(std::vector<WriteAheadPlan::PendingReply> answers, unsigned status) {
   for (auto& a : answers) {
     HERONVANE_POINT("turn-away.before");
-    a.reply({status, status == 503 ? kComeBack : 0});
+    a.callback({status, status == 503 ? kComeBack : 0});
     if (a.id == 0) continue;
     refused_.add("its record could not be written in time");
     over(a.id, false);
@@ -571,13 +574,13 @@
 
 void Relay::carry_out() {
   while (auto plan = outbox_.next(store_.durable())) {
-    for (auto& a : plan->answers) {
+    for (auto& r : plan->replies) {
       HERONVANE_POINT("reply.before");
-      a.reply(a.answer);
+      r.callback(r.reply);
       HERONVANE_POINT("reply.after");
     }
     for (auto& [endpoint, messages] : plan->calls) begin(endpoint, std::move(messages));
-    for (const MessageId id : plan->endings) {
+    for (const MessageId id : plan->notifications) {
 #ifdef HERONVANE_FAIL_POINTS
       if (HERONVANE_DEFECT("no-notice")) continue;
       if (HERONVANE_DEFECT("late-end")) {
--- a/relay/relay.hpp
+++ b/relay/relay.hpp
@@ -17,23 +17,23 @@
 #include "calls.hpp"
 #include "config.hpp"
 #include "core/alarm.hpp"
+#include "core/completed_request_cache.hpp"
+#include "core/cycle_pacing.hpp"
 #include "core/directory.hpp"
 #include "core/drain.hpp"
-#include "core/held_gauge.hpp"
+#include "core/in_flight_gauge.hpp"
 #include "core/list_memory.hpp"
 #include "core/log_copies.hpp"
 #include "core/outbox.hpp"
-#include "core/round_gap.hpp"
 #include "core/status.hpp"
+#include "core/suspend_detector.hpp"
 #include "core/target_memory.hpp"
-#include "core/wake.hpp"
 #include "fronts/front.hpp"
 #include "heronvane/dispatch/dispatcher.hpp"
 #include "intake.hpp"
 #include "log.hpp"
 #include "peers.hpp"
 #include "platform.hpp"
-#include "recent.hpp"
 #include "store/disk.hpp"
 #include "store/store.hpp"
 #include "store/sync_thread.hpp"
@@ -66,7 +66,7 @@
  private:
   struct Arrived {
     Message message;
-    Reply reply;
+    ReplyCallback reply;
   };
 
   std::unique_ptr<Peers> hear_peers();
@@ -74,7 +74,7 @@
   void tell_listed(const std::vector<heronvane::dispatch::Endpoint>& endpoints);
   void tell_next_listed();
   bool keep(const std::string& key, const std::string& value);
-  void arrive(Message message, Microseconds left, Reply reply);
+  void arrive(Message message, Microseconds left, ReplyCallback reply);
   void ended(const heronvane::dispatch::event::AttemptEnded& e);
   void listed(MemberList list);
   template <class E>
@@ -85,8 +85,8 @@
   void schedule(bool urgent = false);
   void settle_soon();
   void round();
-  void decide(Plan& plan);
-  void settle(Plan plan = {});
+  void decide(WriteAheadPlan& plan);
+  void settle(WriteAheadPlan plan = {});
   void synced();
   void not_written();
   void retry_later();
@@ -96,12 +96,12 @@
   void carry_out();
   void begin(const EndpointId& endpoint, std::vector<Outgoing> messages);
   void take_back(const EndpointId& endpoint, const Outgoing& message);
-  void turn_away(std::vector<Plan::Answered> answers, unsigned status);
+  void turn_away(std::vector<WriteAheadPlan::PendingReply> answers, unsigned status);
   void over(MessageId id, bool was_taken_on = true);
-  void refuse(const Reply& reply, const char* why);
-  Reply shared(const std::string& id, Reply reply);
-  void send(Plan& plan, const heronvane::dispatch::action::Send& a);
-  void finish(Plan& plan, MessageId id, const Ending& ending);
+  void refuse(const ReplyCallback& reply, const char* why);
+  ReplyCallback shared(const std::string& id, ReplyCallback reply);
+  void send(WriteAheadPlan& plan, const heronvane::dispatch::action::Send& a);
+  void finish(WriteAheadPlan& plan, MessageId id, const Ending& ending);
   void set_timer(Microseconds after, std::uint64_t token);
   void arm_timers();
   void hold_back(const EndpointId& endpoint);
@@ -168,13 +168,13 @@
   Directory directory_;
   std::unordered_map<EndpointId, std::size_t> filling_;  // of the plan that is made, the last call to each
   std::unordered_map<std::string, MessageId> numbers_;   // of the messages held, by the client's id
-  std::map<MessageId, Reply> unanswered_;                // taken in this round
+  std::map<MessageId, ReplyCallback> unanswered_;        // taken in this round
   // Ids that wait for their answer, with those that handed the same one in meanwhile.
-  std::unordered_map<std::string, std::vector<Reply>> twins_;
-  RecentIds recent_;        // taken on and over; those that may run again
-  Tally refused_;           // told once a second, by reason
-  HeldGauge gauge_;         // kept where there is an admin socket
-  bool list_told_ = false;  // by discovery, in this life
+  std::unordered_map<std::string, std::vector<ReplyCallback>> twins_;
+  CompletedRequestCache recent_;  // taken on and over; those that may run again
+  Tally refused_;                 // told once a second, by reason
+  InFlightGauge gauge_;           // kept where there is an admin socket
+  bool list_told_ = false;        // by discovery, in this life
   std::deque<std::vector<heronvane::dispatch::Endpoint>>
       listed_later_;  // told by a list, not to the module yet
   std::vector<Arrived> arrived_;
@@ -182,14 +182,14 @@
   std::multimap<Microseconds, std::uint64_t> timers_;
   Microseconds last_round_ = 0, stop_at_ = 0;
   bool list_missed_ = false;  // the list changed meanwhile
-  RoundGap round_gap_;
+  CyclePacing round_gap_;
   Microseconds round_at_ = 0;  // when the next is due
   bool round_due_ = false, settle_due_ = false, compacting_ = false, stopping_ = false, frozen_ = false;
   DrainState drain_;
   bool changing_drain_ = false;   // until it is kept
   bool drained_failed_ = false;   // the file could not be written, as was told
   Microseconds quiet_since_ = 0;  // nothing is held or owed; 0: something is
-  WakeWatch wake_;
+  SuspendDetector wake_;
   bool waking_ = false;  // the module is not asked
   std::int64_t generation_;
   Alarm beat_timer_, wake_timer_, drained_timer_;
--- a/relay/relay_copies.cpp
+++ b/relay/relay_copies.cpp
@@ -24,14 +24,14 @@
   h.disown = [this] { disown(); };
   h.taken_over = [this](MessageId from, MessageId to) { taken_over(from, to); };
   // Their records may stand after all, so nothing is promised.
-  h.wait_is_over = [this] { turn_away(outbox_.take_answers(), 504); };
+  h.wait_is_over = [this] { turn_away(outbox_.take_replies(), 504); };
   return std::make_unique<copies::Copies>(io_, store_, std::move(o), std::move(h));
 }
 
 // All that is held is another relay's: it is ended there. Calls that are out may still be answered, and
 // nobody asks.
 void Relay::disown() {
-  turn_away(outbox_.take_answers(), 504);
+  turn_away(outbox_.take_replies(), 504);
   outbox_.withdraw_all([this](const EndpointId& to, const Outgoing& m) { take_back(to, m); });
   std::vector<MessageId> all;
   for (const auto& [id, held] : store_.held()) all.push_back(id);
@@ -67,7 +67,7 @@
     count++;
     if (!adopt(id, held)) unknown.push_back(id);
   }
-  Plan plan;
+  WriteAheadPlan plan;
   for (const MessageId id : unknown) finish(plan, id, {});
   // It may have run over there: it must not run here.
   for (const MessageId id : in_doubt) {
--- a/relay/relay_lifecycle.cpp
+++ b/relay/relay_lifecycle.cpp
@@ -44,7 +44,7 @@
   std::vector<MessageId> unknown;
   for (const auto& [id, held] : store_.held())
     if (!(copies_ && copies_->parked(id)) && !adopt(id, held)) unknown.push_back(id);
-  Plan plan;
+  WriteAheadPlan plan;
   for (const MessageId id : unknown) finish(plan, id, {});  // a class that the settings no longer have
   settle(std::move(plan));
   if (!store_.held().empty()) log("recovered " + std::to_string(store_.held().size()) + " messages");
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -6,7 +6,7 @@
 #include <random>
 
 #include "admin_harness.hpp"
-#include "core/held_gauge.hpp"
+#include "core/in_flight_gauge.hpp"
 #include "core/status.hpp"
 #include "fronts/admin_request.hpp"
 
@@ -17,9 +17,9 @@
 const char* const kUnsafe = "pay-and-order";
 
 // ---- Without sockets. ----
-TEST(HeldGauge, CountsByClassAndAge) {
+TEST(InFlightGauge, CountsByClassAndAge) {
   constexpr Microseconds kSecond = 1'000'000;
-  HeldGauge g;
+  InFlightGauge g;
   EXPECT_EQ(g.counts(0).oldest, 0);
   g.taken(1, "a", 0), g.taken(2, "a", 60 * kSecond), g.taken(3, "b", 87 * kSecond),
       g.taken(4, "b", 90 * kSecond);
--- a/tests/round_gap_test.cpp
+++ b/tests/cycle_pacing_test.cpp
@@ -1,5 +1,5 @@
 // What can be sent does not wait for the settings' tick where the operator lets rounds come early.
-#include "core/round_gap.hpp"
+#include "core/cycle_pacing.hpp"
 
 #include <fstream>
 
@@ -8,15 +8,15 @@
 namespace heronvane::testing {
 namespace {
 
-TEST(RoundGap, BindsToTheTickUnlessEarly) {
-  RoundGap gap(5'000, false);
+TEST(CyclePacing, BindsToTheTickUnlessEarly) {
+  CyclePacing gap(5'000, false);
   EXPECT_EQ(gap.urgent(), 5'000);
   gap.ran(10);
   EXPECT_EQ(gap.urgent(), 5'000);
 }
 
-TEST(RoundGap, GrowsWithWhatARoundTakesUpToTheTick) {
-  RoundGap gap(5'000, true);
+TEST(CyclePacing, GrowsWithWhatARoundTakesUpToTheTick) {
+  CyclePacing gap(5'000, true);
   const auto idle = gap.urgent();
   EXPECT_LT(idle, 1'000);
   for (int i = 0; i < 100; i++) gap.ran(300);
@@ -29,7 +29,7 @@
   EXPECT_EQ(gap.urgent(), idle);
 }
 
-TEST(RoundGap, NeverExceedsASmallTick) { EXPECT_LE(RoundGap(100, true).urgent(), 100); }
+TEST(CyclePacing, NeverExceedsASmallTick) { EXPECT_LE(CyclePacing(100, true).urgent(), 100); }
 
 #ifdef HERONVANE_SETTINGS_FILE
 class EarlyRounds : public RelayTest {
--- a/tests/outbox_test.cpp
+++ b/tests/outbox_test.cpp
@@ -6,9 +6,9 @@
 namespace heronvane {
 namespace {
 
-Plan answering(MessageId id) {
-  Plan plan;
-  plan.answers.push_back({id, [](const Answer&) {}, {202, 0}});
+WriteAheadPlan answering(MessageId id) {
+  WriteAheadPlan plan;
+  plan.replies.push_back({id, [](const ClientReply&) {}, {202, 0}});
   return plan;
 }
 
@@ -20,9 +20,9 @@
   o.put(answering(2));
   o.written(9);
   EXPECT_FALSE(o.next(6).has_value());
-  EXPECT_EQ(o.next(8)->answers[0].id, 1u);
+  EXPECT_EQ(o.next(8)->replies[0].id, 1u);
   EXPECT_FALSE(o.next(8).has_value());
-  EXPECT_EQ(o.next(9)->answers[0].id, 2u);
+  EXPECT_EQ(o.next(9)->replies[0].id, 2u);
   EXPECT_TRUE(o.empty());
 }
 
@@ -32,10 +32,10 @@
   o.put(answering(1));
   o.written(7);
   o.put(answering(2));
-  const auto refused = o.take_unwritten_answers();
+  const auto refused = o.take_unwritten_replies();
   ASSERT_EQ(refused.size(), 1u);
   EXPECT_EQ(refused[0].id, 2u);
-  EXPECT_EQ(o.next(7)->answers[0].id, 1u);
+  EXPECT_EQ(o.next(7)->replies[0].id, 1u);
 }
 
 }  // namespace
