--- a/relay/core/completed_request_cache.hpp
+++ b/relay/core/completed_request_cache.hpp
@@ -1,32 +1,39 @@
-// Ids of messages that are over, for a while: handed in again they are not sent again.
+// Client ids of requests that were completed lately: a duplicate of one is not sent again.
 #pragma once
 
 #include <deque>
 #include <string>
 #include <unordered_set>
-#include <utility>
 
 #include "clock.hpp"
 
 namespace heronvane {
 
+// Bounded: past its capacity the id that expires first is dropped. No clock: times are handed in.
 class CompletedRequestCache {
  public:
-  explicit CompletedRequestCache(Microseconds kept) : kept_(kept) {}
+  explicit CompletedRequestCache(Microseconds lifetime) : lifetime_(lifetime) {}
+
+  // `now` ascends from call to call.
   void add(const std::string& id, Microseconds now) {
-    while (!order_.empty() && (now >= order_.front().first || order_.size() >= kMost)) {
-      ids_.erase(order_.front().second);
-      order_.pop_front();
+    while (!by_expiry_.empty() && (now >= by_expiry_.front().expires || by_expiry_.size() >= kCapacity)) {
+      ids_.erase(by_expiry_.front().id);
+      by_expiry_.pop_front();
     }
-    if (ids_.insert(id).second) order_.emplace_back(now + kept_, id);
+    if (ids_.insert(id).second) by_expiry_.push_back({now + lifetime_, id});
   }
-  bool has(const std::string& id) const { return ids_.count(id) > 0; }
+  bool has(const std::string& id) const { return ids_.contains(id); }
   std::size_t size() const { return ids_.size(); }
 
  private:
-  static constexpr std::size_t kMost = 16'384;
-  Microseconds kept_;
-  std::deque<std::pair<Microseconds, std::string>> order_;  // soonest forgotten first
+  static constexpr std::size_t kCapacity = 16'384;
+  struct Entry {
+    Microseconds expires = 0;
+    std::string id;
+  };
+
+  Microseconds lifetime_;
+  std::deque<Entry> by_expiry_;
   std::unordered_set<std::string> ids_;
 };
 
--- /dev/null
+++ b/relay/drain_controller.cpp
@@ -0,0 +1,103 @@
+#include "drain_controller.hpp"
+
+#include <chrono>
+#include <stdexcept>
+#include <utility>
+
+#include "clock.hpp"
+#include "log.hpp"
+#include "startup/start_error.hpp"
+
+namespace heronvane {
+namespace {
+
+constexpr auto kCheckInterval = std::chrono::milliseconds(20);
+constexpr auto kFileRetryInterval = std::chrono::milliseconds(250);
+constexpr Microseconds kReplyTime = 1'000'000;  // for replies on their way to leave before the process ends
+
+}  // namespace
+
+DrainController::DrainController(boost::asio::io_context& io, store::Disk& folder, std::string run,
+                                 DrainState restored, Hooks hooks)
+    : folder_(folder), run_(std::move(run)), hooks_(std::move(hooks)), state_(restored), timer_(io) {}
+
+void DrainController::end_at_start(Fence fence, store::Store& store) {
+  if (fence < state_.fence)
+    throw std::runtime_error("--undrain: fence " + std::to_string(fence) + " is lower than " +
+                             std::to_string(state_.fence) +
+                             ", the highest seen: a later operation has this relay");
+  const DrainState ended{fence, std::nullopt};
+  const bool kept =
+      keep_drain(ended, [&store](const auto& key, const auto& value) { return store.keep(key, value); });
+  if (!kept || !store.commit())
+    throw startup::StartError(startup::Step::recovery, startup::Persistence::passing,
+                              "--undrain: can't be kept: " + store.trouble());
+  state_ = ended;
+}
+
+void DrainController::resume() {
+  if (!draining()) return remove_drained(folder_);
+  log("draining since an earlier life: fence " + std::to_string(*state_.drain));
+}
+
+bool DrainController::keep(const DrainState& state) { return keep_drain(state, hooks_.keep); }
+
+void DrainController::change(const DrainState& to, std::function<void(bool durable)> done) {
+  if (!hooks_.store_is_writable() || change_pending_) return done(false);
+  const DrainState from = std::exchange(state_, to);
+  if (!keep(to)) {
+    state_ = from;
+    keep(from);
+    return done(false);
+  }
+  change_pending_ = true;
+  hooks_.when_durable([this, from, to, done = std::move(done)](bool durable) {
+    finish_change(from, to, durable);
+    done(durable);
+    idle_since_.reset();
+    check_complete();
+  });
+}
+
+void DrainController::finish_change(const DrainState& from, const DrainState& to, bool durable) {
+  change_pending_ = false;
+  if (!durable) {
+    state_ = from;
+    keep(from);
+    return;
+  }
+  if (from.drain.has_value() == to.drain.has_value()) return;
+  log(to.drain ? "draining: fence " + std::to_string(*to.drain)
+               : "drain taken back: fence " + std::to_string(to.fence));
+}
+
+void DrainController::check_complete() {
+  if (!draining()) return;
+  auto again = kCheckInterval;
+  if (change_pending_ || hooks_.has_open_work()) {
+    idle_since_.reset();
+  } else {
+    const Microseconds now = steady_now();
+    if (!idle_since_) idle_since_ = now;
+    if (!hooks_.is_answering() || now - *idle_since_ >= kReplyTime) {
+      if (complete()) return;
+      again = kFileRetryInterval;
+    }
+  }
+  timer_.set(again, [this] { check_complete(); });
+}
+
+// False where the file can't be written now.
+bool DrainController::complete() {
+  const auto error = write_drained(folder_, *state_.drain, run_);
+  if (!error) {
+    log("drained: nothing is held; fence " + std::to_string(*state_.drain));
+    hooks_.drained();
+    return true;
+  }
+  if (!std::exchange(file_failure_logged_, true))
+    log("drained: the file can't be written: " + error.message());
+  return false;
+}
+
+}  // namespace heronvane
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -111,27 +111,25 @@
       dispatcher_(config.settings, config.seed),
       calls_(
           io, call_limits(config), [this](const event::AttemptEnded& e) { ended(e); },
-          [this] { return turned(); }),
+          [this] { return suspend_monitor_.is_current(); }),
       platform_(
           io, config.discovery, config.names, config.known.index, most_list(config),
           [this](MemberList list) { listed(std::move(list)); },
           [this] { happened(event::EndpointListFailed{}); },
           [this](const std::vector<MessageId>& ids) {
-            for (const MessageId id : ids) over(id);
+            for (const MessageId id : ids) completed(id);
             settle();
           }),
-      recent_(longest_deadline(config.settings)),
+      requests_(longest_deadline(config.settings)),
       refused_(io, "messages refused"),
       round_gap_(config.settings.min_decision_interval, config.own.relay.early_rounds),
-      drain_(read_drain(store_.facts())),
+      drain_(io, *folder_, start_.run, read_drain(store_.facts()), drain_hooks()),
+      suspend_monitor_(io, config.own.relay.wake, suspend_hooks()),
       generation_(config.generation),
-      beat_timer_(io),
-      wake_timer_(io),
-      drained_timer_(io),
       round_timer_(io),
       module_timer_(io),
       stall_timer_(io),
-      drain_timer_(io),
+      shutdown_timer_(io),
       compact_timer_(io) {
   directory_.take(
       known_, [](const EndpointId&) {}, [this](const Member& m) { calls_.locate(m.endpoint.id, m.address); });
@@ -139,7 +137,8 @@
   events_.push_back(event::EndpointListSnapshot{directory_.all(), true});
   for (const auto& key : recalled_.outdated()) store_.keep(key, {});
   store_.on_sync([this] { synced(); });
-  start_drained();
+  if (start_.undrain) drain_.end_at_start(*start_.undrain, store_);
+  drain_.resume();
   recall(directory_.all());
   HERONVANE_POINT("recover.taken-back");
   // With copies, once it is known that the log is still this relay's.
@@ -157,11 +156,11 @@
       io, std::move(listener_), config.settings, config.names,
       IntakeLimits{config.client_connections, config.memory_bytes / kBodyPart},
       [this](Message m, Microseconds left, ReplyCallback reply) {
-        arrive(std::move(m), left, std::move(reply));
+        on_request(std::move(m), left, std::move(reply));
       },
       [this] { return ready(); });
-  beat();
-  look_drained();
+  suspend_monitor_.start();
+  drain_.check_complete();
   log("listening as " + config.name);
 }
 
@@ -170,7 +169,7 @@
   if (!s.gossip || !config_.peer_listen) return nullptr;
   const auto heard = [this](int from, std::string body) {
     // They would pile up while the module is not asked; any may be lost.
-    if (unwritten_ || frozen_) return;
+    if (unwritten_ || !lifecycle_.rules().decides) return;
     happened(event::GossipReceived{from, std::move(body)});
   };
   try {
@@ -209,35 +208,37 @@
 
 bool Relay::ready() const {
   if (HERONVANE_DEFECT("never-ready-again") && HERONVANE_SECOND_LIFE()) return false;
-  return !stopping_ && !drain_.drain && !unwritten_ && copied() && store_.trouble().empty() &&
-         directory_.any_active();
+  return lifecycle_.rules().reports_ready && !drain_.draining() && !unwritten_ && copied() &&
+         store_.trouble().empty() && directory_.any_active();
 }
 
 // ---- What comes in. ----
-void Relay::arrive(Message message, Microseconds left, ReplyCallback reply) {
-  // Of one id at a time: what the first is told holds for all.
-  if (const auto first = twins_.find(message.id); first != twins_.end())
-    return first->second.push_back(std::move(reply));
-  // Handed in once more on a new connection, since the answer was lost: it is ours already. One that is over
-  // must not be sent again either.
-  if (numbers_.count(message.id) > 0 || store_.remembers(message.id) || recent_.has(message.id))
-    return reply({202, 0});
+// Whether a request of that id was taken on already: it must not be sent a second time.
+bool Relay::is_known(const std::string& client_id) const {
+  return requests_.is_in_flight(client_id) || store_.remembers(client_id) ||
+         requests_.completed_lately(client_id);
+}
+
+void Relay::on_request(Message message, Microseconds left, ReplyCallback reply) {
+  if (requests_.coalesce(message.id, reply)) return;
+  // Sent again on a new connection, since the reply was lost.
+  if (is_known(message.id)) return reply({202, 0});
   if (HERONVANE_DEFECT_NOW("forget-message")) return reply({202, 0});
   if (HERONVANE_DEFECT_NOW("crash")) std::abort();
-  if (drain_.drain) return refuse(reply, "draining");
+  if (drain_.draining()) return refuse(reply, "draining");
   if (!copied()) return refuse(reply, "too few copies");
   // Before discovery has told its list, an unknown destination may only be unknown yet.
   if (!directory_.knows(message.destination))
     return list_told_ ? reply({404, 0, "unknown destination"}) : refuse(reply, "no list of destinations yet");
   message.deadline = store_.clock().now() + left;
-  const std::size_t open = arrived_.size() + store_.open();
+  const std::size_t open = requests_.queued() + store_.open();
   if (open >= static_cast<std::size_t>(config_.settings.max_in_flight))
     return refuse(reply, "open messages at their bound");
   if (unwritten_) return refuse(reply, "the folder can't be written");
   if (!store_.admit(message)) return refuse(reply, "no room in the folder or memory");
-  reply = shared(message.id, std::move(reply));
+  reply = requests_.shared(message.id, std::move(reply));
   if (HERONVANE_DEFECT("answer-before-record")) std::exchange(reply, [](const ClientReply&) {})({202, 0});
-  arrived_.push_back({std::move(message), std::move(reply)});
+  requests_.enqueue(std::move(message), std::move(reply));
   schedule(true);
 }
 
@@ -247,16 +248,6 @@
   reply({503, kComeBack});
 }
 
-// A reply that answers all that hand in this id until then.
-ReplyCallback Relay::shared(const std::string& id, ReplyCallback reply) {
-  twins_[id];
-  return [this, id, reply = std::move(reply)](const ClientReply& a) {
-    reply(a);
-    const auto twins = twins_.extract(id);
-    for (const auto& twin : twins.mapped()) twin(a);
-  };
-}
-
 void Relay::ended(const event::AttemptEnded& outcome) {
   event::AttemptEnded e = outcome;
   if (HERONVANE_DEFECT("resend-in-doubt") && (e.outcome == Outcome::error || e.outcome == Outcome::reset))
@@ -267,7 +258,7 @@
 #endif
   HERONVANE_POINT("outcome.came");
   if (e.request_completed)
-    over(e.id);
+    completed(e.id);
   else if (store_.find(e.id) != nullptr)
     store_.outcome(e.id, e.attempt, e.outcome);
   settle_soon();
@@ -354,28 +345,27 @@
 // ---- The round. ----
 void Relay::round() {
   round_due_ = false;
-  if (!turned()) return;
+  if (!suspend_monitor_.is_current()) return;
   last_round_ = steady_now();
   WriteAheadPlan plan;
-  for (auto& a : std::exchange(arrived_, {})) {
+  for (auto& [message, reply] : requests_.take_queued()) {
     const MessageId id = store_.next_number();
-    numbers_[a.message.id] = id;
-    events_.push_back(arrival(id, a.message));
-    unanswered_[id] = std::move(a.reply);
-    if (admin_) gauge_.taken(id, a.message.message_class, store_.clock().now());
-    store_.take(id, std::move(a.message));
+    requests_.add(id, message.id);
+    events_.push_back(arrival(id, message));
+    requests_.await_reply(id, std::move(reply));
+    if (admin_) gauge_.taken(id, message.message_class, store_.clock().now());
+    store_.take(id, std::move(message));
   }
-  if (!frozen_ && !unwritten_) {
+  if (lifecycle_.rules().decides && !unwritten_) {
     decide(plan);
     remember_targets();
     tell_next_listed();
   }
-  for (auto& [id, reply] : unanswered_) {
+  for (auto& [id, reply] : requests_.take_replies()) {
     const bool refused = HERONVANE_DEFECT_NOW("refuse-yet-keep");
     plan.replies.push_back(
         {id, std::move(reply), refused ? ClientReply{503, kComeBack} : ClientReply{202, 0}});
   }
-  unanswered_.clear();
   settle(std::move(plan));
   if (store_.wants_compaction()) compact();
   round_gap_.ran(steady_now() - last_round_);
@@ -442,25 +432,24 @@
   const Held* const held = store_.find(id);
   if (held == nullptr || held->ending) return;
   const Ending ending = HERONVANE_DEFECT("refuse-in-doubt") ? Ending{true, kComeBack} : decided;
-  if (const auto waiting = unanswered_.find(id); waiting != unanswered_.end()) {
+  if (auto reply = requests_.take_reply(id)) {
     refused_.add(ending.deferred ? "turned away by the decisions" : "failed by the decisions");
-    plan.replies.push_back({0, std::move(waiting->second),
-                            ending.deferred ? ClientReply{503, ending.again} : ClientReply{504, 0}});
-    unanswered_.erase(waiting);
-    return over(id, false);
+    plan.replies.push_back(
+        {0, std::move(*reply), ending.deferred ? ClientReply{503, ending.again} : ClientReply{504, 0}});
+    return completed(id, false);
   }
   store_.ending(id, ending);
   plan.notifications.push_back(id);
 }
 
-void Relay::over(MessageId id, bool was_taken_on) {
+void Relay::completed(MessageId id, bool was_taken_on) {
   const Held* const held = store_.find(id);
   if (held == nullptr) return;
   const std::string client_id = held->message.id;
-  numbers_.erase(client_id);
+  requests_.remove(client_id);
   gauge_.over(id);
   store_.over(id, was_taken_on);
-  if (was_taken_on && !store_.remembers(client_id)) recent_.add(client_id, steady_now());
+  if (was_taken_on && !store_.remembers(client_id)) requests_.cache_completed(client_id, steady_now());
 }
 
 void Relay::cancel(MessageId id, int attempt) {
@@ -567,7 +556,7 @@
     a.callback({status, status == 503 ? kComeBack : 0});
     if (a.id == 0) continue;
     refused_.add("its record could not be written in time");
-    over(a.id, false);
+    completed(a.id, false);
     happened(event::RequestWithdrawn{a.id});
   }
 }
--- a/relay/relay.hpp
+++ b/relay/relay.hpp
@@ -17,17 +17,18 @@
 #include "calls.hpp"
 #include "config.hpp"
 #include "core/alarm.hpp"
-#include "core/completed_request_cache.hpp"
 #include "core/cycle_pacing.hpp"
 #include "core/directory.hpp"
-#include "core/drain.hpp"
 #include "core/in_flight_gauge.hpp"
+#include "core/lifecycle.hpp"
 #include "core/list_memory.hpp"
 #include "core/log_copies.hpp"
 #include "core/outbox.hpp"
+#include "core/request_table.hpp"
 #include "core/status.hpp"
-#include "core/suspend_detector.hpp"
+#include "core/suspend_monitor.hpp"
 #include "core/target_memory.hpp"
+#include "drain_controller.hpp"
 #include "fronts/front.hpp"
 #include "heronvane/dispatch/dispatcher.hpp"
 #include "intake.hpp"
@@ -64,17 +65,12 @@
   void stop(std::function<void()> done);
 
  private:
-  struct Arrived {
-    Message message;
-    ReplyCallback reply;
-  };
-
   std::unique_ptr<Peers> hear_peers();
   std::unique_ptr<store::SyncThread> sync_thread();
   void tell_listed(const std::vector<heronvane::dispatch::Endpoint>& endpoints);
   void tell_next_listed();
   bool keep(const std::string& key, const std::string& value);
-  void arrive(Message message, Microseconds left, ReplyCallback reply);
+  void on_request(Message message, Microseconds left, ReplyCallback reply);
   void ended(const heronvane::dispatch::event::AttemptEnded& e);
   void listed(MemberList list);
   template <class E>
@@ -97,9 +93,9 @@
   void begin(const EndpointId& endpoint, std::vector<Outgoing> messages);
   void take_back(const EndpointId& endpoint, const Outgoing& message);
   void turn_away(std::vector<WriteAheadPlan::PendingReply> answers, unsigned status);
-  void over(MessageId id, bool was_taken_on = true);
+  void completed(MessageId id, bool was_taken_on = true);
+  bool is_known(const std::string& client_id) const;
   void refuse(const ReplyCallback& reply, const char* why);
-  ReplyCallback shared(const std::string& id, ReplyCallback reply);
   void send(WriteAheadPlan& plan, const heronvane::dispatch::action::Send& a);
   void finish(WriteAheadPlan& plan, MessageId id, const Ending& ending);
   void set_timer(Microseconds after, std::uint64_t token);
@@ -116,17 +112,10 @@
   bool adopt(MessageId id, const Held& held);
   void recall(const std::vector<heronvane::dispatch::Endpoint>& endpoints);
   void remember_targets();
-  void check_drained();
-
-  // relay_fleet.cpp
-  void start_drained();
-  void change_drain(const DrainState& to, std::function<void(bool kept)> done);
-  void look_drained();
-  bool owes_nothing() const;
-  bool turned();
-  void beat();
-  void woke(Microseconds gap);
-  void awake();
+  SuspendMonitor::Hooks suspend_hooks();
+  DrainController::Hooks drain_hooks();
+  bool has_open_work() const;
+  void check_shutdown();
   Microseconds held_since(const Held& held) const;
 
   // relay_admin.cpp, or relay_no_admin.cpp in a build without the socket
@@ -167,33 +156,24 @@
 
   Directory directory_;
   std::unordered_map<EndpointId, std::size_t> filling_;  // of the plan that is made, the last call to each
-  std::unordered_map<std::string, MessageId> numbers_;   // of the messages held, by the client's id
-  std::map<MessageId, ReplyCallback> unanswered_;        // taken in this round
-  // Ids that wait for their answer, with those that handed the same one in meanwhile.
-  std::unordered_map<std::string, std::vector<ReplyCallback>> twins_;
-  CompletedRequestCache recent_;  // taken on and over; those that may run again
-  Tally refused_;                 // told once a second, by reason
-  InFlightGauge gauge_;           // kept where there is an admin socket
-  bool list_told_ = false;        // by discovery, in this life
+  RequestTable requests_;
+  Tally refused_;           // told once a second, by reason
+  InFlightGauge gauge_;     // kept where there is an admin socket
+  bool list_told_ = false;  // by discovery, in this life
   std::deque<std::vector<heronvane::dispatch::Endpoint>>
       listed_later_;  // told by a list, not to the module yet
-  std::vector<Arrived> arrived_;
   std::vector<heronvane::dispatch::Event> events_;
   std::multimap<Microseconds, std::uint64_t> timers_;
-  Microseconds last_round_ = 0, stop_at_ = 0;
+  Microseconds last_round_ = 0;
   bool list_missed_ = false;  // the list changed meanwhile
   CyclePacing round_gap_;
   Microseconds round_at_ = 0;  // when the next is due
-  bool round_due_ = false, settle_due_ = false, compacting_ = false, stopping_ = false, frozen_ = false;
-  DrainState drain_;
-  bool changing_drain_ = false;   // until it is kept
-  bool drained_failed_ = false;   // the file could not be written, as was told
-  Microseconds quiet_since_ = 0;  // nothing is held or owed; 0: something is
-  SuspendDetector wake_;
-  bool waking_ = false;  // the module is not asked
+  bool round_due_ = false, settle_due_ = false, compacting_ = false;
+  Lifecycle lifecycle_;
+  DrainController drain_;
+  SuspendMonitor suspend_monitor_;
   std::int64_t generation_;
-  Alarm beat_timer_, wake_timer_, drained_timer_;
-  Alarm round_timer_, module_timer_, stall_timer_, drain_timer_, compact_timer_;
+  Alarm round_timer_, module_timer_, stall_timer_, shutdown_timer_, compact_timer_;
   std::function<void()> done_;
   std::optional<Intake> intake_;  // last: it accepts once all else stands
 };
--- a/relay/relay_admin.cpp
+++ b/relay/relay_admin.cpp
@@ -50,10 +50,10 @@
     void operator()(const AdminAnswer& turned_down) const { reply(turned_down); }
     void operator()(const admin::GetStatus&) const { reply({200, status_json(relay.status())}); }
     void operator()(const admin::GetMessage& m) const {
-      const auto it = relay.numbers_.find(m.id);
-      const Held* const held = it == relay.numbers_.end() ? nullptr : relay.store_.find(it->second);
-      if (held != nullptr) return reply({200, message_json(it->second, *held, relay.config_.names.zones)});
-      if (relay.store_.remembers(m.id) || relay.recent_.has(m.id)) return reply({200, over_json(m.id)});
+      const auto id = relay.requests_.find(m.id);
+      const Held* const held = id ? relay.store_.find(*id) : nullptr;
+      if (held != nullptr) return reply({200, message_json(*id, *held, relay.config_.names.zones)});
+      if (relay.is_known(m.id)) return reply({200, over_json(m.id)});
       reply(admin_error(404, "unknown", "no message of that id is held or remembered",
                         "it may be another relay's, or over for long"));
     }
@@ -62,7 +62,7 @@
         return reply(admin_error(403, "off", "this relay takes no drains",
                                  "set drain = true under [admin] in its settings and start it anew"));
       change(d.fence, d.fence, [this_relay = &relay] {
-        const std::size_t held = this_relay->store_.held().size() + this_relay->arrived_.size();
+        const std::size_t held = this_relay->store_.held().size() + this_relay->requests_.queued();
         return "{\"draining\":true,\"held\":" + std::to_string(held) + "}";
       });
     }
@@ -70,7 +70,7 @@
       change(u.fence, std::nullopt, [] { return std::string("{\"draining\":false}"); });
     }
     void operator()(const admin::RaiseFence& f) const {
-      change(f.fence, relay.drain_.drain,
+      change(f.fence, relay.drain_.drain_fence(),
              [fence = f.fence] { return "{\"fence\":" + std::to_string(fence) + "}"; });
     }
     void operator()(const admin::TakeOver& t) const {
@@ -84,8 +84,9 @@
       reply({200, "{\"taking_over\":true}"});
     }
     void change(Fence fence, std::optional<Fence> drain, std::function<std::string()> text) const {
-      if (fence < relay.drain_.fence) return reply(admin_fenced(fence, relay.drain_.fence));
-      relay.change_drain({fence, drain}, [r = &relay, told = reply, text = std::move(text)](bool kept) {
+      const Fence highest = relay.drain_.highest_fence();
+      if (fence < highest) return reply(admin_fenced(fence, highest));
+      relay.drain_.change({fence, drain}, [r = &relay, told = reply, text = std::move(text)](bool kept) {
         told(kept ? AdminAnswer{200, text()} : not_kept(r->store_.trouble()));
       });
     }
@@ -102,8 +103,9 @@
   s.name = config_.name, s.run = start_.run, s.version = kVersion, s.trouble = store_.trouble();
   s.pid = ::getpid(), s.generation = generation_;
   s.started = started_, s.uptime = steady_now() - started_steady_;
-  s.ready = ready(), s.draining = drain_.drain.has_value(), s.stopping = stopping_;
-  s.fence = drain_.fence;
+  s.ready = ready(), s.draining = drain_.draining();
+  s.stopping = lifecycle_.phase() != Lifecycle::Phase::running;
+  s.fence = drain_.highest_fence();
   s.held = store_.held().size(), s.given_up = s.held - store_.open();
   s.counts = gauge_.counts(store_.clock().now());
   s.calls = calls_.out(), s.slots = static_cast<std::size_t>(config_.settings.max_concurrent_calls);
--- a/relay/relay_copies.cpp
+++ b/relay/relay_copies.cpp
@@ -41,7 +41,7 @@
     for (std::size_t i = 0; i < held->attempts.size(); i++)
       if (!held->attempts[i].outcome) calls_.cancel(id, static_cast<int>(i));
     if (!held->ending) happened(heronvane::dispatch::event::RequestWithdrawn{id});
-    over(id, false);
+    completed(id, false);
   }
 }
 
@@ -52,16 +52,16 @@
   for (auto it = store_.held().lower_bound(from); it != store_.held().end() && it->first < to; ++it) {
     const auto& [id, held] = *it;
     const std::string& name = held.message.id;
-    const auto known = numbers_.find(name);
+    const auto known = requests_.find(name);
     // The client handed it in here, too: one message, of which one end is owed.
-    if (known != numbers_.end() || store_.remembers(name) || recent_.has(name)) {
+    if (is_known(name)) {
       drop.push_back(id);
-      const Held* const own = known == numbers_.end() ? nullptr : store_.find(known->second);
+      const Held* const own = known ? store_.find(*known) : nullptr;
       const auto cls = config_.names.classes.find(held.message.message_class);
       const bool unsafe = cls == config_.names.classes.end() ||
                           config_.settings.classes[static_cast<std::size_t>(cls->second)].idempotency !=
                               heronvane::dispatch::Idempotency::idempotent;
-      if (own != nullptr && unsafe && held.may_have_run() && !own->ending) in_doubt.push_back(known->second);
+      if (own != nullptr && unsafe && held.may_have_run() && !own->ending) in_doubt.push_back(*known);
       continue;
     }
     count++;
--- a/relay/relay_lifecycle.cpp
+++ b/relay/relay_lifecycle.cpp
@@ -1,4 +1,5 @@
 // The lifecycle of a relay: what it finds in its folder at a start, what it learned before, how it ends.
+#include <algorithm>
 #include <limits>
 
 #include "fail_points.hpp"
@@ -13,11 +14,9 @@
 namespace {
 
 constexpr Microseconds kLongAgo = std::numeric_limits<Microseconds>::max() / 4;
-// After SIGTERM, whose SIGKILL comes no sooner than 3.7 s later: how long new connections may still come;
-// until when calls are begun; when the process ends, with calls out or not.
-constexpr Microseconds kDrainAccept = 600'000, kDrainSend = 1'500'000, kDrainMost = 3'000'000;
-static_assert(std::chrono::microseconds(kDrainMost - kDrainAccept) > Intake::kFinishMost);
-constexpr auto kDrainLook = std::chrono::milliseconds(20);
+static_assert(std::chrono::microseconds(Lifecycle::kShutdownTime - Lifecycle::kAcceptTime) >
+              Intake::kFinishMost);
+constexpr auto kShutdownCheckInterval = std::chrono::milliseconds(20);
 
 }  // namespace
 
@@ -54,7 +53,7 @@
 // One that is held and that the module does not know; false: of a class that the settings do not have.
 bool Relay::adopt(MessageId id, const Held& held) {
   const Microseconds now = store_.clock().now();
-  numbers_[held.message.id] = id;
+  requests_.add(id, held.message.id);
   if (admin_) gauge_.taken(id, held.message.message_class, held_since(held));
   if (held.ending) {
     platform_.notice(id, held.message.id, *held.ending);
@@ -104,19 +103,52 @@
   }
 }
 
+// ---- Suspension and drain. ----
+SuspendMonitor::Hooks Relay::suspend_hooks() {
+  SuspendMonitor::Hooks hooks;
+  hooks.withdraw_attempts = [this] {
+    calls_.hold_back_all();
+    outbox_.withdraw_all([this](const EndpointId& to, const Outgoing& m) { take_back(to, m); });
+    settle();
+  };
+  hooks.refresh_list = [this](std::function<void()> done) { platform_.refresh(std::move(done)); };
+  hooks.resumed = [this] { schedule(); };
+  return hooks;
+}
+
+DrainController::Hooks Relay::drain_hooks() {
+  DrainController::Hooks hooks;
+  hooks.store_is_writable = [this] { return !unwritten_; };
+  hooks.keep = [this](const std::string& key, const std::string& value) { return keep(key, value); };
+  hooks.when_durable = [this](std::function<void(bool durable)> done) {
+    WriteAheadPlan plan;
+    plan.replies.push_back(
+        {0, [done = std::move(done)](const ClientReply& reply) { done(reply.status == 202); }, {202, 0}});
+    settle(std::move(plan));
+  };
+  hooks.has_open_work = [this] { return has_open_work(); };
+  hooks.is_answering = [this] { return intake_->busy() || (admin_ && admin_->busy()); };
+  hooks.drained = start_.drained;
+  return hooks;
+}
+
+bool Relay::has_open_work() const {
+  return !store_.held().empty() || requests_.queued() > 0 || !outbox_.empty() || calls_.out() > 0 ||
+         settle_due_ || platform_.notices_owed() || unwritten_ || store_.durable() != store_.written();
+}
+
 // ---- The end. ----
 void Relay::stop(std::function<void()> done) {
-  if (std::exchange(stopping_, true)) return;
+  if (!lifecycle_.begin_stop(steady_now())) return;
   log("stopping: " + std::to_string(store_.held().size()) + " messages held");
   done_ = std::move(done);
-  stop_at_ = steady_now();
   intake_->drain();
-  check_drained();
+  check_shutdown();
 }
 
-void Relay::check_drained() {
-  const Microseconds since = steady_now() - stop_at_;
-  if (since >= kDrainSend && !std::exchange(frozen_, true)) {
+void Relay::check_shutdown() {
+  const Microseconds now = steady_now();
+  if (lifecycle_.advance(now)) {
     // What waits for its records, or for its connection, would go too late for its answer to come home. None
     // of it has run, and its record says so.
     calls_.hold_back_all();
@@ -124,10 +156,14 @@
     settle();
   }
   if (settle_due_) settle();
-  const bool home = calls_.out() == 0 && (frozen_ || store_.held().empty()) && !platform_.notices_owed();
-  if (since >= kDrainAccept) intake_->finish();
-  const bool quiet = since >= kDrainAccept && intake_->clients() == 0 && arrived_.empty();
-  if (since >= kDrainMost || (home && quiet && !unwritten_ && outbox_.empty())) {
+  if (lifecycle_.accept_time_is_over(now)) intake_->finish();
+  const Lifecycle::OpenWork open{.calls_out = calls_.out(),
+                                 .requests_held = store_.held().size(),
+                                 .client_connections = intake_->clients(),
+                                 .requests_queued = requests_.queued() > 0,
+                                 .notifications_owed = platform_.notices_owed(),
+                                 .writes_pending = unwritten_ || !outbox_.empty()};
+  if (lifecycle_.is_done(now, open)) {
     // No call that was answered is left without its record.
     calls_.take_answers();
     settle();
@@ -135,7 +171,20 @@
         std::to_string(calls_.out()) + " calls out");
     return done_();
   }
-  drain_timer_.set(kDrainLook, [this] { check_drained(); });
+  shutdown_timer_.set(kShutdownCheckInterval, [this] { check_shutdown(); });
+}
+
+// ---- For the gauge. ----
+// Of a message of an earlier life, whose record does not tell: since its class's deadline began to run, or
+// its first attempt, if that was before.
+Microseconds Relay::held_since(const Held& held) const {
+  Microseconds since = store_.clock().now();
+  const auto cls = config_.names.classes.find(held.message.message_class);
+  if (cls != config_.names.classes.end())
+    since = std::min(since, held.message.deadline -
+                                config_.settings.classes[static_cast<std::size_t>(cls->second)].deadline);
+  if (!held.attempts.empty()) since = std::min(since, held.attempts.front().sent);
+  return since;
 }
 
 }  // namespace heronvane
