--- a/relay/relay_copies.cpp
+++ b/relay/relay_copies.cpp
@@ -24,14 +24,14 @@
   h.disown = [this] { disown(); };
   h.taken_over = [this](MessageId from, MessageId to) { taken_over(from, to); };
   // Their records may stand after all, so nothing is promised.
-  h.wait_is_over = [this] { turn_away(outbox_.take_answers(), 504); };
+  h.wait_is_over = [this] { turn_away(outbox_.take_replies(), 504); };
   return std::make_unique<copies::Copies>(io_, store_, std::move(o), std::move(h));
 }
 
 // All that is held is another relay's: it is ended there. Calls that are out may still be answered, and
 // nobody asks.
 void Relay::disown() {
-  turn_away(outbox_.take_answers(), 504);
+  turn_away(outbox_.take_replies(), 504);
   outbox_.withdraw_all([this](const EndpointId& to, const Outgoing& m) { take_back(to, m); });
   std::vector<MessageId> all;
   for (const auto& [id, held] : store_.held()) all.push_back(id);
@@ -41,7 +41,7 @@
     for (std::size_t i = 0; i < held->attempts.size(); i++)
       if (!held->attempts[i].outcome) calls_.cancel(id, static_cast<int>(i));
     if (!held->ending) happened(heronvane::dispatch::event::RequestWithdrawn{id});
-    over(id, false);
+    completed(id, false);
   }
 }
 
@@ -52,22 +52,22 @@
   for (auto it = store_.held().lower_bound(from); it != store_.held().end() && it->first < to; ++it) {
     const auto& [id, held] = *it;
     const std::string& name = held.message.id;
-    const auto known = numbers_.find(name);
+    const auto known = requests_.find(name);
     // The client handed it in here, too: one message, of which one end is owed.
-    if (known != numbers_.end() || store_.remembers(name) || recent_.has(name)) {
+    if (is_known(name)) {
       drop.push_back(id);
-      const Held* const own = known == numbers_.end() ? nullptr : store_.find(known->second);
+      const Held* const own = known ? store_.find(*known) : nullptr;
       const auto cls = config_.names.classes.find(held.message.message_class);
       const bool unsafe = cls == config_.names.classes.end() ||
                           config_.settings.classes[static_cast<std::size_t>(cls->second)].idempotency !=
                               heronvane::dispatch::Idempotency::idempotent;
-      if (own != nullptr && unsafe && held.may_have_run() && !own->ending) in_doubt.push_back(known->second);
+      if (own != nullptr && unsafe && held.may_have_run() && !own->ending) in_doubt.push_back(*known);
       continue;
     }
     count++;
     if (!adopt(id, held)) unknown.push_back(id);
   }
-  Plan plan;
+  WriteAheadPlan plan;
   for (const MessageId id : unknown) finish(plan, id, {});
   // It may have run over there: it must not run here.
   for (const MessageId id : in_doubt) {
