--- a/adapter/codec.cpp
+++ b/adapter/codec.cpp
@@ -15,7 +15,7 @@
 using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
 
 Outcome read_outcome(const Value& v, const std::string& path) {
-  switch (as_integer(v, path)) {
+  switch (as_int64(v, path)) {
     case 10:
       return Outcome::served;
     case 20:
@@ -33,18 +33,18 @@
     case 80:
       return Outcome::not_sent;
     default:
-      malformed(path, "unknown outcome");
+      throw_malformed(path, "unknown outcome");
   }
 }
 
 LoadReport read_report(const Value& event, const std::string& path) {
   LoadReport r;
-  const Value* v = find(event, "HealthInfo");
+  const Value* v = find_member(event, "HealthInfo");
   if (v == nullptr) return r;
   const std::string where = path + ".HealthInfo";
   as_object(*v, where);
-  r.limit_remaining = get(*v, "x0", where, as_number, -1.0);
-  r.limit_rate = get(*v, "x1", where, as_number, -1.0);
+  r.limit_remaining = optional_field(*v, "x0", where, as_number, -1.0);
+  r.limit_rate = optional_field(*v, "x1", where, as_number, -1.0);
   return r;
 }
 
@@ -117,7 +117,7 @@
 }  // namespace
 
 struct Codec::Instance {
-  Tables tables;
+  NameTables tables;
   std::optional<Dispatcher> dispatcher;
   std::string broken;  // why the dispatcher could not be made
   std::vector<Event> events;
@@ -136,18 +136,19 @@
   std::vector<std::string> acting;  // instances with an event in this batch, in order
 
   Instance& instance(const Value& v, const std::string& path) {
-    const std::string who = get(v, "Who", path, as_text);
+    const std::string who = required_field(v, "Who", path, as_string);
     const auto it = instances.find(who);
-    if (it == instances.end()) malformed(path + ".Who", ("instance '" + who + "' was never started").c_str());
+    if (it == instances.end())
+      throw_malformed(path + ".Who", ("instance '" + who + "' was never started").c_str());
     if (std::find(acting.begin(), acting.end(), who) == acting.end()) acting.push_back(who);
     return it->second;
   }
 
   void start(const Value& v, const std::string& path) {
-    const std::string who = get(v, "Who", path, as_text);
+    const std::string who = required_field(v, "Who", path, as_string);
     Instance fresh;
-    const std::uint64_t seed = get(v, "RngSeed", path, as_natural);
-    const Settings settings = read_settings(need(v, "Setup", path), path + ".Setup", fresh.tables);
+    const std::uint64_t seed = required_field(v, "RngSeed", path, as_uint64);
+    const Settings settings = read_settings(required_member(v, "Setup", path), path + ".Setup", fresh.tables);
     try {
       fresh.dispatcher.emplace(settings, seed);
     } catch (const std::exception& e) {
@@ -159,87 +160,90 @@
 
   void stop(const Value& v, const std::string& path) {
     instance(v, path);
-    const std::string who = get(v, "Who", path, as_text);
+    const std::string who = required_field(v, "Who", path, as_string);
     instances.erase(who);
     acting.erase(std::find(acting.begin(), acting.end(), who));
   }
 
   void pool(const Value& v, const std::string& path) {
     std::vector<PoolEntry> entries;
-    for (const auto& e : as_array(need(v, "Elements", path), path + ".Elements").GetArray()) {
+    for (const auto& e : as_array(required_member(v, "Elements", path), path + ".Elements").GetArray()) {
       const std::string where = path + ".Elements";
       as_object(e, where);
       PoolEntry entry;
-      entry.endpoint.id = get(e, "Endpoint", where, as_text);
-      entry.endpoint.destination = get(e, "Cell", where, as_integer);
-      entry.endpoint.listing = word<Listing>(
-          get(e, "Health", where, as_text),
+      entry.endpoint.id = required_field(e, "Endpoint", where, as_string);
+      entry.endpoint.destination = required_field(e, "Cell", where, as_int64);
+      entry.endpoint.listing = enum_from_name<Listing>(
+          required_field(e, "Health", where, as_string),
           {{"healthy", Listing::active}, {"cordoned", Listing::draining}, {"deregistered", Listing::gone}},
           where + ".Health");
-      entry.endpoint.weight = get(e, "CapacityHint", where, as_number, 1.0);
-      entry.endpoint.since = get(e, "Since", where, as_moment, 0);
-      entry.zone = get(e, "Az", where, as_text, "");
-      entry.kind = get(e, "Kind", where, as_text, "");
+      entry.endpoint.weight = optional_field(e, "CapacityHint", where, as_number, 1.0);
+      entry.endpoint.since = optional_field(e, "Since", where, as_timestamp, 0);
+      entry.zone = optional_field(e, "Az", where, as_string, "");
+      entry.kind = optional_field(e, "Kind", where, as_string, "");
       entries.push_back(std::move(entry));
     }
-    pools[get(v, "RosterId", path, as_integer)] = std::move(entries);
+    pools[required_field(v, "RosterId", path, as_int64)] = std::move(entries);
   }
 
-  Event sync(const Value& v, const std::string& path, const Tables& tables) {
-    const std::string how = get(v, "How", path, as_text);
+  Event sync(const Value& v, const std::string& path, const NameTables& tables) {
+    const std::string how = required_field(v, "How", path, as_string);
     if (how == "X") return event::EndpointListFailed{};
-    const auto it = pools.find(get(v, "RosterId", path, as_integer));
-    if (it == pools.end()) malformed(path + ".RosterId", "no such POOL was given");
+    const auto it = pools.find(required_field(v, "RosterId", path, as_int64));
+    if (it == pools.end()) throw_malformed(path + ".RosterId", "no such POOL was given");
     std::vector<Endpoint> list;
     for (const auto& entry : it->second) {
       list.push_back(entry.endpoint);
-      list.back().zone = position(tables.zones, entry.zone);
-      list.back().kind = position(tables.kinds, entry.kind);
+      list.back().zone = index_of(tables.zones, entry.zone);
+      list.back().kind = index_of(tables.kinds, entry.kind);
     }
     if (how == "D") return event::EndpointListUpdate{std::move(list)};
     if (how == "F") return event::EndpointListSnapshot{std::move(list), false};
     if (how == "C") return event::EndpointListSnapshot{std::move(list), true};
-    malformed(path + ".How", ("unknown word '" + how + "'").c_str());
+    throw_malformed(path + ".How", ("unknown word '" + how + "'").c_str());
   }
 
-  Event read_event(const std::string& kind, const Value& v, const Tables& tables) {
+  Event read_event(const std::string& kind, const Value& v, const NameTables& tables) {
     if (kind == "SYNC") return sync(v, kind, tables);
     if (kind == "KNOCK") {
       event::RequestArrived e;
-      e.id = get(v, "Rid", kind, as_natural);
-      e.destination = get(v, "Dest", kind, as_integer);
-      const std::string cls = get(v, "TierClass", kind, as_text);
-      e.message_class = position(tables.classes, cls);
-      if (e.message_class < 0) malformed(kind + ".TierClass", ("unknown class '" + cls + "'").c_str());
-      e.time_left = get(v, "TimeLeft", kind, as_span);
-      e.order_key = get(v, "Subject", kind, as_text, "");
-      e.repeat = get(v, "Retry", kind, as_bool, false);
-      const Value* tenant = find(v, "Account");
+      e.id = required_field(v, "Rid", kind, as_uint64);
+      e.destination = required_field(v, "Dest", kind, as_int64);
+      const std::string cls = required_field(v, "TierClass", kind, as_string);
+      e.message_class = index_of(tables.classes, cls);
+      if (e.message_class < 0) throw_malformed(kind + ".TierClass", ("unknown class '" + cls + "'").c_str());
+      e.time_left = required_field(v, "TimeLeft", kind, as_duration);
+      e.order_key = optional_field(v, "Subject", kind, as_string, "");
+      e.repeat = optional_field(v, "Retry", kind, as_bool, false);
+      const Value* tenant = find_member(v, "Account");
       if (tenant != nullptr && !(tenant->IsInt() && tenant->GetInt() == 0))
-        e.tenant = position(tables.tenants, as_text(*tenant, kind + ".Account"));
+        e.tenant = index_of(tables.tenants, as_string(*tenant, kind + ".Account"));
       return e;
     }
     if (kind == "RETURNED") {
       event::AttemptEnded e;
-      e.id = get(v, "Rid", kind, as_natural);
-      e.attempt = get(v, "SendNo", kind, as_int);
-      e.endpoint = get(v, "Endpoint", kind, as_text);
-      e.outcome = get(v, "Result", kind, read_outcome);
-      e.latency = get(v, "DelaySeen", kind, as_span, 0);
-      e.request_completed = get(v, "Closed", kind, as_bool, false);
-      if (e.outcome == Outcome::rejected) e.retry_after = get(v, "RemarkMs", kind, as_span_ms, 0);
+      e.id = required_field(v, "Rid", kind, as_uint64);
+      e.attempt = required_field(v, "SendNo", kind, as_int);
+      e.endpoint = required_field(v, "Endpoint", kind, as_string);
+      e.outcome = required_field(v, "Result", kind, read_outcome);
+      e.latency = optional_field(v, "DelaySeen", kind, as_duration, 0);
+      e.request_completed = optional_field(v, "Closed", kind, as_bool, false);
+      if (e.outcome == Outcome::rejected)
+        e.retry_after = optional_field(v, "RemarkMs", kind, as_duration_ms, 0);
       e.load_report = read_report(v, kind);
       return e;
     }
-    if (kind == "HANGUP") return event::RequestWithdrawn{get(v, "Rid", kind, as_natural)};
-    if (kind == "REMINDER") return event::TimerExpired{get(v, "Tag", kind, as_natural)};
+    if (kind == "HANGUP") return event::RequestWithdrawn{required_field(v, "Rid", kind, as_uint64)};
+    if (kind == "REMINDER") return event::TimerExpired{required_field(v, "Tag", kind, as_uint64)};
     if (kind == "ECHO") {
-      return event::HealthCheckEnded{get(v, "Endpoint", kind, as_text), get(v, "Result", kind, read_outcome),
-                                     get(v, "DelaySeen", kind, as_span, 0), read_report(v, kind)};
+      return event::HealthCheckEnded{
+          required_field(v, "Endpoint", kind, as_string), required_field(v, "Result", kind, read_outcome),
+          optional_field(v, "DelaySeen", kind, as_duration, 0), read_report(v, kind)};
     }
     if (kind == "HEARD")
-      return event::GossipReceived{get(v, "From", kind, as_int), get(v, "Body", kind, as_text)};
-    malformed(kind, "unknown message kind");
+      return event::GossipReceived{required_field(v, "From", kind, as_int),
+                                   required_field(v, "Body", kind, as_string)};
+    throw_malformed(kind, "unknown message kind");
   }
 
   void answer(std::string& reply) {
@@ -271,14 +275,14 @@
     throw WireError("column " + std::to_string(v.GetErrorOffset() + 1) + ": " +
                     rapidjson::GetParseError_En(v.GetParseError()));
   as_object(v, "message");
-  const std::string kind = get(v, "kind", "message", as_text);
+  const std::string kind = required_field(v, "kind", "message", as_string);
   if (kind == "ROUND") {
-    if (impl_->in_batch) malformed(kind, "the round before has not ended");
-    impl_->now = get(v, "Clock", kind, as_moment);
+    if (impl_->in_batch) throw_malformed(kind, "the round before has not ended");
+    impl_->now = required_field(v, "Clock", kind, as_timestamp);
     impl_->in_batch = true;
     return false;
   }
-  if (!impl_->in_batch) malformed(kind, "no ROUND came before");
+  if (!impl_->in_batch) throw_malformed(kind, "no ROUND came before");
   if (kind == "YOUR_TURN") {
     impl_->in_batch = false;
     reply.clear();
--- a/adapter/settings.hpp
+++ b/adapter/settings.hpp
@@ -9,17 +9,17 @@
 
 namespace heronvane::dispatch::adapter {
 
-using Names = std::unordered_map<std::string, int>;
+using NameIndex = std::unordered_map<std::string, int>;
 
 // Where each name stands in the lists of the settings.
-struct Tables {
-  Names classes, tenants, zones, kinds;
+struct NameTables {
+  NameIndex classes, tenants, zones, kinds;
 };
 
 // The position of a name, -1 where it is unknown.
-int position(const Names& names, const std::string& name);
+int index_of(const NameIndex& names, const std::string& name);
 
 // Throws WireError, naming the field, on what can't be read.
-Settings read_settings(const Value& v, const std::string& path, Tables& tables);
+Settings read_settings(const Value& v, const std::string& path, NameTables& tables);
 
 }  // namespace heronvane::dispatch::adapter
--- a/fleet/agent.cpp
+++ b/fleet/agent.cpp
@@ -64,21 +64,22 @@
 
 // What a list of many relays shows of their copies.
 std::string copies_in_short(const rapidjson::Value& status) {
-  const auto* const copies = wire::find(status, "copies");
+  const auto* const copies = wire::find_member(status, "copies");
   if (copies == nullptr || !copies->IsObject()) return {};
   const std::string path = "status.copies";
   std::int64_t lag = 0;
-  if (const auto* const holders = wire::find(*copies, "holders"); holders != nullptr && holders->IsArray())
+  if (const auto* const holders = wire::find_member(*copies, "holders");
+      holders != nullptr && holders->IsArray())
     for (const auto& h : holders->GetArray())
-      lag = std::max(lag, wire::get(h, "lag", path, wire::as_integer, 0));
+      lag = std::max(lag, wire::optional_field(h, "lag", path, wire::as_int64, 0));
   rapidjson::StringBuffer b;
   JsonWriter w(b);
   w.StartObject();
-  key(w, "phase"), put(w, printable(wire::get(*copies, "phase", path, wire::as_text, "")));
-  key(w, "have"), w.Int64(wire::get(*copies, "copies", path, wire::as_integer, 0));
-  key(w, "wanted"), w.Int64(wire::get(*copies, "wanted", path, wire::as_integer, 0));
+  key(w, "phase"), put(w, printable(wire::optional_field(*copies, "phase", path, wire::as_string, "")));
+  key(w, "have"), w.Int64(wire::optional_field(*copies, "copies", path, wire::as_int64, 0));
+  key(w, "wanted"), w.Int64(wire::optional_field(*copies, "wanted", path, wire::as_int64, 0));
   key(w, "lag"), w.Int64(lag);
-  key(w, "epoch"), w.Int64(wire::get(*copies, "epoch", path, wire::as_integer, 0));
+  key(w, "epoch"), w.Int64(wire::optional_field(*copies, "epoch", path, wire::as_int64, 0));
   w.EndObject();
   return text_of(b);
 }
@@ -336,10 +337,10 @@
                 e.why = "status " + std::to_string(a.status);
                 try {
                   const auto v = parse_json(a.body);
-                  const auto& error = wire::need(v, "error", "answer");
-                  e.why = printable(wire::get(error, "message", "error", wire::as_text, ""));
+                  const auto& error = wire::required_member(v, "error", "answer");
+                  e.why = printable(wire::optional_field(error, "message", "error", wire::as_string, ""));
                   if (a.status == 409) {
-                    e.highest = wire::get(error, "fence", "error", wire::as_natural);
+                    e.highest = wire::required_field(error, "fence", "error", wire::as_uint64);
                     e.result = event::Answered::Result::fenced;
                   }
                 } catch (const std::exception& bad) {
@@ -494,15 +495,15 @@
     if (a.status == 200) {
       const auto v = parse_json(a.body);
       const std::string path = "status";
-      e.run = wire::get(v, "run", path, wire::as_text);
-      e.ready = wire::get(v, "ready", path, wire::as_bool);
-      e.draining = wire::get(v, "draining", path, wire::as_bool, false);
-      e.stopping = wire::get(v, "stopping", path, wire::as_bool, false);
-      e.fence = wire::get(v, "fence", path, wire::as_natural, 0);
-      e.generation = wire::get(v, "generation", path, wire::as_natural, 0);
-      if (const auto* held = wire::find(v, "held")) {
-        e.held = wire::get(*held, "total", "status.held", wire::as_natural, 0);
-        e.oldest_ms = wire::get(*held, "oldest_ms", "status.held", wire::as_integer, 0);
+      e.run = wire::required_field(v, "run", path, wire::as_string);
+      e.ready = wire::required_field(v, "ready", path, wire::as_bool);
+      e.draining = wire::optional_field(v, "draining", path, wire::as_bool, false);
+      e.stopping = wire::optional_field(v, "stopping", path, wire::as_bool, false);
+      e.fence = wire::optional_field(v, "fence", path, wire::as_uint64, 0);
+      e.generation = wire::optional_field(v, "generation", path, wire::as_uint64, 0);
+      if (const auto* held = wire::find_member(v, "held")) {
+        e.held = wire::optional_field(*held, "total", "status.held", wire::as_uint64, 0);
+        e.oldest_ms = wire::optional_field(*held, "oldest_ms", "status.held", wire::as_int64, 0);
       }
       // One of another run answers in this one's folder: this one does not.
       seen = e.run == i.run;
--- a/fleet/api.cpp
+++ b/fleet/api.cpp
@@ -143,15 +143,15 @@
 }
 
 Kind read_kind(const std::string& text) {
-  return wire::word<Kind>(text,
-                          {{"up", Kind::up},
-                           {"down", Kind::down},
-                           {"drain", Kind::drain},
-                           {"undrain", Kind::undrain},
-                           {"restart", Kind::restart},
-                           {"apply", Kind::apply},
-                           {"rollback", Kind::rollback}},
-                          "kind");
+  return wire::enum_from_name<Kind>(text,
+                                    {{"up", Kind::up},
+                                     {"down", Kind::down},
+                                     {"drain", Kind::drain},
+                                     {"undrain", Kind::undrain},
+                                     {"restart", Kind::restart},
+                                     {"apply", Kind::apply},
+                                     {"rollback", Kind::rollback}},
+                                    "kind");
 }
 
 }  // namespace
@@ -394,31 +394,31 @@
       throw BadRequest("body." + printable(name) + ": is no field of an operation");
   }
   event::Command c;
-  c.kind = read_kind(wire::get(v, "kind", path, wire::as_text));
-  if (const Value* names = wire::find(v, "names")) {
+  c.kind = read_kind(wire::required_field(v, "kind", path, wire::as_string));
+  if (const Value* names = wire::find_member(v, "names")) {
     if (names->IsString()) {
-      if (wire::as_text(*names, "body.names") != "all")
+      if (wire::as_string(*names, "body.names") != "all")
         throw BadRequest("body.names: must be \"all\" or an array of names");
       c.all = true;
     } else {
       if (wire::as_array(*names, "body.names").Size() > kMostNames)
         throw BadRequest("body.names: at most " + std::to_string(kMostNames));
-      for (const auto& n : names->GetArray()) c.names.push_back(wire::as_text(n, "body.names"));
+      for (const auto& n : names->GetArray()) c.names.push_back(wire::as_string(n, "body.names"));
     }
   }
-  if (const Value* against = wire::find(v, "generation"))
-    c.against = wire::as_natural(*against, "body.generation");
-  c.by = wire::get(v, "by", path, wire::as_text, "");
+  if (const Value* against = wire::find_member(v, "generation"))
+    c.against = wire::as_uint64(*against, "body.generation");
+  c.by = wire::optional_field(v, "by", path, wire::as_string, "");
   if (c.by.size() > kMostBy) throw BadRequest("body.by: at most 256 bytes");
   // What the connection says of the asker stands beside what the asker says.
   c.by = c.by.empty()                                ? request.peer
          : request.peer.rfind("certificate", 0) == 0 ? c.by + " (" + request.peer + ")"
                                                      : c.by;
-  if (const Value* most = wire::find(v, "max_unavailable"))
+  if (const Value* most = wire::find_member(v, "max_unavailable"))
     c.max_unavailable = wire::as_int(*most, "body.max_unavailable");
-  c.supersede = wire::get(v, "supersede", path, wire::as_bool, false);
-  c.dry_run = wire::get(v, "dry_run", path, wire::as_bool, false);
-  const Value* fleet = wire::find(v, "fleet");
+  c.supersede = wire::optional_field(v, "supersede", path, wire::as_bool, false);
+  c.dry_run = wire::optional_field(v, "dry_run", path, wire::as_bool, false);
+  const Value* fleet = wire::find_member(v, "fleet");
   if (fleet != nullptr && c.kind != Kind::apply) throw BadRequest("body.fleet: only apply takes one");
   if (c.kind == Kind::apply) {
     if (fleet == nullptr) throw BadRequest("body.fleet: missing");
@@ -429,7 +429,7 @@
     }
   }
   if (c.kind == Kind::rollback) {
-    c.to = wire::get(v, "to", path, wire::as_natural);
+    c.to = wire::required_field(v, "to", path, wire::as_uint64);
     c.fleet = agent_.fleet_at(c.to);
   }
   agent_.command(std::move(c), [done](const Verdict& verdict) { done(answer(verdict, 202)); });
--- a/fleet/fleet_file.cpp
+++ b/fleet/fleet_file.cpp
@@ -57,7 +57,7 @@
 }
 
 std::string address(const Value& v, const std::string& path) {
-  const std::string text = wire::as_text(v, path);
+  const std::string text = wire::as_string(v, path);
   read_address(text, path);
   return text;
 }
@@ -91,14 +91,14 @@
   Fleet f;
   FleetSpec& spec = f.spec_;
   spec.text = to_text(v);
-  spec.max_unavailable = wire::get(v, "max_unavailable", path, wire::as_int, 1);
+  spec.max_unavailable = wire::optional_field(v, "max_unavailable", path, wire::as_int, 1);
   if (spec.max_unavailable < 1) throw std::runtime_error("fleet.max_unavailable: must be 1 or more");
   spec.loose["max_unavailable"] = std::to_string(spec.max_unavailable);
-  f.program_ = wire::get(v, "program", path, wire::as_text, "heronvane");
+  f.program_ = wire::optional_field(v, "program", path, wire::as_string, "heronvane");
   if (f.program_.empty()) throw std::runtime_error("fleet.program: must not be empty");
   spec.common["program"] = f.program_;
 
-  const Value* settings = wire::find(v, "settings");
+  const Value* settings = wire::find_member(v, "settings");
   if (settings != nullptr) wire::as_object(*settings, path + ".settings");
   const bool own = settings != nullptr && settings->MemberCount() > 0;
   f.relay_settings_ = own ? to_text(*settings) : kDefaultSettings;
@@ -110,7 +110,7 @@
   limits.AddMember("memory_mb", 192, memory);
   limits.AddMember("sockets", 1024, memory);
   limits.AddMember("disk_mb", 100, memory);
-  if (const Value* told = wire::find(v, "limits")) {
+  if (const Value* told = wire::find_member(v, "limits")) {
     only(*told, "fleet.limits", {"cores", "memory_mb", "sockets", "disk_mb"});
     for (const auto& m : told->GetObject()) {
       wire::as_number(m.value, "fleet.limits." + name_of(m.name));
@@ -120,7 +120,7 @@
   f.limits_ = to_text(limits);
   flatten(limits, "limits", spec.common);
 
-  if (const Value* store = wire::find(v, "store")) {
+  if (const Value* store = wire::find_member(v, "store")) {
     wire::as_object(*store, "fleet.store");
     f.toml_ = toml_of(*store, "fleet.store");
     if (!f.toml_.empty()) read_operator_settings("[store]\n" + f.toml_, "fleet.store");
@@ -128,12 +128,12 @@
   }
   spec.common.erase("store");  // an empty one says nothing
   // Whom copies of a relay's log may go to: instances that tell their address, and members elsewhere.
-  const Value* const copies = wire::find(v, "copies");
+  const Value* const copies = wire::find_member(v, "copies");
   std::string members;
   if (copies != nullptr) {
     wire::as_object(*copies, "fleet.copies");
     f.copies_ = "\n[copies]\n" + toml_of(*copies, "fleet.copies");
-    if (const Value* others = wire::find(*copies, "member")) {
+    if (const Value* others = wire::find_member(*copies, "member")) {
       wire::as_array(*others, "fleet.copies.member");
       for (rapidjson::SizeType i = 0; i < others->Size(); i++) {
         const std::string at = "fleet.copies.member[" + std::to_string(i) + "]";
@@ -144,14 +144,14 @@
     flatten(*copies, "copies", spec.common);
   }
 
-  if (const Value* platform = wire::find(v, "platform")) {
+  if (const Value* platform = wire::find_member(v, "platform")) {
     only(*platform, "fleet.platform", {"listen", "partners", "partners_file"});
     PlatformPart p;
-    p.listen = address(wire::need(*platform, "listen", "fleet.platform"), "fleet.platform.listen");
-    const Value* partners = wire::find(*platform, "partners");
+    p.listen = address(wire::required_member(*platform, "listen", "fleet.platform"), "fleet.platform.listen");
+    const Value* partners = wire::find_member(*platform, "partners");
     if (!read_address(p.listen, "fleet.platform.listen").address().is_loopback())
       throw std::runtime_error("fleet.platform.listen: must be a loopback address");
-    p.partners_file = wire::get(*platform, "partners_file", "fleet.platform", wire::as_text, "");
+    p.partners_file = wire::optional_field(*platform, "partners_file", "fleet.platform", wire::as_string, "");
     if (!p.partners_file.empty() && p.partners_file.front() != '/')
       throw std::runtime_error("fleet.platform.partners_file: must be an absolute path");
     if ((partners != nullptr) == !p.partners_file.empty())
@@ -163,14 +163,14 @@
     flatten(*platform, "platform", spec.loose);
     f.platform_ = std::move(p);
   }
-  f.discovery_ = wire::get(v, "discovery", path, wire::as_text, "");
+  f.discovery_ = wire::optional_field(v, "discovery", path, wire::as_string, "");
   if (f.discovery_.empty() && f.platform_) f.discovery_ = f.platform_->listen;
   if (f.discovery_.empty())
     throw std::runtime_error("fleet: without platform, discovery must name an address");
   read_address(f.discovery_, "fleet.discovery");
   spec.common["discovery"] = f.discovery_;
 
-  const Value& instances = wire::as_array(wire::need(v, "instances", path), "fleet.instances");
+  const Value& instances = wire::as_array(wire::required_member(v, "instances", path), "fleet.instances");
   if (instances.Size() > kMostInstances)
     throw std::runtime_error("fleet.instances: at most " + std::to_string(kMostInstances));
   std::map<std::string, std::string> by_address;
@@ -178,15 +178,15 @@
     const std::string at = "fleet.instances[" + std::to_string(i) + "]";
     only(instances[i], at, {"name", "listen", "copies", "machine", "zone"});
     InstanceSpec one;
-    one.name = wire::get(instances[i], "name", at, wire::as_text);
+    one.name = wire::required_field(instances[i], "name", at, wire::as_string);
     check_name(one.name, at + ".name");
-    const std::string listen = address(wire::need(instances[i], "listen", at), at + ".listen");
+    const std::string listen = address(wire::required_member(instances[i], "listen", at), at + ".listen");
     one.own["listen"] = listen;
     if (!f.listen_.emplace(one.name, listen).second)
       throw std::runtime_error(at + ".name: " + one.name + " is there already");
     const auto [other, fresh] = by_address.emplace(listen, one.name);
     if (!fresh) throw std::runtime_error(at + ".listen: " + listen + " is " + other->second + "'s already");
-    if (const Value* held = wire::find(instances[i], "copies")) {
+    if (const Value* held = wire::find_member(instances[i], "copies")) {
       const std::string there = address(*held, at + ".copies");
       if (copies == nullptr) throw std::runtime_error(at + ".copies: without fleet.copies nobody keeps any");
       const auto [taken, unused] = by_address.emplace(there, one.name);
@@ -194,8 +194,8 @@
       members += "[[copies.member]]\nname = " + to_text(instances[i]["name"]) +
                  "\naddress = " + to_text(*held) + "\n";
       for (const char* place : {"machine", "zone"})
-        if (const Value* told = wire::find(instances[i], place)) {
-          wire::as_text(*told, at + "." + place);
+        if (const Value* told = wire::find_member(instances[i], place)) {
+          wire::as_string(*told, at + "." + place);
           members += std::string(place) + " = " + to_text(*told) + "\n";
         }
     } else if (copies != nullptr) {
--- a/fuzz/list_checks.hpp
+++ b/fuzz/list_checks.hpp
@@ -11,9 +11,9 @@
 
 namespace heronvane {
 
-inline const heronvane::dispatch::adapter::Tables& list_names() {
-  static const heronvane::dispatch::adapter::Tables names = [] {
-    heronvane::dispatch::adapter::Tables t;
+inline const heronvane::dispatch::adapter::NameTables& list_names() {
+  static const heronvane::dispatch::adapter::NameTables names = [] {
+    heronvane::dispatch::adapter::NameTables t;
     t.zones = {{"a", 0}, {"b", 1}}, t.kinds = {{"small", 0}};
     return t;
   }();
--- a/relay/config.cpp
+++ b/relay/config.cpp
@@ -37,7 +37,7 @@
 
 std::uint64_t whole_above_zero(const Value& v, const std::string& path) {
   const double number = as_number(v, path);
-  if (!(number > 0 && number < 1e9)) malformed(path, "must be above 0");
+  if (!(number > 0 && number < 1e9)) throw_malformed(path, "must be above 0");
   return static_cast<std::uint64_t>(number * 1e6);
 }
 
@@ -47,45 +47,46 @@
   rapidjson::Document v;
   v.Parse<rapidjson::kParseIterativeFlag>(json.data(), json.size());
   if (v.HasParseError())
-    malformed("config", ("is no JSON at byte " + std::to_string(v.GetErrorOffset()) + ": " +
-                         rapidjson::GetParseError_En(v.GetParseError()))
-                            .c_str());
+    throw_malformed("config", ("is no JSON at byte " + std::to_string(v.GetErrorOffset()) + ": " +
+                               rapidjson::GetParseError_En(v.GetParseError()))
+                                  .c_str());
   const std::string path = "config";
   as_object(v, path);
   Config c;
-  c.name = get(v, "name", path, as_text);
-  c.listen = read_address(get(v, "listen", path, as_text), path + ".listen");
-  c.discovery = read_address(get(v, "discovery", path, as_text), path + ".discovery");
-  const std::string seed = get(v, "seed", path, as_text);
+  c.name = required_field(v, "name", path, as_string);
+  c.listen = read_address(required_field(v, "listen", path, as_string), path + ".listen");
+  c.discovery = read_address(required_field(v, "discovery", path, as_string), path + ".discovery");
+  const std::string seed = required_field(v, "seed", path, as_string);
   const auto [end, error] = std::from_chars(seed.data(), seed.data() + seed.size(), c.seed, 16);
   if (error != std::errc() || end != seed.data() + seed.size())
-    malformed(path + ".seed", "must be 64 bits in hexadecimal");
-  const Value& limits = as_object(need(v, "limits", path), path + ".limits");
-  const int sockets = get(limits, "sockets", path + ".limits", as_int);
-  if (sockets < 64) malformed(path + ".limits.sockets", "must be 64 or more");
+    throw_malformed(path + ".seed", "must be 64 bits in hexadecimal");
+  const Value& limits = as_object(required_member(v, "limits", path), path + ".limits");
+  const int sockets = required_field(limits, "sockets", path + ".limits", as_int);
+  if (sockets < 64) throw_malformed(path + ".limits.sockets", "must be 64 or more");
   c.client_connections = (static_cast<std::size_t>(sockets) - kOtherFiles) / 2;
   c.endpoint_connections = static_cast<std::size_t>(sockets) - kOtherFiles - c.client_connections;
-  c.memory_bytes = get(limits, "memory_mb", path + ".limits", whole_above_zero);
+  c.memory_bytes = required_field(limits, "memory_mb", path + ".limits", whole_above_zero);
   // Taken as 10^6 bytes, the smaller of the two readings of a megabyte.
-  c.disk_bytes = get(limits, "disk_mb", path + ".limits", whole_above_zero);
-  if (const Value* p = find(v, "peer_listen"))
-    c.peer_listen = udp(as_text(*p, path + ".peer_listen"), path + ".peer_listen");
-  if (const Value* p = find(v, "peers_all"))
-    c.peers_all = udp(as_text(*p, path + ".peers_all"), path + ".peers_all");
-  if (const Value* peers = find(v, "peers"))
+  c.disk_bytes = required_field(limits, "disk_mb", path + ".limits", whole_above_zero);
+  if (const Value* p = find_member(v, "peer_listen"))
+    c.peer_listen = udp(as_string(*p, path + ".peer_listen"), path + ".peer_listen");
+  if (const Value* p = find_member(v, "peers_all"))
+    c.peers_all = udp(as_string(*p, path + ".peers_all"), path + ".peers_all");
+  if (const Value* peers = find_member(v, "peers"))
     for (const auto& p : as_array(*peers, path + ".peers").GetArray())
-      c.peers.push_back(udp(as_text(p, path + ".peers"), path + ".peers"));
-  const Value& settings = need(v, "settings", path);
+      c.peers.push_back(udp(as_string(p, path + ".peers"), path + ".peers"));
+  const Value& settings = required_member(v, "settings", path);
   c.settings = read_settings(settings, path + ".settings", c.names);
   heronvane::dispatch::validate(c.settings);
   // However many calls may be out, each needs a descriptor.
   c.settings.max_concurrent_calls =
       std::min(c.settings.max_concurrent_calls, static_cast<int>(c.endpoint_connections));
-  if (const Value* report = find(settings, "Report"))
-    c.reports_in_answers = get(*report, "How", path + ".settings.Report", as_text, "none") == "answers";
-  c.generation = get(v, "generation", path, as_integer, std::int64_t{0});
-  if (c.generation < 0) malformed(path + ".generation", "must not be negative");
-  if (const Value* known = find(v, "known")) c.known = read_members(*known, path + ".known", c.names);
+  if (const Value* report = find_member(settings, "Report"))
+    c.reports_in_answers =
+        optional_field(*report, "How", path + ".settings.Report", as_string, "none") == "answers";
+  c.generation = optional_field(v, "generation", path, as_int64, std::int64_t{0});
+  if (c.generation < 0) throw_malformed(path + ".generation", "must not be negative");
+  if (const Value* known = find_member(v, "known")) c.known = read_members(*known, path + ".known", c.names);
   return c;
 }
 
--- a/relay/config.hpp
+++ b/relay/config.hpp
@@ -26,7 +26,7 @@
   std::optional<boost::asio::ip::udp::endpoint> peer_listen, peers_all;
   std::vector<boost::asio::ip::udp::endpoint> peers;  // by rank
   heronvane::dispatch::Settings settings;
-  heronvane::dispatch::adapter::Tables names;
+  heronvane::dispatch::adapter::NameTables names;
   bool reports_in_answers = false;
   std::int64_t generation = 0;  // of the agent's desired state that it was written for; 0: none
   MemberList known;
--- a/relay/core/list_reader.cpp
+++ b/relay/core/list_reader.cpp
@@ -16,18 +16,18 @@
 // Not by recursion, which thousands of open brackets would take past the stack's end.
 void parse(rapidjson::Document& v, const char* text, std::size_t size) {
   v.Parse<rapidjson::kParseIterativeFlag>(text, size);
-  if (v.HasParseError()) malformed(kPath, "is no JSON");
+  if (v.HasParseError()) throw_malformed(kPath, "is no JSON");
 }
 
 }  // namespace
 
-ListReader::ListReader(std::string text, const Tables& names) : text_(std::move(text)), names_(names) {}
+ListReader::ListReader(std::string text, const NameTables& names) : text_(std::move(text)), names_(names) {}
 
 // One entry of the list, as a list of its own.
 void ListReader::element() {
   const std::size_t size = at_ - begin_;
   const std::size_t content = text_.find_first_not_of(" \t\r\n", begin_);
-  if (content >= at_) malformed(kPath + ".endpoints", "holds an empty entry");
+  if (content >= at_) throw_malformed(kPath + ".endpoints", "holds an empty entry");
   static const std::string head = R"({"index":0,"snapshot":false,"endpoints":[)";
   const std::string one = head + text_.substr(begin_, size) + "]}";
   rapidjson::Document v;
--- a/relay/core/list_reader.hpp
+++ b/relay/core/list_reader.hpp
@@ -13,7 +13,7 @@
 class ListReader {
  public:
   // `names` must outlive it.
-  ListReader(std::string text, const heronvane::dispatch::adapter::Tables& names);
+  ListReader(std::string text, const heronvane::dispatch::adapter::NameTables& names);
 
   // Reads about so many bytes more; true once all is read. Throws WireError on what can't be read, naming the
   // field; nothing of the list counts then.
@@ -26,7 +26,7 @@
   void finish();
 
   std::string text_;
-  const heronvane::dispatch::adapter::Tables& names_;
+  const heronvane::dispatch::adapter::NameTables& names_;
   MemberList list_;
   std::string frame_;  // the text without the endpoints
   std::size_t at_ = 0, copied_ = 0, begin_ = 0, string_ = 0;
--- a/relay/core/status.cpp
+++ b/relay/core/status.cpp
@@ -145,7 +145,7 @@
 }
 
 std::string message_json(MessageId number, const Held& held,
-                         const heronvane::dispatch::adapter::Names& zones) {
+                         const heronvane::dispatch::adapter::NameIndex& zones) {
   rapidjson::StringBuffer buffer;
   Writer w(buffer);
   const Message& m = held.message;
--- a/relay/core/status.hpp
+++ b/relay/core/status.hpp
@@ -42,7 +42,7 @@
 // A message that is held, or was given up and its notice is owed; one that is over, of which no more is
 // known.
 std::string message_json(MessageId number, const Held& held,
-                         const heronvane::dispatch::adapter::Names& zones);
+                         const heronvane::dispatch::adapter::NameIndex& zones);
 std::string over_json(const std::string& id);
 
 }  // namespace heronvane
--- a/relay/intake.cpp
+++ b/relay/intake.cpp
@@ -331,7 +331,7 @@
 };
 
 Intake::Intake(net::io_context& io, tcp::acceptor listener, const heronvane::dispatch::Settings& settings,
-               const heronvane::dispatch::adapter::Tables& names, const IntakeLimits& limits, Take take,
+               const heronvane::dispatch::adapter::NameTables& names, const IntakeLimits& limits, Take take,
                Ready ready)
     : io_(io),
       acceptor_(std::move(listener)),
--- a/relay/intake.hpp
+++ b/relay/intake.hpp
@@ -30,7 +30,7 @@
   // Accepts on `listener` at once. Each message goes to `take`, which answers by the reply, once, then or
   // later.
   Intake(boost::asio::io_context& io, boost::asio::ip::tcp::acceptor listener,
-         const heronvane::dispatch::Settings& settings, const heronvane::dispatch::adapter::Tables& names,
+         const heronvane::dispatch::Settings& settings, const heronvane::dispatch::adapter::NameTables& names,
          const IntakeLimits& limits, Take take, Ready ready);
   ~Intake();
 
@@ -57,7 +57,7 @@
   boost::asio::ip::tcp::acceptor acceptor_;
   Alarm pause_;
   const heronvane::dispatch::Settings& settings_;
-  const heronvane::dispatch::adapter::Tables& names_;
+  const heronvane::dispatch::adapter::NameTables& names_;
   IntakeLimits limits_;
   Take take_;
   Ready ready_;
--- a/relay/members.hpp
+++ b/relay/members.hpp
@@ -26,7 +26,7 @@
 
 // Throws WireError, naming the field, on what can't be read.
 MemberList read_members(const heronvane::dispatch::adapter::Value& v, const std::string& path,
-                        const heronvane::dispatch::adapter::Tables& names);
+                        const heronvane::dispatch::adapter::NameTables& names);
 
 // "127.0.0.1:8081"; throws WireError naming `path`.
 boost::asio::ip::tcp::endpoint read_address(const std::string& text, const std::string& path);
--- a/relay/platform.cpp
+++ b/relay/platform.cpp
@@ -87,7 +87,7 @@
 };
 
 Platform::Platform(net::io_context& io, const tcp::endpoint& address,
-                   const heronvane::dispatch::adapter::Tables& names, std::int64_t index,
+                   const heronvane::dispatch::adapter::NameTables& names, std::int64_t index,
                    std::size_t most_list, Listed listed, Failed failed, Noticed noticed)
     : io_(io),
       address_(address),
--- a/relay/platform.hpp
+++ b/relay/platform.hpp
@@ -24,7 +24,7 @@
   using Noticed = std::function<void(const std::vector<MessageId>&)>;
 
   Platform(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address,
-           const heronvane::dispatch::adapter::Tables& names, std::int64_t index, std::size_t most_list,
+           const heronvane::dispatch::adapter::NameTables& names, std::int64_t index, std::size_t most_list,
            Listed listed, Failed failed, Noticed noticed);
   ~Platform();
 
@@ -64,7 +64,7 @@
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::endpoint address_;
-  const heronvane::dispatch::adapter::Tables& names_;  // outlives this
+  const heronvane::dispatch::adapter::NameTables& names_;  // outlives this
   std::int64_t index_;
   std::uint64_t serial_ = 0;     // of the list told last
   const std::size_t most_list_;  // bytes of a list
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -199,7 +199,7 @@
   a.id = id;
   a.destination = m.destination;
   a.message_class = config_.names.classes.at(m.message_class);
-  a.tenant = heronvane::dispatch::adapter::position(config_.names.tenants, m.tenant);
+  a.tenant = heronvane::dispatch::adapter::index_of(config_.names.tenants, m.tenant);
   a.time_left = m.deadline - store_.clock().now();
   a.repeat = m.repeat;
   return a;
--- a/relay/request.cpp
+++ b/relay/request.cpp
@@ -57,7 +57,7 @@
 }  // namespace
 
 Handed read_message(Request& request, const heronvane::dispatch::Settings& settings,
-                    const heronvane::dispatch::adapter::Tables& names) {
+                    const heronvane::dispatch::adapter::NameTables& names) {
   Handed h;
   const auto refuse = [&h](unsigned status, const char* why) {
     h.refused = status, h.why = why;
--- a/relay/request.hpp
+++ b/relay/request.hpp
@@ -21,6 +21,6 @@
   const char* why = "";
 };
 Handed read_message(Request& request, const heronvane::dispatch::Settings& settings,
-                    const heronvane::dispatch::adapter::Tables& names);
+                    const heronvane::dispatch::adapter::NameTables& names);
 
 }  // namespace heronvane
--- a/tests/request_test.cpp
+++ b/tests/request_test.cpp
@@ -33,7 +33,7 @@
     return handed.refused > 0 ? handed.refused : 202;
   }
   heronvane::dispatch::Settings settings;
-  heronvane::dispatch::adapter::Tables names;
+  heronvane::dispatch::adapter::NameTables names;
   Handed handed;
 };
 
