--- a/adapter/fields.hpp
+++ b/adapter/fields.hpp
@@ -1,4 +1,8 @@
-// Reading JSON fields, with the place in the message for the one line on what is malformed.
+// Typed access to the fields of JSON documents: the simulator's wire, configurations, endpoint lists. Errors
+// name the path of the field, such as "config.limits.sockets".
+//
+// A reader, such as as_string, takes a value and the path that an error text shows for it. It throws
+// WireError where the value has another type or is out of range.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -7,110 +11,141 @@
 #include <initializer_list>
 #include <stdexcept>
 #include <string>
-#include <utility>
+#include <string_view>
 
 namespace heronvane::dispatch::adapter {
 
-// What is wrong with a message, and where in it.
+// A document that can't be read; what() says where and why, as "config.name: missing".
 class WireError : public std::runtime_error {
  public:
-  using std::runtime_error::runtime_error;
+  WireError(const std::string& path, const std::string& reason) : std::runtime_error(path + ": " + reason) {}
 };
 
 using Value = rapidjson::Value;
 
-[[noreturn]] inline void throw_malformed(const std::string& path, const char* what) {
-  throw WireError(path + ": " + what);
+[[noreturn]] inline void throw_malformed(const std::string& path, const std::string& reason) {
+  throw WireError(path, reason);
 }
 
-inline const Value& as_object(const Value& v, const std::string& path) {
-  if (!v.IsObject()) throw_malformed(path, "must be an object");
-  return v;
+inline const Value& as_object(const Value& value, const std::string& path) {
+  if (!value.IsObject()) throw_malformed(path, "must be an object");
+  return value;
 }
 
-// The member, or nullptr where it is absent or null. The caller knows that it is an object; rapidjson reads
-// wild memory where it is none, so that is looked at here too.
+inline const Value& as_array(const Value& value, const std::string& path) {
+  if (!value.IsArray()) throw_malformed(path, "must be an array");
+  return value;
+}
+
+// The member, or nullptr where it is absent or null. Throws WireError on what is no object, since rapidjson
+// would read beyond the value.
 inline const Value* find_member(const Value& object, const char* name) {
   if (!object.IsObject()) throw_malformed(name, "stands in what is no object");
-  const auto it = object.FindMember(name);
-  return it == object.MemberEnd() || it->value.IsNull() ? nullptr : &it->value;
+  const auto member = object.FindMember(name);
+  return member == object.MemberEnd() || member->value.IsNull() ? nullptr : &member->value;
 }
+
+// The member of the object at `path`. Throws WireError where it is absent or null.
 inline const Value& required_member(const Value& object, const char* name, const std::string& path) {
-  const Value* v = find_member(as_object(object, path), name);
-  if (v == nullptr) throw_malformed(path + "." + name, "missing");
-  return *v;
+  const Value* const member = find_member(as_object(object, path), name);
+  if (member == nullptr) throw_malformed(path + "." + name, "missing");
+  return *member;
 }
 
-inline std::string as_string(const Value& v, const std::string& path) {
-  if (!v.IsString()) throw_malformed(path, "must be a string");
-  return {v.GetString(), v.GetStringLength()};
+inline std::string as_string(const Value& value, const std::string& path) {
+  if (!value.IsString()) throw_malformed(path, "must be a string");
+  return {value.GetString(), value.GetStringLength()};
 }
-inline std::int64_t as_int64(const Value& v, const std::string& path) {
-  if (!v.IsInt64()) throw_malformed(path, "must be an integer");
-  return v.GetInt64();
+
+inline std::int64_t as_int64(const Value& value, const std::string& path) {
+  if (!value.IsInt64()) throw_malformed(path, "must be an integer");
+  return value.GetInt64();
 }
-inline std::int64_t as_int64_within(std::int64_t most, const Value& v, const std::string& path) {
-  const std::int64_t n = as_int64(v, path);
-  if (n < -most || n > most) throw_malformed(path, "out of range");
-  return n;
+
+// An integer from -limit to limit.
+inline std::int64_t as_int64_within(std::int64_t limit, const Value& value, const std::string& path) {
+  const std::int64_t number = as_int64(value, path);
+  if (number < -limit || number > limit) throw_malformed(path, "out of range");
+  return number;
 }
-// Guards against times that overflow where they are added, or counted in nanoseconds. A span of time, or a
-// moment by some clock, in microseconds or (_ms) read from milliseconds.
+
+// Limits of durations and timestamps, in microseconds. They keep sums of times, and times in nanoseconds,
+// from overflowing.
 constexpr std::int64_t kMaxDuration = 10'000'000'000'000;        // 115 days
 constexpr std::int64_t kMaxTimestamp = 100'000'000'000'000'000;  // 3170 years
-inline std::int64_t as_duration(const Value& v, const std::string& path) {
-  return as_int64_within(kMaxDuration, v, path);
-}
-inline std::int64_t as_duration_ms(const Value& v, const std::string& path) {
-  return 1000 * as_int64_within(kMaxDuration / 1000, v, path);
+constexpr std::int64_t kMicrosecondsPerMillisecond = 1000;
+
+// Microseconds.
+inline std::int64_t as_duration(const Value& value, const std::string& path) {
+  return as_int64_within(kMaxDuration, value, path);
 }
-inline std::int64_t as_timestamp(const Value& v, const std::string& path) {
-  return as_int64_within(kMaxTimestamp, v, path);
+
+// Microseconds, from a field in milliseconds.
+inline std::int64_t as_duration_ms(const Value& value, const std::string& path) {
+  return kMicrosecondsPerMillisecond *
+         as_int64_within(kMaxDuration / kMicrosecondsPerMillisecond, value, path);
 }
-inline std::int64_t as_timestamp_ms(const Value& v, const std::string& path) {
-  return 1000 * as_int64_within(kMaxTimestamp / 1000, v, path);
+
+// Microseconds of the document's clock.
+inline std::int64_t as_timestamp(const Value& value, const std::string& path) {
+  return as_int64_within(kMaxTimestamp, value, path);
 }
-inline std::uint64_t as_uint64(const Value& v, const std::string& path) {
-  if (!v.IsUint64()) throw_malformed(path, "must be a whole number");
-  return v.GetUint64();
+
+// Microseconds of the document's clock, from a field in milliseconds.
+inline std::int64_t as_timestamp_ms(const Value& value, const std::string& path) {
+  return kMicrosecondsPerMillisecond *
+         as_int64_within(kMaxTimestamp / kMicrosecondsPerMillisecond, value, path);
 }
-inline int as_int(const Value& v, const std::string& path) {
-  if (!v.IsInt()) throw_malformed(path, "must be an integer");
-  return v.GetInt();
+
+inline std::uint64_t as_uint64(const Value& value, const std::string& path) {
+  if (!value.IsUint64()) throw_malformed(path, "must be a whole number");
+  return value.GetUint64();
 }
-inline double as_number(const Value& v, const std::string& path) {
-  if (!v.IsNumber()) throw_malformed(path, "must be a number");
-  return v.GetDouble();
+
+inline int as_int(const Value& value, const std::string& path) {
+  if (!value.IsInt()) throw_malformed(path, "must be an integer");
+  return value.GetInt();
 }
-inline bool as_bool(const Value& v, const std::string& path) {
-  if (!v.IsBool()) throw_malformed(path, "must be true or false");
-  return v.GetBool();
+
+inline double as_number(const Value& value, const std::string& path) {
+  if (!value.IsNumber()) throw_malformed(path, "must be a number");
+  return value.GetDouble();
 }
-inline const Value& as_array(const Value& v, const std::string& path) {
-  if (!v.IsArray()) throw_malformed(path, "must be an array");
-  return v;
+
+inline bool as_bool(const Value& value, const std::string& path) {
+  if (!value.IsBool()) throw_malformed(path, "must be true or false");
+  return value.GetBool();
 }
 
-// A required field, and one that may be absent or null, read by one of the readers above.
-template <class Read>
-auto required_field(const Value& object, const char* name, const std::string& path, Read read) {
+// The field `name` of the object at `path`, by the given reader. Throws WireError where it is absent or null.
+template <class Reader>
+auto required_field(const Value& object, const char* name, const std::string& path, Reader read) {
   return read(required_member(object, name, path), path + "." + name);
 }
-template <class Read, class Default>
-auto optional_field(const Value& object, const char* name, const std::string& path, Read read,
-                    Default absent) {
-  const Value* v = find_member(as_object(object, path), name);
-  using Result = decltype(read(*v, path));
-  return v == nullptr ? static_cast<Result>(absent) : read(*v, path + "." + name);
+
+// As required_field(), but `fallback` where the field is absent or null.
+template <class Reader, class Fallback>
+auto optional_field(const Value& object, const char* name, const std::string& path, Reader read,
+                    Fallback fallback) {
+  const Value* const member = find_member(as_object(object, path), name);
+  using Result = decltype(read(*member, path));
+  return member == nullptr ? static_cast<Result>(fallback) : read(*member, path + "." + name);
 }
 
-// The value that a word of the wire stands for.
+// A name on the wire and the value that it stands for.
+template <class T>
+struct EnumName {
+  std::string_view name;
+  T value;
+};
+
+// The value that `name` stands for. Throws WireError on another name than those listed.
 template <class T>
-T enum_from_name(const std::string& text, std::initializer_list<std::pair<const char*, T>> words,
-                 const std::string& path) {
-  for (const auto& [name, value] : words)
-    if (text == name) return value;
-  throw_malformed(path, ("unknown word '" + text + "'").c_str());
+T enum_from_name(const std::string& name, std::initializer_list<EnumName<T>> names, const std::string& path) {
+  for (const EnumName<T>& known : names) {
+    if (name == known.name) return known.value;
+  }
+  throw_malformed(path, "unknown word '" + name + "'");
 }
 
 }  // namespace heronvane::dispatch::adapter
--- a/adapter/settings.hpp
+++ b/adapter/settings.hpp
@@ -1,4 +1,5 @@
-// The settings that an instance is given, as the wire and a real relay's configuration write them.
+// Reads the decision module's settings from the JSON object that the simulator and a relay's configuration
+// share.
 #pragma once
 
 #include <string>
@@ -9,17 +10,30 @@
 
 namespace heronvane::dispatch::adapter {
 
+// The index of each name in its list of the settings, counted from 0.
 using NameIndex = std::unordered_map<std::string, int>;
 
-// Where each name stands in the lists of the settings.
+// The names that the settings list. The decision module knows their indices only.
 struct NameTables {
-  NameIndex classes, tenants, zones, kinds;
+  NameIndex classes;
+  NameIndex tenants;
+  NameIndex zones;
+  NameIndex kinds;
 };
 
-// The position of a name, -1 where it is unknown.
+// Stands for a name that no list has.
+constexpr int kUnknownIndex = -1;
+
+// The index of a name, or kUnknownIndex.
 int index_of(const NameIndex& names, const std::string& name);
 
-// Throws WireError, naming the field, on what can't be read.
-Settings read_settings(const Value& v, const std::string& path, NameTables& tables);
+struct ParsedSettings {
+  Settings settings;
+  NameTables names;
+};
+
+// Reads a settings object that stands at `path` of its document. The values are not checked against each
+// other: see validate(). Throws WireError.
+ParsedSettings read_settings(const Value& object, const std::string& path);
 
 }  // namespace heronvane::dispatch::adapter
--- a/relay/config.cpp
+++ b/relay/config.cpp
@@ -76,7 +76,9 @@
     for (const auto& p : as_array(*peers, path + ".peers").GetArray())
       c.peers.push_back(udp(as_string(p, path + ".peers"), path + ".peers"));
   const Value& settings = required_member(v, "settings", path);
-  c.settings = read_settings(settings, path + ".settings", c.names);
+  ParsedSettings parsed = read_settings(settings, path + ".settings");
+  c.settings = std::move(parsed.settings);
+  c.names = std::move(parsed.names);
   heronvane::dispatch::validate(c.settings);
   // However many calls may be out, each needs a descriptor.
   c.settings.max_concurrent_calls =
