--- a/fleet/main.cpp
+++ b/fleet/main.cpp
@@ -204,7 +204,7 @@
   if (::chdir("/") != 0) throw std::runtime_error(std::string("/: ") + std::strerror(errno));
   const std::string own_log = arguments.data + "/agent.log";
   background.stands(own_log);
-  heronvane::LostLines lost_lines(io);
+  heronvane::LostLineReporter lost_line_reporter(io);
   net::steady_timer look(io);
   const std::function<void()> keep_log_short = [&] {
     rotate_file(own_log, kMostLog);
--- a/relay/calls.cpp
+++ b/relay/calls.cpp
@@ -89,8 +89,8 @@
   Stage stage = Stage::connecting;
   Microseconds sent = steady_now();
   std::shared_ptr<Connection> connection;
-  Alarm timer;
-  Alarm read_pause;  // while the system has no memory for a read
+  Timer timer;
+  Timer read_pause;  // while the system has no memory for a read
   http::request<http::string_body> request;
   AnswerReader answer;
   Microseconds answer_due = 0;  // for the rest of an answer that has begun; 0: none has
--- a/relay/calls.hpp
+++ b/relay/calls.hpp
@@ -15,7 +15,7 @@
 
 #include "backs/kept_connections.hpp"
 #include "clock.hpp"
-#include "core/alarm.hpp"
+#include "core/timer.hpp"
 #include "heronvane/dispatch/dispatcher.hpp"
 #include "log.hpp"
 
@@ -109,9 +109,9 @@
   CallLimits limits_;
   Ended ended_;
   MayBegin may_begin_;
-  Tally odd_;
+  CounterLog odd_;
   std::array<char, 16 * 1024> chunk_{};  // what was read last
-  Alarm sweep_timer_;
+  Timer sweep_timer_;
   std::unordered_map<EndpointId, boost::asio::ip::tcp::endpoint> places_;
   std::unordered_map<EndpointId, std::vector<std::shared_ptr<Call>>> calls_;  // out, by endpoint
   std::unordered_map<MessageId, std::shared_ptr<Call>> by_message_;  // their messages, until each is over
--- a/relay/copies/streams.cpp
+++ b/relay/copies/streams.cpp
@@ -10,7 +10,7 @@
 #include <stdexcept>
 #include <utility>
 
-#include "core/alarm.hpp"
+#include "core/timer.hpp"
 
 namespace heronvane::copies {
 
@@ -100,7 +100,7 @@
   }
 
   Tcp::socket socket_;
-  Alarm watch_;
+  Timer watch_;
   Streams::Counts& counts_;
   Hooks hooks_;
   char lengths_[kFrameHead] = {};
--- a/relay/core/read_again.hpp
+++ b/relay/core/read_again.hpp
@@ -4,8 +4,8 @@
 #include <boost/system/error_code.hpp>
 #include <utility>
 
-#include "core/alarm.hpp"
 #include "core/socket_errors.hpp"
+#include "core/timer.hpp"
 
 namespace heronvane {
 
@@ -13,7 +13,7 @@
 // alive and looks whether reading still makes sense. It is waited for readability since Asio, after a read
 // that failed, tries the next one only at another edge of it; a wait asks for the state.
 template <class Socket, class Then>
-void read_again(Socket& socket, Alarm& pause, Then then) {
+void read_again(Socket& socket, Timer& pause, Then then) {
   pause.set(kShortagePause, [&socket, then = std::move(then)]() mutable {
     socket.async_wait(Socket::wait_read, [then = std::move(then)](boost::system::error_code) { then(); });
   });
--- a/relay/core/alarm.hpp
+++ b/relay/core/timer.hpp
@@ -2,7 +2,7 @@
 //
 // Cancelling or setting an Asio timer anew does not recall a handler that is already queued with success: it
 // would act for a time that does not count any more. Here a handler acts only for the setting that it was
-// made for. All timers of the relay that may be set anew or cancelled are alarms.
+// made for. All timers of the relay that may be set anew or cancelled are of this class.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,14 +13,14 @@
 
 namespace heronvane {
 
-class Alarm {
+class Timer {
  public:
   // A loop, or an executor of one.
   template <class Loop>
-  explicit Alarm(Loop&& loop) : timer_(std::forward<Loop>(loop)) {}
+  explicit Timer(Loop&& loop) : timer_(std::forward<Loop>(loop)) {}
 
-  // Calls `then` once, after so long, unless the alarm is set again or cancelled before `then` is called.
-  // While it is set `then` keeps this alarm's owner alive, or the owner outlives the loop.
+  // Calls `then` once, after so long, unless the timer is set again or cancelled before `then` is called.
+  // While it is set `then` keeps this timer's owner alive, or the owner outlives the loop.
   template <class Duration, class Then>
   void set(Duration after, Then then) {
     timer_.expires_after(std::chrono::duration_cast<std::chrono::microseconds>(after));
--- a/relay/fronts/admin.cpp
+++ b/relay/fronts/admin.cpp
@@ -13,7 +13,7 @@
 #include <stdexcept>
 #include <utility>
 
-#include "core/alarm.hpp"
+#include "core/timer.hpp"
 #include "framing.hpp"
 #include "startup/start_error.hpp"
 
@@ -211,7 +211,7 @@
   using Buffer = beast::flat_buffer;
   Admin& admin_;
   Socket socket_;
-  Alarm timer_, turn_;
+  Timer timer_, turn_;
   Buffer buffer_{kMostHeader + kMostBody};
   std::optional<http::request_parser<http::string_body>> parser_;
   http::response<http::string_body> response_;
--- a/relay/fronts/admin.hpp
+++ b/relay/fronts/admin.hpp
@@ -44,7 +44,7 @@
   boost::asio::local::stream_protocol::acceptor acceptor_;
   boost::asio::steady_timer pause_;
   Handler handler_;
-  Tally tally_;
+  CounterLog tally_;
   Microseconds turn_at_ = 0;  // the next request is answered no sooner
   std::set<std::shared_ptr<Session>> sessions_;
 };
--- a/relay/intake.cpp
+++ b/relay/intake.cpp
@@ -317,8 +317,8 @@
   using Buffer = beast::flat_buffer;
   Intake& intake_;
   tcp::socket socket_;
-  Alarm timer_;
-  Alarm read_pause_;  // while the system has no memory for a read
+  Timer timer_;
+  Timer read_pause_;  // while the system has no memory for a read
   Buffer buffer_{kMostHeader + kMostBody};
   std::optional<http::request_parser<http::string_body>> parser_;
   http::response<http::string_body> response_;
--- a/relay/intake.hpp
+++ b/relay/intake.hpp
@@ -8,9 +8,9 @@
 #include <memory>
 #include <set>
 
-#include "core/alarm.hpp"
 #include "core/message.hpp"
 #include "core/outbox.hpp"
+#include "core/timer.hpp"
 #include "log.hpp"
 #include "settings.hpp"
 
@@ -55,7 +55,7 @@
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  Alarm pause_;
+  Timer pause_;
   const heronvane::dispatch::Settings& settings_;
   const heronvane::dispatch::adapter::NameTables& names_;
   IntakeLimits limits_;
@@ -63,7 +63,7 @@
   Ready ready_;
   bool draining_ = false, finishing_ = false;
   std::size_t body_bytes_ = 0;
-  Tally tally_, accept_failures_;
+  CounterLog tally_, accept_failures_;
   std::set<std::shared_ptr<Session>> sessions_;
 };
 
--- a/relay/log.cpp
+++ b/relay/log.cpp
@@ -99,7 +99,7 @@
 
 void log(const std::string& line) { sink().line(stamped(line)); }
 
-void LostLines::look() {
+void LostLineReporter::look() {
   sink().tell_lost();
   timer_.expires_after(kLookGap);
   timer_.async_wait([this](boost::system::error_code bad) {
@@ -107,7 +107,7 @@
   });
 }
 
-void Tally::add(const char* why) {
+void CounterLog::add(const char* why) {
   const bool waiting = !counts_.empty();
   counts_[why]++;
   if (waiting) return;
--- a/relay/log.hpp
+++ b/relay/log.hpp
@@ -17,9 +17,9 @@
 void log(const std::string& line);
 
 // While it lives, looks each second whether lines were lost and can be told of.
-class LostLines {
+class LostLineReporter {
  public:
-  explicit LostLines(boost::asio::io_context& io) : timer_(io) { look(); }
+  explicit LostLineReporter(boost::asio::io_context& io) : timer_(io) { look(); }
 
  private:
   void look();
@@ -27,9 +27,9 @@
 };
 
 // Guards against a line for each of a crowd's requests, which is a load of its own: a line a second at most.
-class Tally {
+class CounterLog {
  public:
-  Tally(boost::asio::io_context& io, std::string what) : timer_(io), what_(std::move(what)) {}
+  CounterLog(boost::asio::io_context& io, std::string what) : timer_(io), what_(std::move(what)) {}
   // `why` is one of a few texts that the program holds.
   void add(const char* why);
 
--- a/relay/platform.cpp
+++ b/relay/platform.cpp
@@ -56,8 +56,8 @@
   }
   bool follow, over = false;
   tcp::socket socket;
-  Alarm timer;
-  Alarm read_pause;  // while the system has no memory for a read
+  Timer timer;
+  Timer read_pause;  // while the system has no memory for a read
   beast::flat_buffer buffer;
   http::request<http::empty_body> request;
   http::response_parser<http::string_body> parser;
@@ -75,8 +75,8 @@
 struct Platform::Post {
   explicit Post(net::io_context& io) : timer(io), read_pause(io) {}
   std::shared_ptr<tcp::socket> socket;
-  Alarm timer;
-  Alarm read_pause;  // while the system has no memory for a read
+  Timer timer;
+  Timer read_pause;  // while the system has no memory for a read
   std::vector<MessageId> ids;
   bool fresh = false, over = false;
   http::request<http::string_body> request;
--- a/relay/platform.hpp
+++ b/relay/platform.hpp
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
-#include "core/alarm.hpp"
 #include "core/message.hpp"
+#include "core/timer.hpp"
 #include "members.hpp"
 #include "settings.hpp"
 
@@ -78,7 +78,7 @@
   std::shared_ptr<boost::asio::ip::tcp::socket> kept_;
   static constexpr std::size_t kMostLines = 64;  // notices in one request
   std::size_t most_lines_ = kMostLines;
-  Alarm again_;
+  Timer again_;
   bool waiting_ = false;
   bool whole_due_ = false;  // since discovery moved
   bool following_ = false;  // the module wants changes
--- a/relay/relay.hpp
+++ b/relay/relay.hpp
@@ -16,7 +16,6 @@
 
 #include "calls.hpp"
 #include "config.hpp"
-#include "core/alarm.hpp"
 #include "core/directory.hpp"
 #include "core/drain.hpp"
 #include "core/held_gauge.hpp"
@@ -26,6 +25,7 @@
 #include "core/round_gap.hpp"
 #include "core/status.hpp"
 #include "core/target_memory.hpp"
+#include "core/timer.hpp"
 #include "core/wake.hpp"
 #include "fronts/front.hpp"
 #include "heronvane/dispatch/dispatcher.hpp"
@@ -172,7 +172,7 @@
   // Ids that wait for their answer, with those that handed the same one in meanwhile.
   std::unordered_map<std::string, std::vector<Reply>> twins_;
   RecentIds recent_;        // taken on and over; those that may run again
-  Tally refused_;           // told once a second, by reason
+  CounterLog refused_;      // told once a second, by reason
   HeldGauge gauge_;         // kept where there is an admin socket
   bool list_told_ = false;  // by discovery, in this life
   std::deque<std::vector<heronvane::dispatch::Endpoint>>
@@ -192,8 +192,8 @@
   WakeWatch wake_;
   bool waking_ = false;  // the module is not asked
   std::int64_t generation_;
-  Alarm beat_timer_, wake_timer_, drained_timer_;
-  Alarm round_timer_, module_timer_, stall_timer_, drain_timer_, compact_timer_;
+  Timer beat_timer_, wake_timer_, drained_timer_;
+  Timer round_timer_, module_timer_, stall_timer_, drain_timer_, compact_timer_;
   std::function<void()> done_;
   std::optional<Intake> intake_;  // last: it accepts once all else stands
 };
--- a/relay/startup/event_loop.hpp
+++ b/relay/startup/event_loop.hpp
@@ -26,7 +26,7 @@
 
 struct EventLoop {
   boost::asio::io_context io{1};
-  LostLines lost_lines{io};
+  LostLineReporter lost_line_reporter{io};
   boost::asio::signal_set ends{io, SIGTERM, SIGINT}, reloads{io, SIGHUP};
 };
 
--- a/relay/startup/startup.hpp
+++ b/relay/startup/startup.hpp
@@ -12,7 +12,7 @@
 
 #include "clock.hpp"
 #include "config.hpp"
-#include "core/alarm.hpp"
+#include "core/timer.hpp"
 #include "relay.hpp"
 #include "startup/start_error.hpp"
 
@@ -51,7 +51,7 @@
   const Relay::Start start_;
   std::optional<Config> config_;  // the relay's, unchanged from when that is made
   std::unique_ptr<Relay> relay_;  // null while the start is waiting
-  Alarm again_, reload_again_;
+  Timer again_, reload_again_;
   Microseconds waiting_since_ = 0;  // 0: it has not failed yet
   Microseconds told_at_ = 0;        // of the last line about the waiting
   std::string waited_for_;
--- a/tests/crossings/alarm_test.cpp
+++ b/tests/crossings/alarm_test.cpp
@@ -1,6 +1,4 @@
 // Completions of a timer that are queued already when it is set anew or cancelled.
-#include "core/alarm.hpp"
-
 #include <gtest/gtest.h>
 
 #include <boost/asio/io_context.hpp>
@@ -10,6 +8,8 @@
 #include <string>
 #include <vector>
 
+#include "core/timer.hpp"
+
 namespace heronvane::testing {
 namespace {
 
@@ -31,7 +31,7 @@
     return ran;
   }
   boost::asio::io_context io{1};
-  Alarm one{io}, two{io};
+  Timer one{io}, two{io};
 };
 
 TEST_F(AlarmTest, BothRunWhereNothingCrosses) {
