--- a/relay/config.cpp
+++ b/relay/config.cpp
@@ -92,25 +92,25 @@
   return c;
 }
 
-Places find_places(const CommandLine& options) {
+ConfigPaths find_config_paths(const CommandLine& options) {
   return {option_or_variable(options.config, "LB_CONFIG"), option_or_variable(options.state, "LB_STATE"),
           option_or_variable(options.settings, "HERONVANE_SETTINGS")};
 }
 
-Config load_config(const Places& places) {
-  if (places.config.empty())
+Config load_config(const ConfigPaths& paths) {
+  if (paths.config.empty())
     throw std::runtime_error(
         "no configuration: name its file by --config FILE or LB_CONFIG; --help lists all options");
-  const std::string text = read_text_file(places.config, "configuration");
+  const std::string text = read_text_file(paths.config, "configuration");
   Config c = [&] {
     try {
       return read_config(text);
     } catch (const std::exception& e) {
-      throw std::runtime_error(places.config + ": " + e.what());
+      throw std::runtime_error(paths.config + ": " + e.what());
     }
   }();
-  c.state_folder = places.state;
-  c.own = load_operator_settings(places.settings);
+  c.state_folder = paths.state;
+  c.own = load_operator_settings(paths.settings);
   if (c.own.admin.socket) {
     c.client_connections -= kAdminFiles / 2, c.endpoint_connections -= kAdminFiles / 2;
   }
@@ -122,14 +122,14 @@
   return c;
 }
 
-std::string summary(const Config& c, const Places& places) {
+std::string summary(const Config& c, const ConfigPaths& paths) {
   const auto text = [](const boost::asio::ip::tcp::endpoint& e) {
     return e.address().to_string() + ":" + std::to_string(e.port());
   };
   return "name " + c.name + ", listens at " + text(c.listen) + ", discovery at " + text(c.discovery) + ", " +
          std::to_string(c.settings.classes.size()) + " classes, " + std::to_string(c.known.members.size()) +
          " endpoints known, generation " + std::to_string(c.generation) + ", settings " +
-         (places.settings.empty() ? "none" : places.settings);
+         (paths.settings.empty() ? "none" : paths.settings);
 }
 
 }  // namespace heronvane
--- a/relay/config.hpp
+++ b/relay/config.hpp
@@ -37,15 +37,15 @@
 Config read_config(const std::string& json);
 
 // Where it is told: options, else the environment's variables.
-struct Places {
+struct ConfigPaths {
   std::string config, state, settings;  // paths; empty: none is named
 };
-Places find_places(const CommandLine& options);
+ConfigPaths find_config_paths(const CommandLine& options);
 
 // All that is told at the start; `state` may be empty. Throws std::exception whose text names the field, or
 // says what is missing.
-Config load_config(const Places& places);
+Config load_config(const ConfigPaths& paths);
 // What stands in it, for an operator.
-std::string summary(const Config& config, const Places& places);
+std::string summary(const Config& config, const ConfigPaths& paths);
 
 }  // namespace heronvane
--- a/relay/main.cpp
+++ b/relay/main.cpp
@@ -24,7 +24,7 @@
   return text;
 }
 
-int run(const heronvane::CommandLine& options, const heronvane::Places& places) {
+int run(const heronvane::CommandLine& options, const heronvane::ConfigPaths& paths) {
   const auto loop = heronvane::startup::make_event_loop();
   if (!loop) return 0;
   heronvane::Relay::Start start;
@@ -32,7 +32,7 @@
   start.undrain = options.undrain;
   start.force_own = options.force_own;
   start.drained = [&io = loop->io] { io.stop(); };
-  heronvane::startup::Startup startup(loop->io, places, std::move(start));
+  heronvane::startup::Startup startup(loop->io, paths, std::move(start));
   loop->ends.async_wait([&](boost::system::error_code bad, int signal) {
     if (!bad) startup.stop(signal == SIGTERM ? "SIGTERM" : "SIGINT");
   });
@@ -60,10 +60,10 @@
     const auto options = heronvane::read_command_line({argv + (argc > 0 ? 1 : 0), argv + argc});
     if (options.help) return std::fputs(heronvane::kUsage, stdout) < 0;
     if (options.version) return std::printf("heronvane %s\n", heronvane::kVersion) < 0;
-    const auto places = heronvane::find_places(options);
-    if (!options.check_config) return run(options, places);
-    const auto config = heronvane::load_config(places);
-    return std::printf("configuration: sound: %s\n", heronvane::summary(config, places).c_str()) < 0;
+    const auto paths = heronvane::find_config_paths(options);
+    if (!options.check_config) return run(options, paths);
+    const auto config = heronvane::load_config(paths);
+    return std::printf("configuration: sound: %s\n", heronvane::summary(config, paths).c_str()) < 0;
   } catch (const std::exception& e) {
     heronvane::log(std::string("heronvane: ") + e.what());
     return 1;
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -76,7 +76,7 @@
   try {
     return store::open_folder(path);
   } catch (const std::exception& error) {
-    throw startup::as_start_error(error, startup::Step::folder);
+    throw startup::to_start_error(error, startup::Step::state_folder);
   }
 }
 
--- a/relay/relay_fleet.cpp
+++ b/relay/relay_fleet.cpp
@@ -29,7 +29,7 @@
     const DrainState to{*start_.undrain, std::nullopt};
     const bool kept = keep_drain(to, [this](const auto& key, const auto& v) { return store_.keep(key, v); });
     if (!kept || !store_.commit())
-      throw startup::StartError(startup::Step::recovery, startup::Persistence::passing,
+      throw startup::StartError(startup::Step::recovery, startup::Persistence::transient,
                                 "--undrain: can't be kept: " + store_.trouble());
     drain_ = to;
   }
--- a/relay/startup/event_loop.cpp
+++ b/relay/startup/event_loop.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr auto kRetry = std::chrono::milliseconds(50);
-constexpr Microseconds kTellEach = 5'000'000;  // one line on the waiting
+constexpr Microseconds kLogInterval = 5'000'000;  // one line on the waiting
 
 sigset_t end_signals() {
   sigset_t signals;
@@ -31,17 +31,17 @@
 
 }  // namespace
 
-HeldSignals::HeldSignals() {
+BlockedSignals::BlockedSignals() {
   const sigset_t signals = all_signals();
   ::pthread_sigmask(SIG_BLOCK, &signals, nullptr);
 }
 
-HeldSignals::~HeldSignals() {
+BlockedSignals::~BlockedSignals() {
   const sigset_t signals = all_signals();
   ::pthread_sigmask(SIG_UNBLOCK, &signals, nullptr);
 }
 
-bool HeldSignals::end_asked_within(std::chrono::milliseconds time) const {
+bool BlockedSignals::termination_requested_within(std::chrono::milliseconds time) const {
   const sigset_t signals = end_signals();
   const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(time);
   const timespec most{seconds.count(), std::chrono::nanoseconds(time - seconds).count()};
@@ -49,7 +49,7 @@
 }
 
 std::unique_ptr<EventLoop> make_event_loop() {
-  const HeldSignals held;
+  const BlockedSignals blocked;
   const Microseconds begun = steady_now();
   const Microseconds timeout = OperatorSettings().relay.start_timeout;  // the operator's own is not read yet
   Microseconds told_at = 0;
@@ -57,16 +57,16 @@
     try {
       return std::make_unique<EventLoop>();
     } catch (const std::exception& error) {
-      const StartError why = as_start_error(error, Step::loop);
-      if (!why.passing() || steady_now() - begun >= timeout) throw why;
+      const StartError why = to_start_error(error, Step::loop);
+      if (!why.is_transient() || steady_now() - begun >= timeout) throw why;
       const Microseconds now = steady_now();
-      if (told_at == 0 || now - told_at >= kTellEach) {
+      if (told_at == 0 || now - told_at >= kLogInterval) {
         log(std::string("waiting: event loop: ") + why.what() + "; step loop, since " +
             std::to_string((now - begun) / 1'000'000) + " s");
         told_at = now;
       }
     }
-    if (held.end_asked_within(kRetry)) return nullptr;
+    if (blocked.termination_requested_within(kRetry)) return nullptr;
   }
 }
 
--- a/relay/startup/event_loop.hpp
+++ b/relay/startup/event_loop.hpp
@@ -13,15 +13,15 @@
 
 // Holds SIGTERM, SIGINT and SIGHUP back while it lives, so that none ends the process, or is lost, before the
 // loop listens to them.
-class HeldSignals {
+class BlockedSignals {
  public:
-  HeldSignals();
-  ~HeldSignals();
-  HeldSignals(const HeldSignals&) = delete;
-  HeldSignals& operator=(const HeldSignals&) = delete;
+  BlockedSignals();
+  ~BlockedSignals();
+  BlockedSignals(const BlockedSignals&) = delete;
+  BlockedSignals& operator=(const BlockedSignals&) = delete;
 
   // Waits for so long, at most; true once a signal has come that asks for the process's end.
-  bool end_asked_within(std::chrono::milliseconds time) const;
+  bool termination_requested_within(std::chrono::milliseconds time) const;
 };
 
 struct EventLoop {
--- a/relay/startup/occupant.cpp
+++ b/relay/startup/resource_owner.cpp
@@ -1,4 +1,4 @@
-#include "startup/occupant.hpp"
+#include "startup/resource_owner.hpp"
 
 #include <sys/stat.h>
 #include <sys/sysmacros.h>
@@ -74,7 +74,7 @@
 
 }  // namespace
 
-std::optional<pid_t> lock_holder(const std::string& path) {
+std::optional<pid_t> locking_process(const std::string& path) {
   struct stat file {};
   if (::stat(path.c_str(), &file) != 0) return std::nullopt;
   const std::string wanted = lock_name(file);
@@ -87,7 +87,7 @@
   return std::nullopt;
 }
 
-std::optional<pid_t> listener_at(const boost::asio::ip::tcp::endpoint& address) {
+std::optional<pid_t> listening_process(const boost::asio::ip::tcp::endpoint& address) {
   const std::string inode = listening_inode(address);
   if (inode.empty()) return std::nullopt;
   const std::string target = "socket:[" + inode + "]";
--- a/relay/startup/occupant.hpp
+++ b/relay/startup/resource_owner.hpp
@@ -11,10 +11,10 @@
 
 // The process that holds a lock (flock) on the file or folder at `path`; nothing where that can't be known,
 // as for a process of another container.
-std::optional<pid_t> lock_holder(const std::string& path);
+std::optional<pid_t> locking_process(const std::string& path);
 
 // The process that listens on `address`; nothing where none does, or it is another user's.
-std::optional<pid_t> listener_at(const boost::asio::ip::tcp::endpoint& address);
+std::optional<pid_t> listening_process(const boost::asio::ip::tcp::endpoint& address);
 
 // "process 4711 (heronvane)", or "another process".
 std::string describe_process(std::optional<pid_t> process);
--- a/relay/startup/start_error.cpp
+++ b/relay/startup/start_error.cpp
@@ -12,7 +12,7 @@
   switch (step) {
     case Step::configuration:
       return "configuration";
-    case Step::folder:
+    case Step::state_folder:
       return "folder";
     case Step::listener:
       return "listener";
@@ -52,9 +52,9 @@
     // A slip in the program.
     case EBADF:
     case EFAULT:
-      return Persistence::lasting;
+      return Persistence::permanent;
     default:
-      return Persistence::passing;
+      return Persistence::transient;
   }
 }
 
@@ -63,7 +63,7 @@
 Persistence persistence_of(const std::error_code& error) {
   const auto& category = error.category();
   const bool is_errno = category == std::generic_category() || category == std::system_category();
-  return is_errno ? persistence_of_errno(error.value()) : Persistence::lasting;
+  return is_errno ? persistence_of_errno(error.value()) : Persistence::permanent;
 }
 
 // Not by way of std::error_code: Boost 1.74 turns its system category into one that equals none of the
@@ -72,20 +72,20 @@
   const auto& category = error.category();
   const bool is_errno =
       category == boost::system::generic_category() || category == boost::system::system_category();
-  return is_errno ? persistence_of_errno(error.value()) : Persistence::lasting;
+  return is_errno ? persistence_of_errno(error.value()) : Persistence::permanent;
 }
 
-StartError as_start_error(const std::exception& error, Step step) {
+StartError to_start_error(const std::exception& error, Step step) {
   if (const auto* const known = dynamic_cast<const StartError*>(&error)) return *known;
   if (dynamic_cast<const store::FolderInUse*>(&error) != nullptr)
-    return {Step::folder, Persistence::passing, error.what()};
+    return {Step::state_folder, Persistence::transient, error.what()};
   if (const auto* const system = dynamic_cast<const std::system_error*>(&error))
     return {step, persistence_of(system->code()), error.what()};
   if (const auto* const system = dynamic_cast<const boost::system::system_error*>(&error))
     return {step, persistence_of(system->code()), error.what()};
   if (dynamic_cast<const std::bad_alloc*>(&error) != nullptr)
-    return {step, Persistence::passing, "out of memory"};
-  return {step, Persistence::lasting, error.what()};
+    return {step, Persistence::transient, "out of memory"};
+  return {step, Persistence::permanent, error.what()};
 }
 
 }  // namespace heronvane::startup
--- a/relay/startup/start_error.hpp
+++ b/relay/startup/start_error.hpp
@@ -13,7 +13,7 @@
 // The steps of a start, in their order.
 enum class Step {
   configuration,  // the configuration and the operator's settings are read
-  folder,         // the state folder is opened and locked
+  state_folder,   // the state folder is opened and locked
   listener,       // the addresses are bound
   recovery,       // what an earlier process left is read and taken over
   loop            // the event loop and its signals are set up
@@ -22,8 +22,8 @@
 
 // Whether a failure may be gone a moment later.
 enum class Persistence {
-  passing,  // the start is tried again: a folder or an address in use, descriptors short, a disk error
-  lasting   // the start ends: nothing but an operator can change it
+  transient,  // the start is tried again: a folder or an address in use, descriptors short, a disk error
+  permanent   // the start ends: nothing but an operator can change it
 };
 
 // By the errno, of a system call made during a start. Errors that no page foretells count as passing: a start
@@ -37,7 +37,7 @@
       : std::runtime_error(what), step_(step), persistence_(persistence) {}
 
   Step step() const { return step_; }
-  bool passing() const { return persistence_ == Persistence::passing; }
+  bool is_transient() const { return persistence_ == Persistence::transient; }
 
  private:
   Step step_;
@@ -45,6 +45,6 @@
 };
 
 // Any exception of a start as a StartError; `step` where the exception does not tell its own.
-StartError as_start_error(const std::exception& error, Step step);
+StartError to_start_error(const std::exception& error, Step step);
 
 }  // namespace heronvane::startup
--- a/relay/startup/startup.cpp
+++ b/relay/startup/startup.cpp
@@ -8,7 +8,7 @@
 #include <utility>
 
 #include "log.hpp"
-#include "startup/occupant.hpp"
+#include "startup/resource_owner.hpp"
 #include "version.hpp"
 
 namespace heronvane::startup {
@@ -16,13 +16,13 @@
 
 // Less than this holds few messages, and much less than it none: that is told, for it looks like a relay that
 // is well.
-constexpr std::uint64_t kLittleDisk = 1'000'000;
+constexpr std::uint64_t kLowDiskLimit = 1'000'000;
 // Between two tries. Short, since nobody serves meanwhile; a try that fails at a lock or an address costs
 // some microseconds.
 constexpr auto kRetry = std::chrono::milliseconds(50);
 // After a failed recovery, which may have read the whole folder.
 constexpr auto kRecoveryRetry = std::chrono::milliseconds(250);
-constexpr Microseconds kTellEach = 5'000'000;  // one line on the waiting
+constexpr Microseconds kLogInterval = 5'000'000;  // one line on the waiting
 constexpr double kSecond = 1e6;
 
 std::string seconds_text(Microseconds time) {
@@ -33,17 +33,17 @@
 
 }  // namespace
 
-Startup::Startup(boost::asio::io_context& io, Places places, Relay::Start start)
-    : io_(io), places_(std::move(places)), start_(std::move(start)), again_(io), reload_again_(io) {}
+Startup::Startup(boost::asio::io_context& io, ConfigPaths paths, Relay::Start start)
+    : io_(io), paths_(std::move(paths)), start_(std::move(start)), retry_timer_(io), reload_timer_(io) {}
 
 void Startup::begin() { attempt(); }
 
-Config Startup::load() const {
-  Config config = load_config(places_);
+Config Startup::load_checked_config() const {
+  Config config = load_config(paths_);
   if (config.state_folder.empty())
-    throw StartError(Step::configuration, Persistence::lasting,
+    throw StartError(Step::configuration, Persistence::permanent,
                      "no state folder: name it by --state FOLDER or LB_STATE");
-  if (config.disk_bytes < kLittleDisk)
+  if (config.disk_bytes < kLowDiskLimit)
     log("configuration: limits.disk_mb is below 1: messages may be refused for want of room");
   return config;
 }
@@ -55,19 +55,19 @@
 void Startup::attempt() {
   Step step = Step::configuration;
   try {
-    if (!config_) configured(load());
+    if (!config_) set_config(load_checked_config());
     step = Step::recovery;
     Relay::Start start = start_;
     start.waited = waiting_since_ > 0 ? steady_now() - waiting_since_ : 0;
-    start.waited_for = waited_for_;
+    start.waited_for = waiting_reason_;
     relay_ = std::make_unique<Relay>(io_, *config_, std::move(start));
   } catch (const std::exception& error) {
-    return failed(as_start_error(error, step));
+    return failed(to_start_error(error, step));
   }
   succeeded();
 }
 
-void Startup::configured(Config config) {
+void Startup::set_config(Config config) {
   log("starting as " + config.name + ": process " + std::to_string(::getpid()) + ", run " + start_.run +
       ", heronvane " + kVersion);
   config_ = std::move(config);
@@ -75,34 +75,34 @@
 
 void Startup::succeeded() {
   if (waiting_since_ == 0) return;
-  log("started after waiting " + seconds_text(steady_now() - waiting_since_) + " for: " + waited_for_);
+  log("started after waiting " + seconds_text(steady_now() - waiting_since_) + " for: " + waiting_reason_);
 }
 
 void Startup::failed(const StartError& error) {
-  if (!error.passing()) return give_up(error.what());
+  if (!error.is_transient()) return give_up(error.what());
   const Microseconds now = steady_now();
   if (waiting_since_ == 0) waiting_since_ = now;
   if (now - waiting_since_ >= timeout())
-    return give_up(cause_of(error) + "; waited " + seconds_text(now - waiting_since_) +
+    return give_up(describe(error) + "; waited " + seconds_text(now - waiting_since_) +
                    " (relay.start_timeout)");
-  waited_for_ = error.what();
-  if (told_at_ == 0 || now - told_at_ >= kTellEach) tell_waiting(error);
-  again_.set(error.step() == Step::recovery ? kRecoveryRetry : kRetry, [this] { attempt(); });
+  waiting_reason_ = error.what();
+  if (last_log_at_ == 0 || now - last_log_at_ >= kLogInterval) log_waiting(error);
+  retry_timer_.set(error.step() == Step::recovery ? kRecoveryRetry : kRetry, [this] { attempt(); });
 }
 
-void Startup::tell_waiting(const StartError& error) {
-  told_at_ = steady_now();
-  log("waiting: " + cause_of(error) + "; step " + std::string(name_of(error.step())) + ", since " +
-      seconds_text(told_at_ - waiting_since_));
+void Startup::log_waiting(const StartError& error) {
+  last_log_at_ = steady_now();
+  log("waiting: " + describe(error) + "; step " + std::string(name_of(error.step())) + ", since " +
+      seconds_text(last_log_at_ - waiting_since_));
 }
 
 // The error, with the process that has what the start waits for.
-std::string Startup::cause_of(const StartError& error) const {
+std::string Startup::describe(const StartError& error) const {
   std::string text = error.what();
   if (!config_) return text;
-  const auto process = error.step() == Step::folder     ? lock_holder(config_->state_folder)
-                       : error.step() == Step::listener ? listener_at(config_->listen)
-                                                        : std::nullopt;
+  const auto process = error.step() == Step::state_folder ? locking_process(config_->state_folder)
+                       : error.step() == Step::listener   ? listening_process(config_->listen)
+                                                          : std::nullopt;
   if (process) text += "; " + describe_process(process) + " has it";
   return text;
 }
@@ -116,27 +116,27 @@
 
 void Startup::reload() {
   log("SIGHUP: reading the configuration again");
-  reload_again_.cancel();
-  try_reload(true);
+  reload_timer_.cancel();
+  attempt_reload(true);
 }
 
-void Startup::try_reload(bool first) {
+void Startup::attempt_reload(bool first) {
   if (stopped_) return;
   try {
-    Config config = load();
+    Config config = load_checked_config();
     if (relay_) return relay_->reconfigure(config);
-    configured(std::move(config));
+    set_config(std::move(config));
   } catch (const std::exception& error) {
-    const StartError why = as_start_error(error, Step::configuration);
+    const StartError why = to_start_error(error, Step::configuration);
     if (first) log(std::string("configuration: the old one stays: ") + why.what());
-    if (why.passing()) reload_again_.set(kRetry, [this] { try_reload(false); });
+    if (why.is_transient()) reload_timer_.set(kRetry, [this] { attempt_reload(false); });
   }
 }
 
 void Startup::stop(const std::string& signal) {
   if (std::exchange(stopped_, true)) return;
-  again_.cancel();
-  reload_again_.cancel();
+  retry_timer_.cancel();
+  reload_timer_.cancel();
   if (relay_) {
     log(signal + ": process " + std::to_string(::getpid()) + " ends");
     return relay_->stop([this] { io_.stop(); });
--- a/relay/startup/startup.hpp
+++ b/relay/startup/startup.hpp
@@ -21,7 +21,7 @@
 class Startup {
  public:
   // `io` outlives it. Nothing happens before begin().
-  Startup(boost::asio::io_context& io, Places places, Relay::Start start);
+  Startup(boost::asio::io_context& io, ConfigPaths paths, Relay::Start start);
 
   // Makes the first try at once; later ones are made by the loop.
   void begin();
@@ -36,25 +36,25 @@
 
  private:
   void attempt();
-  void try_reload(bool first);
-  void configured(Config config);
+  void attempt_reload(bool first);
+  void set_config(Config config);
   void succeeded();
   void failed(const StartError& error);
   void give_up(const std::string& why);
-  void tell_waiting(const StartError& error);
-  std::string cause_of(const StartError& error) const;
-  Config load() const;
+  void log_waiting(const StartError& error);
+  std::string describe(const StartError& error) const;
+  Config load_checked_config() const;
   Microseconds timeout() const;
 
   boost::asio::io_context& io_;
-  const Places places_;
+  const ConfigPaths paths_;
   const Relay::Start start_;
   std::optional<Config> config_;  // the relay's, unchanged from when that is made
   std::unique_ptr<Relay> relay_;  // null while the start is waiting
-  Timer again_, reload_again_;
+  Timer retry_timer_, reload_timer_;
   Microseconds waiting_since_ = 0;  // 0: it has not failed yet
-  Microseconds told_at_ = 0;        // of the last line about the waiting
-  std::string waited_for_;
+  Microseconds last_log_at_ = 0;    // of the last line about the waiting
+  std::string waiting_reason_;
   bool stopped_ = false;
   int status_ = 0;
 };
