--- a/bench/scale/module_bench.cpp
+++ b/bench/scale/module_bench.cpp
@@ -115,8 +115,8 @@
   for (int i = 0; i < rounds; i++) world.round(each);
 }
 
-heronvane::Member member(std::size_t destination, int which) {
-  heronvane::Member m;
+heronvane::ListedEndpoint member(std::size_t destination, int which) {
+  heronvane::ListedEndpoint m;
   m.endpoint = endpoint(destination, which);
   return m;
 }
@@ -125,11 +125,11 @@
                                         std::size_t destinations, int changes) {
   std::vector<Action> actions;
   for (int i = 0; i < changes; i++) {
-    heronvane::MemberList list;
-    list.members.push_back(member(static_cast<std::size_t>(i) * 7 % destinations, 0));
-    list.members[0].endpoint.listing = i % 2 == 0 ? Listing::draining : Listing::active;
+    heronvane::EndpointList list;
+    list.endpoints.push_back(member(static_cast<std::size_t>(i) * 7 % destinations, 0));
+    list.endpoints[0].endpoint.listing = i % 2 == 0 ? Listing::draining : Listing::active;
     const auto told = directory.take(
-        list, [](const EndpointId&) {}, [](const heronvane::Member&) {});
+        list, [](const EndpointId&) {}, [](const heronvane::ListedEndpoint&) {});
     actions.clear();
     dispatcher.handle(kS + i * 5 * kMs, {event::EndpointListUpdate{told.endpoints}}, actions);
   }
@@ -137,11 +137,11 @@
 
 std::size_t heap() { return mallinfo2().uordblks; }
 
-heronvane::MemberList all(std::size_t destinations) {
-  heronvane::MemberList list;
+heronvane::EndpointList all(std::size_t destinations) {
+  heronvane::EndpointList list;
   list.snapshot = true;
   for (std::size_t d = 0; d < destinations; d++)
-    for (int i = 0; i < 2; i++) list.members.push_back(member(d, i));
+    for (int i = 0; i < 2; i++) list.endpoints.push_back(member(d, i));
   return list;
 }
 
@@ -152,7 +152,7 @@
   std::size_t after_directory = 0;
   {
     auto told = directory.take(
-        all(destinations), [](const EndpointId&) {}, [](const heronvane::Member&) {});
+        all(destinations), [](const EndpointId&) {}, [](const heronvane::ListedEndpoint&) {});
     std::vector<Endpoint>().swap(told.endpoints);
     after_directory = heap();
   }
@@ -181,11 +181,11 @@
   MessageId id = 0;
   for (int minute = 0; minute < 60 * hours; minute++) {
     for (std::size_t i = 0; i < destinations / 100; i++, oldest++, newest++) {
-      heronvane::MemberList list;
+      heronvane::EndpointList list;
       for (int w = 0; w < 2; w++) {
-        list.members.push_back(member(oldest, w));
-        list.members.back().endpoint.listing = Listing::gone;
-        list.members.push_back(member(newest, w));
+        list.endpoints.push_back(member(oldest, w));
+        list.endpoints.back().endpoint.listing = Listing::gone;
+        list.endpoints.push_back(member(newest, w));
       }
       const auto told = directory.take(list, nothing, nothing);
       event::RequestArrived a;
@@ -228,7 +228,7 @@
     Dispatcher dispatcher(settings(0), 1);
     std::vector<Action> actions;
     directory.take(
-        all(destinations), [](const EndpointId&) {}, [](const heronvane::Member&) {});
+        all(destinations), [](const EndpointId&) {}, [](const heronvane::ListedEndpoint&) {});
     dispatcher.handle(0, {event::EndpointListSnapshot{directory.all(), false}}, actions);
     measured_changes(directory, dispatcher, destinations, std::atoi(argv[3]));
   } else if (what == "memory" && argc == 3) {
--- a/fleet/fleet_file.cpp
+++ b/fleet/fleet_file.cpp
@@ -8,7 +8,7 @@
 #include "default_settings.hpp"
 #include "fields.hpp"
 #include "json.hpp"
-#include "members.hpp"
+#include "endpoint_list.hpp"
 #include "operator_settings.hpp"
 #include "partners.hpp"
 
--- a/fleet/main.cpp
+++ b/fleet/main.cpp
@@ -19,7 +19,7 @@
 #include "agent.hpp"
 #include "api_server.hpp"
 #include "log.hpp"
-#include "members.hpp"
+#include "endpoint_list.hpp"
 
 namespace {
 
--- a/fleet/platform_host.cpp
+++ b/fleet/platform_host.cpp
@@ -4,7 +4,7 @@
 #include <stdexcept>
 
 #include "log.hpp"
-#include "members.hpp"
+#include "endpoint_list.hpp"
 #include "partners.hpp"
 
 namespace heronvane::fleet {
--- a/fuzz/list_checks.hpp
+++ b/fuzz/list_checks.hpp
@@ -21,8 +21,8 @@
 }
 
 // Nothing where it can't be read, why in `why`.
-inline std::optional<MemberList> read_sliced(const std::string& text, std::size_t slice,
-                                             std::string* why = nullptr) {
+inline std::optional<EndpointList> read_sliced(const std::string& text, std::size_t slice,
+                                               std::string* why = nullptr) {
   ListReader reader(text, list_names());
   try {
     while (!reader.step(slice)) {
@@ -34,26 +34,26 @@
   }
 }
 
-inline std::optional<MemberList> read_at_once(const std::string& text) {
+inline std::optional<EndpointList> read_at_once(const std::string& text) {
   rapidjson::Document v;
   v.Parse<rapidjson::kParseIterativeFlag>(text.data(), text.size());
   if (v.HasParseError()) return std::nullopt;
   try {
-    return read_members(v, "members", list_names());
+    return read_endpoint_list(v, "members", list_names());
   } catch (const heronvane::dispatch::adapter::WireError&) {
     return std::nullopt;
   }
 }
 
-inline bool same_lists(const std::optional<MemberList>& a, const std::optional<MemberList>& b) {
+inline bool same_lists(const std::optional<EndpointList>& a, const std::optional<EndpointList>& b) {
   if (a.has_value() != b.has_value()) return false;
   if (!a) return true;
-  if (a->index != b->index || a->snapshot != b->snapshot || a->members.size() != b->members.size())
+  if (a->index != b->index || a->snapshot != b->snapshot || a->endpoints.size() != b->endpoints.size())
     return false;
-  for (std::size_t i = 0; i < a->members.size(); i++) {
-    const auto &x = a->members[i].endpoint, &y = b->members[i].endpoint;
+  for (std::size_t i = 0; i < a->endpoints.size(); i++) {
+    const auto &x = a->endpoints[i].endpoint, &y = b->endpoints[i].endpoint;
     if (x.id != y.id || x.destination != y.destination || x.zone != y.zone || x.kind != y.kind ||
-        x.listing != y.listing || x.weight != y.weight || a->members[i].address != b->members[i].address)
+        x.listing != y.listing || x.weight != y.weight || a->endpoints[i].address != b->endpoints[i].address)
       return false;
   }
   return true;
--- a/relay/config.cpp
+++ b/relay/config.cpp
@@ -88,7 +88,8 @@
         optional_field(*report, "How", path + ".settings.Report", as_string, "none") == "answers";
   c.generation = optional_field(v, "generation", path, as_int64, std::int64_t{0});
   if (c.generation < 0) throw_malformed(path + ".generation", "must not be negative");
-  if (const Value* known = find_member(v, "known")) c.known = read_members(*known, path + ".known", c.names);
+  if (const Value* known = find_member(v, "known"))
+    c.known = read_endpoint_list(*known, path + ".known", c.names);
   return c;
 }
 
@@ -127,7 +128,7 @@
     return e.address().to_string() + ":" + std::to_string(e.port());
   };
   return "name " + c.name + ", listens at " + text(c.listen) + ", discovery at " + text(c.discovery) + ", " +
-         std::to_string(c.settings.classes.size()) + " classes, " + std::to_string(c.known.members.size()) +
+         std::to_string(c.settings.classes.size()) + " classes, " + std::to_string(c.known.endpoints.size()) +
          " endpoints known, generation " + std::to_string(c.generation) + ", settings " +
          (paths.settings.empty() ? "none" : paths.settings);
 }
--- a/relay/config.hpp
+++ b/relay/config.hpp
@@ -7,8 +7,8 @@
 #include <vector>
 
 #include "command_line.hpp"
+#include "endpoint_list.hpp"
 #include "heronvane/dispatch/dispatcher.hpp"
-#include "members.hpp"
 #include "operator_settings.hpp"
 #include "settings.hpp"
 
@@ -29,7 +29,7 @@
   heronvane::dispatch::adapter::NameTables names;
   bool reports_in_answers = false;
   std::int64_t generation = 0;  // of the agent's desired state that it was written for; 0: none
-  MemberList known;
+  EndpointList known;
   OperatorSettings own;
 };
 
--- a/relay/core/directory.cpp
+++ b/relay/core/directory.cpp
@@ -55,10 +55,10 @@
   return endpoints_.erase(it);
 }
 
-Directory::Changes Directory::take(const MemberList& list, const Left& left, const Located& located) {
+Directory::Changes Directory::take(const EndpointList& list, const Left& left, const Located& located) {
   Changes changes;
-  if (list.snapshot && list.begins) whole_ = list.serial;
-  for (const Member& m : list.members) {
+  if (list.snapshot && list.first_part) whole_ = list.serial;
+  for (const ListedEndpoint& m : list.endpoints) {
     located(m);
     if (m.endpoint.listing != Listing::gone) {
       put(m.endpoint, changes);
@@ -74,7 +74,7 @@
       changes.unfit.push_back(m.endpoint.id);
     }
   }
-  if (list.snapshot && list.ends && list.serial == whole_)
+  if (list.snapshot && list.last_part && list.serial == whole_)
     for (auto it = endpoints_.begin(); it != endpoints_.end();) {
       if (it->second.named == whole_) {
         ++it;
--- a/relay/core/directory.hpp
+++ b/relay/core/directory.hpp
@@ -11,8 +11,8 @@
 #include <unordered_set>
 #include <vector>
 
+#include "endpoint_list.hpp"
 #include "heronvane/dispatch/dispatcher.hpp"
-#include "members.hpp"
 
 namespace heronvane {
 
@@ -29,8 +29,8 @@
   // and told `left` before it is forgotten: with its last part, unless another whole list has begun
   // meanwhile. Addresses are not kept here: `located` hears of each that is named.
   using Left = std::function<void(const heronvane::dispatch::EndpointId&)>;
-  using Located = std::function<void(const Member&)>;
-  Changes take(const MemberList& list, const Left& left, const Located& located);
+  using Located = std::function<void(const ListedEndpoint&)>;
+  Changes take(const EndpointList& list, const Left& left, const Located& located);
 
   // Null where it is not listed; valid until the next list.
   const heronvane::dispatch::Endpoint* find(const heronvane::dispatch::EndpointId& id) const;
--- a/relay/core/list_memory.cpp
+++ b/relay/core/list_memory.cpp
@@ -36,10 +36,10 @@
   return u;
 }
 
-ListMemory::ListMemory(const std::map<std::string, std::string>& facts, const MemberList& known,
+ListMemory::ListMemory(const std::map<std::string, std::string>& facts, const EndpointList& known,
                        Microseconds now, Keep keep)
     : keep_(std::move(keep)) {
-  for (const auto& m : known.members) known_.insert(m.endpoint.id);
+  for (const auto& m : known.endpoints) known_.insert(m.endpoint.id);
   std::vector<std::string> dropped;
   for (auto it = facts.lower_bound(kPrefix);
        it != facts.end() && it->first.compare(0, kPrefix.size(), kPrefix) == 0; ++it) {
@@ -54,8 +54,8 @@
   for (const auto& key : dropped) keep_(key, "");
 }
 
-MemberList ListMemory::known(MemberList list) const {
-  std::erase_if(list.members, [this](Member& m) {
+EndpointList ListMemory::known(EndpointList list) const {
+  std::erase_if(list.endpoints, [this](ListedEndpoint& m) {
     const auto it = unfit_.find(m.endpoint.id);
     if (it == unfit_.end()) return false;
     m.endpoint.listing = it->second.listing;
@@ -64,8 +64,8 @@
   return list;
 }
 
-MemberList ListMemory::told(MemberList list, const std::string& discovery, Microseconds now) {
-  std::erase_if(list.members, [&](Member& m) {
+EndpointList ListMemory::told(EndpointList list, const std::string& discovery, Microseconds now) {
+  std::erase_if(list.endpoints, [&](ListedEndpoint& m) {
     const auto it = unfit_.find(m.endpoint.id);
     const bool older = it != unfit_.end() && it->second.discovery == discovery &&
                        list.index < it->second.index && now - it->second.told <= kLongest;
--- a/relay/core/list_memory.hpp
+++ b/relay/core/list_memory.hpp
@@ -13,8 +13,8 @@
 #include <set>
 #include <string>
 
+#include "endpoint_list.hpp"
 #include "heronvane/dispatch/dispatcher.hpp"
-#include "members.hpp"
 
 namespace heronvane {
 
@@ -36,13 +36,13 @@
 
   // Takes back from `facts` what earlier lives kept; what is older than an hour and not named by `known` is
   // dropped. `now` is lasting time, here and below.
-  ListMemory(const std::map<std::string, std::string>& facts, const MemberList& known,
+  ListMemory(const std::map<std::string, std::string>& facts, const EndpointList& known,
              heronvane::dispatch::Microseconds now, Keep keep);
 
   // The configuration's list as it holds: without those that are gone, with those that drain.
-  MemberList known(MemberList list) const;
+  EndpointList known(EndpointList list) const;
   // A list or changes as told by `discovery`, as they hold; what they tell is remembered.
-  MemberList told(MemberList list, const std::string& discovery, heronvane::dispatch::Microseconds now);
+  EndpointList told(EndpointList list, const std::string& discovery, heronvane::dispatch::Microseconds now);
   // A whole list with that index does not name the endpoint any more.
   void gone(const heronvane::dispatch::EndpointId& endpoint, std::int64_t index, const std::string& discovery,
             heronvane::dispatch::Microseconds now);
--- a/relay/core/list_reader.cpp
+++ b/relay/core/list_reader.cpp
@@ -32,18 +32,18 @@
   const std::string one = head + text_.substr(begin_, size) + "]}";
   rapidjson::Document v;
   parse(v, one.data(), one.size());
-  auto read = read_members(v, kPath, names_);
-  std::move(read.members.begin(), read.members.end(), std::back_inserter(list_.members));
+  auto read = read_endpoint_list(v, kPath, names_);
+  std::move(read.endpoints.begin(), read.endpoints.end(), std::back_inserter(list_.endpoints));
 }
 
 void ListReader::finish() {
   frame_.append(text_, copied_);
   rapidjson::Document v;
   parse(v, frame_.data(), frame_.size());
-  auto frame = read_members(v, kPath, names_);
+  auto frame = read_endpoint_list(v, kPath, names_);
   list_.index = frame.index, list_.snapshot = frame.snapshot;
   // Not cut out of it.
-  if (!frame.members.empty()) list_.members = std::move(frame.members);
+  if (!frame.endpoints.empty()) list_.endpoints = std::move(frame.endpoints);
   done_ = true;
 }
 
--- a/relay/core/list_reader.hpp
+++ b/relay/core/list_reader.hpp
@@ -1,11 +1,11 @@
-// A list of endpoints, read in slices: as read_members() reads it, a stretch of the text at a time, so that a
-// list of many thousands does not hold up whoever reads it. No input or output here.
+// A list of endpoints, read in slices: as read_endpoint_list() reads it, a stretch of the text at a time, so
+// that a list of many thousands does not hold up whoever reads it. No input or output here.
 #pragma once
 
 #include <cstddef>
 #include <string>
 
-#include "members.hpp"
+#include "endpoint_list.hpp"
 #include "settings.hpp"
 
 namespace heronvane {
@@ -19,7 +19,7 @@
   // field; nothing of the list counts then.
   bool step(std::size_t bytes);
   // Once all is read: the list, which goes with it.
-  MemberList take() { return std::move(list_); }
+  EndpointList take() { return std::move(list_); }
 
  private:
   void element();
@@ -27,7 +27,7 @@
 
   std::string text_;
   const heronvane::dispatch::adapter::NameTables& names_;
-  MemberList list_;
+  EndpointList list_;
   std::string frame_;  // the text without the endpoints
   std::size_t at_ = 0, copied_ = 0, begin_ = 0, string_ = 0;
   int depth_ = 0;
--- a/relay/members.cpp
+++ b/relay/endpoint_list.cpp
@@ -1,4 +1,4 @@
-#include "members.hpp"
+#include "endpoint_list.hpp"
 
 #include <charconv>
 
@@ -20,15 +20,15 @@
   return {address, port};
 }
 
-MemberList read_members(const Value& v, const std::string& path, const NameTables& names) {
+EndpointList read_endpoint_list(const Value& v, const std::string& path, const NameTables& names) {
   as_object(v, path);
-  MemberList list;
+  EndpointList list;
   list.index = required_field(v, "index", path, as_int64);
   list.snapshot = required_field(v, "snapshot", path, as_bool);
   const std::string where = path + ".endpoints";
   for (const auto& e : as_array(required_member(v, "endpoints", path), where).GetArray()) {
     as_object(e, where);
-    Member m;
+    ListedEndpoint m;
     m.endpoint.id = required_field(e, "name", where, as_string);
     m.endpoint.listing = enum_from_name<Listing>(
         required_field(e, "status", where, as_string),
@@ -40,7 +40,7 @@
     m.endpoint.weight = optional_field(e, "weight", where, as_number, 1.0);
     m.endpoint.since = optional_field(e, "since_ms", where, as_timestamp_ms, 0);
     m.address = read_address(required_field(e, "address", where, as_string), where + ".address");
-    list.members.push_back(std::move(m));
+    list.endpoints.push_back(std::move(m));
   }
   return list;
 }
--- a/relay/platform.cpp
+++ b/relay/platform.cpp
@@ -68,7 +68,7 @@
   bool answered = false;             // a watch that lived
   bool looked = false;               // once for what had come when its time was up
   std::optional<ListReader> reader;  // of the list that is being read
-  std::optional<MemberList> list;    // that is being told
+  std::optional<EndpointList> list;  // that is being told
   std::size_t told = 0;              // of its entries
 };
 
@@ -291,19 +291,20 @@
 
 // The next part of the list; true with the last one.
 bool Platform::hand_over(Query& query) {
-  MemberList& list = *query.list;
+  EndpointList& list = *query.list;
   // One that was overtaken by the watch is asked for again.
   const bool overtaken = !query.follow && watch_ && list.index < index_;
-  const std::size_t left = list.members.size() - query.told, count = overtaken ? left : std::min(left, kPart);
+  const std::size_t left = list.endpoints.size() - query.told,
+                    count = overtaken ? left : std::min(left, kPart);
   if (!overtaken) {
-    MemberList part;
+    EndpointList part;
     part.index = list.index, part.snapshot = list.snapshot, part.serial = list.serial;
-    part.begins = query.told == 0, part.ends = count == left;
-    const auto from = list.members.begin() + static_cast<std::ptrdiff_t>(query.told);
-    part.members.assign(std::make_move_iterator(from),
-                        std::make_move_iterator(from + static_cast<std::ptrdiff_t>(count)));
+    part.first_part = query.told == 0, part.last_part = count == left;
+    const auto from = list.endpoints.begin() + static_cast<std::ptrdiff_t>(query.told);
+    part.endpoints.assign(std::make_move_iterator(from),
+                          std::make_move_iterator(from + static_cast<std::ptrdiff_t>(count)));
     // Only now: what is broken off is asked for anew.
-    if (part.ends) index_ = list.index;
+    if (part.last_part) index_ = list.index;
     listed_(std::move(part));
   }
   query.told += count;
--- a/relay/platform.hpp
+++ b/relay/platform.hpp
@@ -12,14 +12,14 @@
 
 #include "core/message.hpp"
 #include "core/timer.hpp"
-#include "members.hpp"
+#include "endpoint_list.hpp"
 #include "settings.hpp"
 
 namespace heronvane {
 
 class Platform {
  public:
-  using Listed = std::function<void(MemberList)>;
+  using Listed = std::function<void(EndpointList)>;
   using Failed = std::function<void()>;
   using Noticed = std::function<void(const std::vector<MessageId>&)>;
 
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -114,7 +114,7 @@
           [this] { return turned(); }),
       platform_(
           io, config.discovery, config.names, config.known.index, most_list(config),
-          [this](MemberList list) { listed(std::move(list)); },
+          [this](EndpointList list) { listed(std::move(list)); },
           [this] { happened(event::EndpointListFailed{}); },
           [this](const std::vector<MessageId>& ids) {
             for (const MessageId id : ids) over(id);
@@ -134,8 +134,9 @@
       drain_timer_(io),
       compact_timer_(io) {
   directory_.take(
-      known_, [](const EndpointId&) {}, [this](const Member& m) { calls_.locate(m.endpoint.id, m.address); });
-  for (const auto& m : config.known.members) directory_.name(m.endpoint.destination);
+      known_, [](const EndpointId&) {},
+      [this](const ListedEndpoint& m) { calls_.locate(m.endpoint.id, m.address); });
+  for (const auto& m : config.known.endpoints) directory_.name(m.endpoint.destination);
   events_.push_back(event::EndpointListSnapshot{directory_.all(), true});
   for (const auto& key : recalled_.outdated()) store_.keep(key, {});
   store_.on_sync([this] { synced(); });
@@ -290,16 +291,16 @@
   outbox_.withdraw(endpoint, [this](const EndpointId& to, const Outgoing& m) { take_back(to, m); });
 }
 
-void Relay::listed(MemberList list) {
+void Relay::listed(EndpointList list) {
   if (HERONVANE_DEFECT("ignore-drain"))
-    for (auto& m : list.members) m.endpoint.listing = Listing::active;
+    for (auto& m : list.endpoints) m.endpoint.listing = Listing::active;
   const std::string discovery = text_of(platform_.address());
   const Microseconds now = store_.clock().now();
   list = list_memory_.told(std::move(list), discovery, now);
   const auto changes = directory_.take(
       list, [&](const EndpointId& id) { list_memory_.gone(id, list.index, discovery, now); },
-      [this](const Member& m) { calls_.locate(m.endpoint.id, m.address); });
-  list_told_ = list_told_ || list.ends;
+      [this](const ListedEndpoint& m) { calls_.locate(m.endpoint.id, m.address); });
+  list_told_ = list_told_ || list.last_part;
   for (const auto& id : changes.unfit) {
     keep_from(id);
     calls_.close_idle(id);
--- a/relay/relay.hpp
+++ b/relay/relay.hpp
@@ -76,7 +76,7 @@
   bool keep(const std::string& key, const std::string& value);
   void arrive(Message message, Microseconds left, Reply reply);
   void ended(const heronvane::dispatch::event::AttemptEnded& e);
-  void listed(MemberList list);
+  void listed(EndpointList list);
   template <class E>
   void happened(E event) {
     events_.emplace_back(std::move(event));
@@ -159,7 +159,7 @@
   bool unwritten_ = false;             // the store can't be written now: the module is not asked
   std::map<std::string, std::string> kept_meanwhile_;
   ListMemory list_memory_;
-  MemberList known_;  // the configuration's list, as it holds
+  EndpointList known_;  // the configuration's list, as it holds
   RecalledTargets recalled_;
   heronvane::dispatch::Dispatcher dispatcher_;
   Calls calls_;
--- a/tests/directory_test.cpp
+++ b/tests/directory_test.cpp
@@ -14,8 +14,8 @@
 using heronvane::dispatch::EndpointId;
 using heronvane::dispatch::Listing;
 
-Member member(const std::string& id, std::int64_t destination, Listing listing = Listing::active) {
-  Member m;
+ListedEndpoint member(const std::string& id, std::int64_t destination, Listing listing = Listing::active) {
+  ListedEndpoint m;
   m.endpoint.id = id, m.endpoint.destination = destination, m.endpoint.listing = listing;
   return m;
 }
@@ -26,12 +26,12 @@
   std::size_t located = 0;
 };
 
-Taken take(Directory& d, std::vector<Member> members, bool snapshot) {
+Taken take(Directory& d, std::vector<ListedEndpoint> members, bool snapshot) {
   static std::uint64_t serial = 0;
   Taken t;
   t.changes = d.take(
       {1, snapshot, std::move(members), ++serial}, [&](const EndpointId& id) { t.left.insert(id); },
-      [&](const Member&) { t.located++; });
+      [&](const ListedEndpoint&) { t.located++; });
   return t;
 }
 
@@ -81,9 +81,10 @@
 TEST(Directory, AListInPartsTellsWhatIsGoneWithItsLast) {
   Directory d;
   take(d, {member("a", 1), member("b", 1), member("c", 1)}, true);
-  const auto part = [&](std::uint64_t serial, std::vector<Member> members, bool begins, bool ends) {
+  const auto part = [&](std::uint64_t serial, std::vector<ListedEndpoint> members, bool begins, bool ends) {
     return d.take(
-        {2, true, std::move(members), serial, begins, ends}, [](const EndpointId&) {}, [](const Member&) {});
+        {2, true, std::move(members), serial, begins, ends}, [](const EndpointId&) {},
+        [](const ListedEndpoint&) {});
   };
   EXPECT_TRUE(part(1'000, {member("a", 1)}, true, false).endpoints.empty());
   // Changes that come between its parts are newer than it.
@@ -106,14 +107,14 @@
   std::map<EndpointId, Endpoint> plain;
   for (int round = 0; round < 3'000; round++) {
     const bool snapshot = random() % 5 == 0;
-    std::map<EndpointId, Member> named;
+    std::map<EndpointId, ListedEndpoint> named;
     for (auto n = random() % 12; n > 0; n--) {
       auto m = member("e" + std::to_string(random() % 20), static_cast<std::int64_t>(random() % 4));
       const auto lot = random() % 6;
       m.endpoint.listing = lot == 0 ? Listing::gone : lot == 1 ? Listing::draining : Listing::active;
       named[m.endpoint.id] = m;
     }
-    std::vector<Member> members;
+    std::vector<ListedEndpoint> members;
     for (const auto& [id, m] : named) members.push_back(m);
     const auto t = take(d, members, snapshot);
     const auto before = plain;
--- a/tests/kept_test.cpp
+++ b/tests/kept_test.cpp
@@ -26,19 +26,19 @@
   }
 };
 
-MemberList list(std::int64_t index, bool whole, std::vector<std::pair<std::string, Listing>> entries) {
-  MemberList l;
+EndpointList list(std::int64_t index, bool whole, std::vector<std::pair<std::string, Listing>> entries) {
+  EndpointList l;
   l.index = index, l.snapshot = whole;
   for (const auto& [id, listing] : entries) {
-    Member m;
+    ListedEndpoint m;
     m.endpoint.id = id, m.endpoint.listing = listing;
-    l.members.push_back(m);
+    l.endpoints.push_back(m);
   }
   return l;
 }
-std::map<std::string, Listing> said(const MemberList& l) {
+std::map<std::string, Listing> said(const EndpointList& l) {
   std::map<std::string, Listing> all;
-  for (const auto& m : l.members) all[m.endpoint.id] = m.endpoint.listing;
+  for (const auto& m : l.endpoints) all[m.endpoint.id] = m.endpoint.listing;
   return all;
 }
 using Said = std::map<std::string, Listing>;
--- a/tests/list_reader_test.cpp
+++ b/tests/list_reader_test.cpp
@@ -26,7 +26,7 @@
       const auto text = list(entries);
       const auto read = read_sliced(text, slice);
       ASSERT_TRUE(read);
-      EXPECT_EQ(read->members.size(), static_cast<std::size_t>(entries));
+      EXPECT_EQ(read->endpoints.size(), static_cast<std::size_t>(entries));
       EXPECT_TRUE(same_lists(read, read_at_once(text))) << text;
     }
 }
