--- a/relay/endpoint_list.hpp
+++ b/relay/endpoint_list.hpp
@@ -1,7 +1,8 @@
-// The list of endpoints in discovery's form, as the configuration and the platform give it.
+// The endpoint list in discovery's form, as the configuration and the control plane give it.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
+#include <cstdint>
 #include <string>
 #include <vector>
 
@@ -15,21 +16,23 @@
   boost::asio::ip::tcp::endpoint address;
 };
 
+// A snapshot of the endpoint list or an update to it. A long one comes in parts, and other lists may come
+// between them.
 struct EndpointList {
-  std::int64_t index = 0;
-  bool snapshot = false;  // the whole list, else what changed
+  std::int64_t index = 0;  // grows with each change at one discovery
+  bool snapshot = false;   // all endpoints; else those that changed
   std::vector<ListedEndpoint> endpoints;
-  // A long list comes in parts; lists may come between those of another one.
-  std::uint64_t serial = 0;  // of the list: the same for all of its parts, above those of earlier ones
+  std::uint64_t serial = 0;  // the same for all parts of a list, and above that of earlier lists
   bool first_part = true;
   bool last_part = true;
 };
 
-// Throws WireError, naming the field, on what can't be read.
-EndpointList read_endpoint_list(const heronvane::dispatch::adapter::Value& v, const std::string& path,
+// Reads a list that stands at `path` of its document, as one part. Zones and kinds are numbered by `names`.
+// Throws WireError.
+EndpointList read_endpoint_list(const heronvane::dispatch::adapter::Value& object, const std::string& path,
                                 const heronvane::dispatch::adapter::NameTables& names);
 
-// "127.0.0.1:8081"; throws WireError naming `path`.
+// Reads an address and a port, such as "127.0.0.1:8081". Throws WireError for the field at `path`.
 boost::asio::ip::tcp::endpoint read_address(const std::string& text, const std::string& path);
 
 }  // namespace heronvane
--- a/relay/log.cpp
+++ b/relay/log.cpp
@@ -6,7 +6,9 @@
 #include <sys/stat.h>
 #include <unistd.h>
 
+#include <array>
 #include <cerrno>
+#include <chrono>
 #include <climits>
 #include <cstdio>
 
@@ -16,109 +18,125 @@
 
 namespace {
 
-constexpr std::size_t kMostLine = PIPE_BUF;  // so much a pipe takes whole or not at all
-constexpr auto kLookGap = std::chrono::seconds(1);
+constexpr std::size_t kMaxLineBytes = PIPE_BUF;  // a pipe takes so much whole or not at all
+constexpr auto kReportInterval = std::chrono::seconds(1);
+constexpr auto kCounterInterval = std::chrono::seconds(1);
+constexpr const char* kEllipsis = "...";
+constexpr Microseconds kSecond = 1'000'000;
+constexpr std::size_t kTimeBytes = 48;  // of a time as text, at most
 
-std::string stamped(const std::string& line) {
+// "1700000000.000001 LINE\n"
+std::string with_time(const std::string& line) {
   const Microseconds now = wall_now();
-  char time[48];
-  std::snprintf(time, sizeof time, "%lld.%06lld ", static_cast<long long>(now / 1'000'000),
-                static_cast<long long>(now % 1'000'000));
-  std::string text = time + line;
-  if (text.size() >= kMostLine) text.replace(kMostLine - 4, std::string::npos, "...");
+  std::array<char, kTimeBytes> time{};
+  std::snprintf(time.data(), time.size(), "%lld.%06lld ", static_cast<long long>(now / kSecond),
+                static_cast<long long>(now % kSecond));
+  std::string text = time.data() + line;
+  if (text.size() >= kMaxLineBytes) text.replace(kMaxLineBytes - 4, std::string::npos, kEllipsis);
   return text + "\n";
 }
 
-// Standard error, written to without ever waiting for its reader.
-class Sink {
+// Writes to standard error without ever waiting for its reader.
+class NonBlockingStderr {
  public:
-  Sink() {
+  NonBlockingStderr() {
     struct stat about {};
     if (::fstat(STDERR_FILENO, &about) != 0) return;
-    socket_ = S_ISSOCK(about.st_mode);
-    // Opened anew, since a flag on the inherited one would hold for all processes that share it. Where that
-    // can't be, poll() alone guards: one who writes between it and the write may still make that wait.
-    if (S_ISFIFO(about.st_mode)) own_ = ::open("/proc/self/fd/2", O_WRONLY | O_NONBLOCK | O_CLOEXEC);
+    is_socket_ = S_ISSOCK(about.st_mode);
+    // Opened again, since a flag on the inherited descriptor would hold for all processes that share it.
+    // Where that fails poll() alone guards: a process that writes between it and the write may still block
+    // that write.
+    if (S_ISFIFO(about.st_mode)) own_fd_ = ::open("/proc/self/fd/2", O_WRONLY | O_NONBLOCK | O_CLOEXEC);
   }
-  Sink(const Sink&) = delete;
-  Sink& operator=(const Sink&) = delete;
-  ~Sink() {
-    if (own_ >= 0) ::close(own_);
+  NonBlockingStderr(const NonBlockingStderr&) = delete;
+  NonBlockingStderr& operator=(const NonBlockingStderr&) = delete;
+  ~NonBlockingStderr() {
+    if (own_fd_ >= 0) ::close(own_fd_);
   }
 
-  void line(const std::string& text) {
-    tell_lost();
-    if (lost_ > 0 || !put(text)) lost_++;
+  void write_line(const std::string& text) {
+    report_lost();
+    if (lost_ > 0 || !write(text)) lost_++;
   }
-  void tell_lost() {
-    if (lost_ > 0 && put(stamped("log: lost " + std::to_string(lost_) + " lines"))) lost_ = 0;
+
+  void report_lost() {
+    if (lost_ > 0 && write(with_time("log: lost " + std::to_string(lost_) + " lines"))) lost_ = 0;
   }
 
  private:
-  // False if nothing of it was taken. What is left of a line that was taken in part goes first later.
-  bool put(const std::string& text) {
-    if (!rest_.empty()) rest_.erase(0, take(rest_));
+  // False where nothing of `text` was written. The rest of a line that was written in part goes before the
+  // next.
+  bool write(const std::string& text) {
+    if (!rest_.empty()) rest_.erase(0, write_some(rest_));
     if (!rest_.empty()) return false;
-    const std::size_t taken = take(text);
-    if (taken > 0) rest_ = text.substr(taken);
-    return taken > 0;
+    const std::size_t written = write_some(text);
+    if (written > 0) rest_ = text.substr(written);
+    return written > 0;
   }
-  std::size_t take(const std::string& text) const {
-    ssize_t n = 0;
+
+  // The bytes that were written; 0 where there is no room, and on errors.
+  std::size_t write_some(const std::string& text) const {
+    ssize_t size = 0;
     do {
-      if (socket_) {
-        n = ::send(STDERR_FILENO, text.data(), text.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
-        continue;
-      }
-      pollfd out{own_ >= 0 ? own_ : STDERR_FILENO, POLLOUT, 0};
-      if (::poll(&out, 1, 0) != 1 || (out.revents & POLLOUT) == 0) return 0;
-      n = ::write(out.fd, text.data(), text.size());
-    } while (n < 0 && errno == EINTR);
-    return n > 0 ? static_cast<std::size_t>(n) : 0;
+      size = is_socket_ ? ::send(STDERR_FILENO, text.data(), text.size(), MSG_DONTWAIT | MSG_NOSIGNAL)
+                        : write_if_ready(text);
+    } while (size < 0 && errno == EINTR);
+    return size > 0 ? static_cast<std::size_t>(size) : 0;
+  }
+
+  // As write(2), but 0 where the descriptor takes nothing now.
+  ssize_t write_if_ready(const std::string& text) const {
+    pollfd out{own_fd_ >= 0 ? own_fd_ : STDERR_FILENO, POLLOUT, 0};
+    if (::poll(&out, 1, 0) != 1 || (out.revents & POLLOUT) == 0) return 0;
+    return ::write(out.fd, text.data(), text.size());
   }
 
-  int own_ = -1;
-  bool socket_ = false;
-  std::string rest_;
-  std::size_t lost_ = 0;
+  int own_fd_ = -1;  // for a pipe; -1: standard error itself is written to
+  bool is_socket_ = false;
+  std::string rest_;      // of a line that was written in part
+  std::size_t lost_ = 0;  // lines, since the last report
 };
 
 // The process has one standard error.
-Sink& sink() {
-  static Sink the_one;
+NonBlockingStderr& standard_error() {
+  static NonBlockingStderr the_one;
   return the_one;
 }
 
 }  // namespace
 
 void open_standard_streams() {
-  // The lowest number that is free is given out.
-  for (int fd = STDIN_FILENO; fd <= STDERR_FILENO; fd++)
+  // open() returns the lowest number that is free.
+  for (int fd = STDIN_FILENO; fd <= STDERR_FILENO; fd++) {
     if (::fcntl(fd, F_GETFD) < 0 && ::open("/dev/null", O_RDWR) != fd) return;
+  }
 }
 
-void log(const std::string& line) { sink().line(stamped(line)); }
+void log(const std::string& line) { standard_error().write_line(with_time(line)); }
 
-void LostLineReporter::look() {
-  sink().tell_lost();
-  timer_.expires_after(kLookGap);
-  timer_.async_wait([this](boost::system::error_code bad) {
-    if (!bad) look();
+void LostLineReporter::report() {
+  standard_error().report_lost();
+  timer_.expires_after(kReportInterval);
+  timer_.async_wait([this](boost::system::error_code error) {
+    if (!error) report();
   });
 }
 
-void CounterLog::add(const char* why) {
+void CounterLog::add(const std::string& reason) {
   const bool waiting = !counts_.empty();
-  counts_[why]++;
+  counts_[reason]++;
   if (waiting) return;
-  timer_.expires_after(std::chrono::seconds(1));
-  timer_.async_wait([this](boost::system::error_code bad) {
-    if (bad) return;
-    std::string line = what_ + ":";
-    for (const auto& [reason, n] : counts_) line += " " + reason + " (" + std::to_string(n) + ")";
-    counts_.clear();
-    log(line);
+  timer_.expires_after(kCounterInterval);
+  timer_.async_wait([this](boost::system::error_code error) {
+    if (!error) write();
   });
 }
 
+void CounterLog::write() {
+  std::string line = subject_ + ":";
+  for (const auto& [reason, count] : counts_) line += " " + reason + " (" + std::to_string(count) + ")";
+  counts_.clear();
+  log(line);
+}
+
 }  // namespace heronvane
--- a/relay/text_file.cpp
+++ b/relay/text_file.cpp
@@ -5,11 +5,15 @@
 
 #include <array>
 #include <cerrno>
+#include <cstddef>
 #include <system_error>
 
 namespace heronvane {
 namespace {
 
+constexpr std::size_t kReadBytes = 65536;  // at once
+
+// Owns a file descriptor, or -1.
 class Descriptor {
  public:
   explicit Descriptor(int fd) : fd_(fd) {}
@@ -24,8 +28,8 @@
   int fd_;
 };
 
-[[noreturn]] void fail(const std::string& path, const std::string& what) {
-  throw std::system_error(errno, std::generic_category(), what + ": can't read " + path);
+[[noreturn]] void throw_errno(const std::string& path, const std::string& content) {
+  throw std::system_error(errno, std::generic_category(), content + ": can't read " + path);
 }
 
 int open_uninterrupted(const std::string& path) {
@@ -38,15 +42,15 @@
 
 }  // namespace
 
-std::string read_text_file(const std::string& path, const std::string& what) {
+std::string read_text_file(const std::string& path, const std::string& content) {
   const Descriptor file(open_uninterrupted(path));
-  if (file.get() < 0) fail(path, what);
+  if (file.get() < 0) throw_errno(path, content);
   std::string text;
-  std::array<char, 65536> bytes{};
+  std::array<char, kReadBytes> bytes{};
   while (true) {
     const ssize_t size = ::read(file.get(), bytes.data(), bytes.size());
     if (size < 0 && errno == EINTR) continue;
-    if (size < 0) fail(path, what);
+    if (size < 0) throw_errno(path, content);
     if (size == 0) return text;
     text.append(bytes.data(), static_cast<std::size_t>(size));
   }
