--- a/relay/command_line.hpp
+++ b/relay/command_line.hpp
@@ -9,24 +9,31 @@
 
 namespace heronvane {
 
+// The options as given. Paths are empty where they are not.
 struct CommandLine {
-  std::string config, state, settings;  // paths; empty: not given
-  std::string run;                      // 16 hexadecimal digits; empty: one is drawn
-  std::optional<std::int64_t> undrain;  // the fence under which a drain is taken back
-  // What the folder holds is this relay's, whatever its copies at others say; it is not asked.
+  std::string config;
+  std::string state;
+  std::string settings;
+  std::string run;                      // 16 hexadecimal digits; empty: one is to be drawn
+  std::optional<std::int64_t> undrain;  // the fencing token of the drain to take back
+  // Use the state folder without asking the replicas of its log whether it is still this relay's.
   bool force_own = false;
-  bool check_config = false, version = false, help = false;
+  bool check_config = false;
+  bool version = false;
+  bool help = false;
 };
 
-// One line that tells what can't be understood.
+// A command line that can't be understood; what() is one line that names the argument.
 class UsageError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// `arguments` without the program's name: "--state FOLDER" or "--state=FOLDER". Throws UsageError.
+// Reads the arguments behind the program's name. A value follows its option as the next argument or behind
+// '='. Throws UsageError.
 CommandLine read_command_line(const std::vector<std::string>& arguments);
 
-extern const char* const kUsage;  // what --help prints
+// What --help prints.
+extern const char* const kUsage;
 
 }  // namespace heronvane
--- a/relay/config.cpp
+++ b/relay/config.cpp
@@ -7,6 +7,7 @@
 #include <charconv>
 #include <cstdlib>
 #include <stdexcept>
+#include <utility>
 
 #include "text_file.hpp"
 
@@ -16,81 +17,148 @@
 
 namespace {
 
+const std::string kRoot = "config";  // the path of the whole document in error texts
+
 // Descriptors that are no connections of clients or to endpoints: standard streams, the event loop, signals,
-// the store's files, discovery, datagrams, the one that listens; one that is turned away.
+// the store's files, discovery, datagrams, the listener, and a connection that is being rejected.
 constexpr std::size_t kOtherFiles = 24;
-// The admin socket's: the one that listens, its connections, one that is turned away.
+// The admin socket's: its listener, its connections, and one that is being rejected.
 constexpr std::size_t kAdminFiles = 10;
-// Of copies: connections to members and from them, three files for each log that is held for another one.
+// Replication's: connections to members and from them, three files for each replica log.
 constexpr std::size_t kCopiesFiles = 80;
+constexpr int kMinSockets = 64;
+constexpr int kSeedBase = 16;
+constexpr double kBytesPerMegabyte = 1e6;  // the smaller of the two readings of a megabyte
+constexpr double kMaxMegabytes = 1e9;
 
-boost::asio::ip::udp::endpoint udp(const std::string& text, const std::string& path) {
-  const auto address = read_address(text, path);
+boost::asio::ip::udp::endpoint as_udp_endpoint(const Value& value, const std::string& path) {
+  const auto address = read_address(as_string(value, path), path);
   return {address.address(), address.port()};
 }
 
+boost::asio::ip::tcp::endpoint as_tcp_endpoint(const Value& value, const std::string& path) {
+  return read_address(as_string(value, path), path);
+}
+
+std::uint64_t as_megabytes(const Value& value, const std::string& path) {
+  const double number = as_number(value, path);
+  if (!(number > 0 && number < kMaxMegabytes)) throw_malformed(path, "must be above 0");
+  return static_cast<std::uint64_t>(number * kBytesPerMegabyte);
+}
+
+std::uint64_t as_seed(const Value& value, const std::string& path) {
+  const std::string text = as_string(value, path);
+  std::uint64_t seed = 0;
+  const char* const last = text.data() + text.size();
+  const auto [end, error] = std::from_chars(text.data(), last, seed, kSeedBase);
+  if (error != std::errc() || end != last) throw_malformed(path, "must be 64 bits in hexadecimal");
+  return seed;
+}
+
 std::string option_or_variable(const std::string& option, const char* variable) {
   if (!option.empty()) return option;
-  const char* value = std::getenv(variable);
+  const char* const value = std::getenv(variable);  // NOLINT(concurrency-mt-unsafe): nothing sets variables
   return value == nullptr ? "" : value;
 }
 
-std::uint64_t whole_above_zero(const Value& v, const std::string& path) {
-  const double number = as_number(v, path);
-  if (!(number > 0 && number < 1e9)) throw_malformed(path, "must be above 0");
-  return static_cast<std::uint64_t>(number * 1e6);
+rapidjson::Document parse(const std::string& json) {
+  rapidjson::Document document;
+  document.Parse<rapidjson::kParseIterativeFlag>(json.data(), json.size());
+  if (document.HasParseError()) {
+    throw_malformed(kRoot, "is no JSON at byte " + std::to_string(document.GetErrorOffset()) + ": " +
+                               rapidjson::GetParseError_En(document.GetParseError()));
+  }
+  return document;
+}
+
+void read_limits(const Value& document, Config& config) {
+  const std::string path = kRoot + ".limits";
+  const Value& limits = as_object(required_member(document, "limits", kRoot), path);
+  const int sockets = required_field(limits, "sockets", path, as_int);
+  if (sockets < kMinSockets) throw_malformed(path + ".sockets", "must be 64 or more");
+  const std::size_t connections = static_cast<std::size_t>(sockets) - kOtherFiles;
+  config.client_connections = connections / 2;
+  config.endpoint_connections = connections - config.client_connections;
+  config.memory_bytes = required_field(limits, "memory_mb", path, as_megabytes);
+  config.disk_bytes = required_field(limits, "disk_mb", path, as_megabytes);
+}
+
+void read_peers(const Value& document, Config& config) {
+  if (const Value* listen = find_member(document, "peer_listen")) {
+    config.peer_listen = as_udp_endpoint(*listen, kRoot + ".peer_listen");
+  }
+  if (const Value* group = find_member(document, "peers_all")) {
+    config.peers_all = as_udp_endpoint(*group, kRoot + ".peers_all");
+  }
+  const Value* const peers = find_member(document, "peers");
+  if (peers == nullptr) return;
+  const std::string path = kRoot + ".peers";
+  for (const auto& peer : as_array(*peers, path).GetArray()) {
+    config.peers.push_back(as_udp_endpoint(peer, path));
+  }
+}
+
+// A call in flight needs a descriptor, whatever the settings allow.
+void limit_concurrent_calls(Config& config) {
+  config.settings.max_concurrent_calls =
+      std::min(config.settings.max_concurrent_calls, static_cast<int>(config.endpoint_connections));
+}
+
+void read_decision_settings(const Value& document, Config& config) {
+  const std::string path = kRoot + ".settings";
+  const Value& settings = required_member(document, "settings", kRoot);
+  ParsedSettings parsed = read_settings(settings, path);
+  heronvane::dispatch::validate(parsed.settings);
+  config.settings = std::move(parsed.settings);
+  config.names = std::move(parsed.names);
+  limit_concurrent_calls(config);
+  if (const Value* report = find_member(settings, "Report")) {
+    config.reports_in_answers =
+        optional_field(*report, "How", path + ".Report", as_string, "none") == "answers";
+  }
+}
+
+// Takes descriptors for the admin socket and for replication out of the shares for connections.
+void reserve_descriptors(Config& config) {
+  if (config.own.admin.socket) {
+    config.client_connections -= kAdminFiles / 2;
+    config.endpoint_connections -= kAdminFiles / 2;
+  }
+  if (config.own.copies.on) {
+    config.client_connections -= std::min(config.client_connections / 2, kCopiesFiles / 2);
+    config.endpoint_connections -= std::min(config.endpoint_connections / 2, kCopiesFiles / 2);
+  }
+}
+
+// Puts the file's path before the text of an error.
+Config read_config_of(const std::string& file) {
+  const std::string text = read_text_file(file, "configuration");
+  try {
+    return read_config(text);
+  } catch (const std::exception& error) {
+    throw std::runtime_error(file + ": " + error.what());
+  }
 }
 
 }  // namespace
 
 Config read_config(const std::string& json) {
-  rapidjson::Document v;
-  v.Parse<rapidjson::kParseIterativeFlag>(json.data(), json.size());
-  if (v.HasParseError())
-    throw_malformed("config", ("is no JSON at byte " + std::to_string(v.GetErrorOffset()) + ": " +
-                               rapidjson::GetParseError_En(v.GetParseError()))
-                                  .c_str());
-  const std::string path = "config";
-  as_object(v, path);
-  Config c;
-  c.name = required_field(v, "name", path, as_string);
-  c.listen = read_address(required_field(v, "listen", path, as_string), path + ".listen");
-  c.discovery = read_address(required_field(v, "discovery", path, as_string), path + ".discovery");
-  const std::string seed = required_field(v, "seed", path, as_string);
-  const auto [end, error] = std::from_chars(seed.data(), seed.data() + seed.size(), c.seed, 16);
-  if (error != std::errc() || end != seed.data() + seed.size())
-    throw_malformed(path + ".seed", "must be 64 bits in hexadecimal");
-  const Value& limits = as_object(required_member(v, "limits", path), path + ".limits");
-  const int sockets = required_field(limits, "sockets", path + ".limits", as_int);
-  if (sockets < 64) throw_malformed(path + ".limits.sockets", "must be 64 or more");
-  c.client_connections = (static_cast<std::size_t>(sockets) - kOtherFiles) / 2;
-  c.endpoint_connections = static_cast<std::size_t>(sockets) - kOtherFiles - c.client_connections;
-  c.memory_bytes = required_field(limits, "memory_mb", path + ".limits", whole_above_zero);
-  // Taken as 10^6 bytes, the smaller of the two readings of a megabyte.
-  c.disk_bytes = required_field(limits, "disk_mb", path + ".limits", whole_above_zero);
-  if (const Value* p = find_member(v, "peer_listen"))
-    c.peer_listen = udp(as_string(*p, path + ".peer_listen"), path + ".peer_listen");
-  if (const Value* p = find_member(v, "peers_all"))
-    c.peers_all = udp(as_string(*p, path + ".peers_all"), path + ".peers_all");
-  if (const Value* peers = find_member(v, "peers"))
-    for (const auto& p : as_array(*peers, path + ".peers").GetArray())
-      c.peers.push_back(udp(as_string(p, path + ".peers"), path + ".peers"));
-  const Value& settings = required_member(v, "settings", path);
-  ParsedSettings parsed = read_settings(settings, path + ".settings");
-  c.settings = std::move(parsed.settings);
-  c.names = std::move(parsed.names);
-  heronvane::dispatch::validate(c.settings);
-  // However many calls may be out, each needs a descriptor.
-  c.settings.max_concurrent_calls =
-      std::min(c.settings.max_concurrent_calls, static_cast<int>(c.endpoint_connections));
-  if (const Value* report = find_member(settings, "Report"))
-    c.reports_in_answers =
-        optional_field(*report, "How", path + ".settings.Report", as_string, "none") == "answers";
-  c.generation = optional_field(v, "generation", path, as_int64, std::int64_t{0});
-  if (c.generation < 0) throw_malformed(path + ".generation", "must not be negative");
-  if (const Value* known = find_member(v, "known"))
-    c.known = read_endpoint_list(*known, path + ".known", c.names);
-  return c;
+  const rapidjson::Document document = parse(json);
+  as_object(document, kRoot);
+  Config config;
+  config.name = required_field(document, "name", kRoot, as_string);
+  config.listen = required_field(document, "listen", kRoot, as_tcp_endpoint);
+  config.discovery = required_field(document, "discovery", kRoot, as_tcp_endpoint);
+  config.seed = required_field(document, "seed", kRoot, as_seed);
+  read_limits(document, config);
+  read_peers(document, config);
+  read_decision_settings(document, config);
+  config.generation = optional_field(document, "generation", kRoot, as_int64, 0);
+  if (config.generation < 0) throw_malformed(kRoot + ".generation", "must not be negative");
+  if (const Value* known = find_member(document, "known")) {
+    config.known = read_endpoint_list(*known, kRoot + ".known", config.names);
+  }
+  return config;
 }
 
 ConfigPaths find_config_paths(const CommandLine& options) {
@@ -99,37 +167,26 @@
 }
 
 Config load_config(const ConfigPaths& paths) {
-  if (paths.config.empty())
+  if (paths.config.empty()) {
     throw std::runtime_error(
         "no configuration: name its file by --config FILE or LB_CONFIG; --help lists all options");
-  const std::string text = read_text_file(paths.config, "configuration");
-  Config c = [&] {
-    try {
-      return read_config(text);
-    } catch (const std::exception& e) {
-      throw std::runtime_error(paths.config + ": " + e.what());
-    }
-  }();
-  c.state_folder = paths.state;
-  c.own = load_operator_settings(paths.settings);
-  if (c.own.admin.socket) {
-    c.client_connections -= kAdminFiles / 2, c.endpoint_connections -= kAdminFiles / 2;
   }
-  if (c.own.copies.on)
-    c.client_connections -= std::min(c.client_connections / 2, kCopiesFiles / 2),
-        c.endpoint_connections -= std::min(c.endpoint_connections / 2, kCopiesFiles / 2);
-  c.settings.max_concurrent_calls =
-      std::min(c.settings.max_concurrent_calls, static_cast<int>(c.endpoint_connections));
-  return c;
+  Config config = read_config_of(paths.config);
+  config.state_folder = paths.state;
+  config.own = load_operator_settings(paths.settings);
+  reserve_descriptors(config);
+  limit_concurrent_calls(config);
+  return config;
 }
 
-std::string summary(const Config& c, const ConfigPaths& paths) {
-  const auto text = [](const boost::asio::ip::tcp::endpoint& e) {
-    return e.address().to_string() + ":" + std::to_string(e.port());
+std::string summary(const Config& config, const ConfigPaths& paths) {
+  const auto text = [](const boost::asio::ip::tcp::endpoint& address) {
+    return address.address().to_string() + ":" + std::to_string(address.port());
   };
-  return "name " + c.name + ", listens at " + text(c.listen) + ", discovery at " + text(c.discovery) + ", " +
-         std::to_string(c.settings.classes.size()) + " classes, " + std::to_string(c.known.endpoints.size()) +
-         " endpoints known, generation " + std::to_string(c.generation) + ", settings " +
+  return "name " + config.name + ", listens at " + text(config.listen) + ", discovery at " +
+         text(config.discovery) + ", " + std::to_string(config.settings.classes.size()) + " classes, " +
+         std::to_string(config.known.endpoints.size()) + " endpoints known, generation " +
+         std::to_string(config.generation) + ", settings " +
          (paths.settings.empty() ? "none" : paths.settings);
 }
 
