--- a/relay/operator_settings.hpp
+++ b/relay/operator_settings.hpp
@@ -1,6 +1,5 @@
-// Settings that belong to the operator of an installation, not to the platform: the TOML file that
-// --settings or HERONVANE_SETTINGS names (deploy/heronvane.toml lists them all). Without one all stands as
-// given here.
+// Settings that belong to the operator of an installation, not to the platform: the TOML file that --settings
+// or HERONVANE_SETTINGS names. deploy/heronvane.toml lists them all.
 #pragma once
 
 #include <string>
@@ -11,31 +10,39 @@
 
 namespace heronvane {
 
+// The defaults are those of a relay without a settings file. Durations are in microseconds.
 struct OperatorSettings {
+  // The durable store: [store].
   struct Store {
     store::Durability durability = store::Durability::process;
-    bool keep_health = true;                    // what was learned of endpoints: out, returning, their limits
-    bool keep_waits = false;                    // waits that endpoints told; PROTOCOL lets a restart end them
-    Microseconds remember_window = 10'000'000;  // ids of messages that are over, past their deadlines
-  } store;
+    bool keep_health = true;  // health, slow start, backoff and send rates of endpoints outlast a restart
+    bool keep_waits = false;  // so do waits by Retry-After; the platform's protocol lets a restart end them
+    Microseconds remember_window = 10'000'000;  // ids of completed requests, past their deadlines
+  };
+  // The admin socket: [admin].
   struct Admin {
-    bool socket = false;  // FOLDER/admin.sock
-    bool drain = false;   // drains may be asked for, and end the process
-  } admin;
+    bool socket = false;  // FOLDER/admin.sock is served
+    bool drain = false;   // a drain may be asked for, and ends the process
+  };
+  // The relay: [relay].
   struct Relay {
-    // True where a file is read that does not say:
-    bool wake = false;          // look at the list anew after a stop
-    bool early_rounds = false;  // what can be sent need not wait for the settings' tick
-    Microseconds start_timeout =
-        60'000'000;  // a start that waits for what passes ends with status 1 after this
-  } relay;
-  copies::Settings copies;
+    bool wake = false;          // polls the endpoint list after a suspend; true where a file does not say
+    bool early_rounds = false;  // decides before the settings' tick is over; true where a file does not say
+    Microseconds start_timeout = 60'000'000;  // a start that waits for longer ends with status 1
+  };
+
+  Store store;
+  Admin admin;
+  Relay relay;
+  copies::Settings copies;  // replication: [copies]
 };
 
-// Throws std::runtime_error naming `file`, the line and the key that can't be read, or is none.
+// Reads the text of the settings file `file`. Throws an exception whose text names the file, the line and the
+// key that is malformed or unknown.
 OperatorSettings read_operator_settings(const std::string& text, const std::string& file);
 
-// The file; the defaults where `file` is empty.
+// Reads a file. Returns the defaults where `file` is empty. Throws as above, and std::system_error where the
+// file can't be read.
 OperatorSettings load_operator_settings(const std::string& file);
 
 }  // namespace heronvane
