--- a/relay/main.cpp
+++ b/relay/main.cpp
@@ -1,5 +1,8 @@
-// heronvane: one relay on real sockets. Its configuration and the folder that lasts are named by options, or
-// by LB_CONFIG and LB_STATE. SIGTERM and SIGINT end it, SIGHUP has the configuration read again.
+// heronvane: one relay, in the foreground. Its configuration and state folder are named by options, or by
+// LB_CONFIG and LB_STATE. SIGTERM and SIGINT end it, SIGHUP has it read the configuration again.
+//
+// Exit status: 0 after a signal, a drain or an option that only prints; 1 on an error, which the log names.
+#include <array>
 #include <csignal>
 #include <cstdio>
 #include <exception>
@@ -17,28 +20,30 @@
 
 namespace {
 
-std::string drawn_run() {
+constexpr std::size_t kRunIdBytes = 17;  // 16 hexadecimal digits and the terminating zero
+
+std::string draw_run_id() {
   std::random_device random;
-  char text[17];
-  std::snprintf(text, sizeof text, "%08x%08x", random(), random());
-  return text;
+  std::array<char, kRunIdBytes> text{};
+  std::snprintf(text.data(), text.size(), "%08x%08x", random(), random());
+  return text.data();
 }
 
-int run(const heronvane::CommandLine& options, const heronvane::ConfigPaths& paths) {
+int run_relay(const heronvane::CommandLine& options, const heronvane::ConfigPaths& paths) {
   const auto loop = heronvane::startup::make_event_loop();
   if (!loop) return 0;
   heronvane::Relay::Start start;
-  start.run = options.run.empty() ? drawn_run() : options.run;
+  start.run = options.run.empty() ? draw_run_id() : options.run;
   start.undrain = options.undrain;
   start.force_own = options.force_own;
   start.drained = [&io = loop->io] { io.stop(); };
   heronvane::startup::Startup startup(loop->io, paths, std::move(start));
-  loop->ends.async_wait([&](boost::system::error_code bad, int signal) {
-    if (!bad) startup.stop(signal == SIGTERM ? "SIGTERM" : "SIGINT");
+  loop->termination_signals.async_wait([&](boost::system::error_code error, int signal) {
+    if (!error) startup.stop(signal == SIGTERM ? "SIGTERM" : "SIGINT");
   });
   const std::function<void()> await_reload = [&] {
-    loop->reloads.async_wait([&](boost::system::error_code bad, int) {
-      if (bad) return;
+    loop->reload_signals.async_wait([&](boost::system::error_code error, int /*signal*/) {
+      if (error) return;
       startup.reload();
       await_reload();
     });
@@ -55,17 +60,17 @@
   try {
     heronvane::open_standard_streams();
     std::signal(SIGPIPE, SIG_IGN);
-    // A file over the limit is an error of its write, which the store and the log bear.
+    // A file over the limit is an error of its write, which the store and the log handle.
     std::signal(SIGXFSZ, SIG_IGN);
     const auto options = heronvane::read_command_line({argv + (argc > 0 ? 1 : 0), argv + argc});
     if (options.help) return std::fputs(heronvane::kUsage, stdout) < 0;
     if (options.version) return std::printf("heronvane %s\n", heronvane::kVersion) < 0;
     const auto paths = heronvane::find_config_paths(options);
-    if (!options.check_config) return run(options, paths);
+    if (!options.check_config) return run_relay(options, paths);
     const auto config = heronvane::load_config(paths);
     return std::printf("configuration: sound: %s\n", heronvane::summary(config, paths).c_str()) < 0;
-  } catch (const std::exception& e) {
-    heronvane::log(std::string("heronvane: ") + e.what());
+  } catch (const std::exception& error) {
+    heronvane::log(std::string("heronvane: ") + error.what());
     return 1;
   }
 }
--- a/relay/startup/event_loop.cpp
+++ b/relay/startup/event_loop.cpp
@@ -1,8 +1,10 @@
 #include "startup/event_loop.hpp"
 
+#include <chrono>
 #include <csignal>
 #include <ctime>
 #include <exception>
+#include <optional>
 #include <string>
 
 #include "clock.hpp"
@@ -12,10 +14,11 @@
 namespace heronvane::startup {
 namespace {
 
-constexpr auto kRetry = std::chrono::milliseconds(50);
-constexpr Microseconds kLogInterval = 5'000'000;  // one line on the waiting
+constexpr auto kRetryInterval = std::chrono::milliseconds(50);
+constexpr Microseconds kLogInterval = 5'000'000;
+constexpr Microseconds kSecond = 1'000'000;
 
-sigset_t end_signals() {
+sigset_t termination_signals() {
   sigset_t signals;
   ::sigemptyset(&signals);
   ::sigaddset(&signals, SIGTERM);
@@ -24,11 +27,25 @@
 }
 
 sigset_t all_signals() {
-  sigset_t signals = end_signals();
+  sigset_t signals = termination_signals();
   ::sigaddset(&signals, SIGHUP);
   return signals;
 }
 
+// Waits for so long at most; true once a signal has come that asks for the process's end. The signals must be
+// blocked.
+bool wait_for_termination_signal(std::chrono::milliseconds time) {
+  const sigset_t signals = termination_signals();
+  const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(time);
+  const timespec timeout{seconds.count(), std::chrono::nanoseconds(time - seconds).count()};
+  return ::sigtimedwait(&signals, nullptr, &timeout) > 0;
+}
+
+void log_waiting(const StartError& error, Microseconds waited) {
+  log(std::string("waiting: event loop: ") + error.what() + "; step loop, since " +
+      std::to_string(waited / kSecond) + " s");
+}
+
 }  // namespace
 
 BlockedSignals::BlockedSignals() {
@@ -41,33 +58,26 @@
   ::pthread_sigmask(SIG_UNBLOCK, &signals, nullptr);
 }
 
-bool BlockedSignals::termination_requested_within(std::chrono::milliseconds time) const {
-  const sigset_t signals = end_signals();
-  const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(time);
-  const timespec most{seconds.count(), std::chrono::nanoseconds(time - seconds).count()};
-  return ::sigtimedwait(&signals, nullptr, &most) > 0;
-}
-
 std::unique_ptr<EventLoop> make_event_loop() {
   const BlockedSignals blocked;
-  const Microseconds begun = steady_now();
-  const Microseconds timeout = OperatorSettings().relay.start_timeout;  // the operator's own is not read yet
-  Microseconds told_at = 0;
-  while (true) {
+  const Microseconds since = steady_now();
+  // The operator's own timeout is not read yet.
+  const Microseconds timeout = OperatorSettings().relay.start_timeout;
+  std::optional<Microseconds> logged_at;
+  do {
     try {
       return std::make_unique<EventLoop>();
-    } catch (const std::exception& error) {
-      const StartError why = to_start_error(error, Step::loop);
-      if (!why.is_transient() || steady_now() - begun >= timeout) throw why;
+    } catch (const std::exception& exception) {
+      const StartError error = to_start_error(exception, Step::loop);
       const Microseconds now = steady_now();
-      if (told_at == 0 || now - told_at >= kLogInterval) {
-        log(std::string("waiting: event loop: ") + why.what() + "; step loop, since " +
-            std::to_string((now - begun) / 1'000'000) + " s");
-        told_at = now;
+      if (!error.is_transient() || now - since >= timeout) throw StartError(error);
+      if (!logged_at || now - *logged_at >= kLogInterval) {
+        log_waiting(error, now - since);
+        logged_at = now;
       }
     }
-    if (blocked.termination_requested_within(kRetry)) return nullptr;
-  }
+  } while (!wait_for_termination_signal(kRetryInterval));
+  return nullptr;
 }
 
 }  // namespace heronvane::startup
--- a/relay/startup/resource_owner.cpp
+++ b/relay/startup/resource_owner.cpp
@@ -14,24 +14,27 @@
 namespace heronvane::startup {
 namespace {
 
-constexpr const char* kListening = "0A";  // the state of a socket in /proc/net/tcp
+constexpr const char* kListeningState = "0A";  // of a socket in /proc/net/tcp
 
 // A line of /proc/locks: "1: FLOCK  ADVISORY  WRITE 4711 08:01:1234 0 EOF".
 struct LockLine {
-  std::string kind, file;
+  std::string kind;
+  std::string file;
   pid_t process = 0;
 };
 
 std::optional<LockLine> read_lock_line(const std::string& line) {
   std::istringstream in(line);
-  std::string number, advisory, mode;
-  LockLine read;
-  if (!(in >> number >> read.kind >> advisory >> mode >> read.process >> read.file)) return std::nullopt;
-  return read;
+  std::string number;
+  std::string advisory;
+  std::string mode;
+  LockLine lock;
+  if (!(in >> number >> lock.kind >> advisory >> mode >> lock.process >> lock.file)) return std::nullopt;
+  return lock;
 }
 
-// A file as /proc/locks names it.
-std::string lock_name(const struct stat& file) {
+// A file as /proc/locks names it: major and minor number of its device, and its inode.
+std::string lock_table_name(const struct stat& file) {
   std::array<char, 64> text{};
   const int size = std::snprintf(text.data(), text.size(), "%02x:%02x:%llu", major(file.st_dev),
                                  minor(file.st_dev), static_cast<unsigned long long>(file.st_ino));
@@ -39,7 +42,7 @@
 }
 
 // An address as /proc/net/tcp names it: the bytes of an IPv4 address in the machine's order, then the port.
-std::string table_name(const boost::asio::ip::tcp::endpoint& address) {
+std::string tcp_table_name(const boost::asio::ip::tcp::endpoint& address) {
   const auto bytes = address.address().to_v4().to_bytes();
   std::array<char, 32> text{};
   const int size = std::snprintf(text.data(), text.size(), "%02X%02X%02X%02X:%04X", bytes[3], bytes[2],
@@ -47,21 +50,45 @@
   return size > 0 ? std::string(text.data(), static_cast<std::size_t>(size)) : std::string();
 }
 
+// A line of /proc/net/tcp. Fields that no one needs are skipped.
+struct TcpTableLine {
+  std::string local_address;
+  std::string state;
+  std::string inode;
+};
+
+TcpTableLine read_tcp_table_line(const std::string& line) {
+  std::istringstream in(line);
+  std::string skipped;
+  TcpTableLine socket;
+  in >> skipped >> socket.local_address >> skipped >> socket.state;
+  // Queues, timer, retransmits, user and timeout.
+  in >> skipped >> skipped >> skipped >> skipped >> skipped >> socket.inode;
+  return socket;
+}
+
 // The inode of the socket that listens on `address`; empty where there is none.
 std::string listening_inode(const boost::asio::ip::tcp::endpoint& address) {
   if (!address.address().is_v4()) return {};
-  const std::string wanted = table_name(address);
+  const std::string wanted = tcp_table_name(address);
   std::ifstream table("/proc/net/tcp");
   std::string line;
   while (std::getline(table, line)) {
-    std::istringstream in(line);
-    std::string slot, local, remote, state, queues, timer, retries, user, timeout, inode;
-    in >> slot >> local >> remote >> state >> queues >> timer >> retries >> user >> timeout >> inode;
-    if (local == wanted && state == kListening) return inode;
+    const TcpTableLine socket = read_tcp_table_line(line);
+    if (socket.local_address == wanted && socket.state == kListeningState) return socket.inode;
   }
   return {};
 }
 
+// The number that the whole of `text` is; nothing where it is none.
+std::optional<pid_t> read_process_number(const std::string& text) {
+  pid_t process = 0;
+  const char* const last = text.data() + text.size();
+  const auto [end, error] = std::from_chars(text.data(), last, process);
+  if (error != std::errc() || end != last) return std::nullopt;
+  return process;
+}
+
 bool has_descriptor(const std::filesystem::path& process, const std::string& target) {
   std::error_code none;
   for (std::filesystem::directory_iterator fd(process / "fd", none), end; !none && fd != end;
@@ -77,7 +104,7 @@
 std::optional<pid_t> locking_process(const std::string& path) {
   struct stat file {};
   if (::stat(path.c_str(), &file) != 0) return std::nullopt;
-  const std::string wanted = lock_name(file);
+  const std::string wanted = lock_table_name(file);
   std::ifstream locks("/proc/locks");
   std::string line;
   while (std::getline(locks, line)) {
@@ -94,11 +121,8 @@
   std::error_code none;
   for (std::filesystem::directory_iterator entry("/proc", none), end; !none && entry != end;
        entry.increment(none)) {
-    const std::string name = entry->path().filename().string();
-    pid_t process = 0;
-    const auto [rest, bad] = std::from_chars(name.data(), name.data() + name.size(), process);
-    const bool is_process = bad == std::errc() && rest == name.data() + name.size();
-    if (is_process && has_descriptor(entry->path(), target)) return process;
+    const auto process = read_process_number(entry->path().filename().string());
+    if (process && has_descriptor(entry->path(), target)) return process;
   }
   return std::nullopt;
 }
--- a/relay/startup/start_error.cpp
+++ b/relay/startup/start_error.cpp
@@ -26,6 +26,7 @@
 
 namespace {
 
+// By the value of errno.
 Persistence persistence_of_errno(int number) {
   switch (number) {
     // No permission.
@@ -49,7 +50,7 @@
     case ESOCKTNOSUPPORT:
     case EOPNOTSUPP:
     case ENOSYS:
-    // A slip in the program.
+    // A fault of the program.
     case EBADF:
     case EFAULT:
       return Persistence::permanent;
@@ -66,8 +67,8 @@
   return is_errno ? persistence_of_errno(error.value()) : Persistence::permanent;
 }
 
-// Not by way of std::error_code: Boost 1.74 turns its system category into one that equals none of the
-// library's.
+// Not by way of std::error_code: Boost 1.74 converts its system category into one that equals none of the
+// standard library's.
 Persistence persistence_of(const boost::system::error_code& error) {
   const auto& category = error.category();
   const bool is_errno =
--- a/relay/startup/start_error.hpp
+++ b/relay/startup/start_error.hpp
@@ -1,4 +1,4 @@
-// Why a start did not succeed: at which step, and whether waiting helps.
+// Why a start failed: at which step, and whether a retry helps.
 #pragma once
 
 #include <boost/system/error_code.hpp>
@@ -18,19 +18,23 @@
   recovery,       // what an earlier process left is read and taken over
   loop            // the event loop and its signals are set up
 };
+
+// The step's name in log lines.
 std::string_view name_of(Step step);
 
 // Whether a failure may be gone a moment later.
 enum class Persistence {
-  transient,  // the start is tried again: a folder or an address in use, descriptors short, a disk error
-  permanent   // the start ends: nothing but an operator can change it
+  transient,  // a retry may succeed: a folder or an address in use, descriptors short, a disk error
+  permanent   // only an operator can change it
 };
 
-// By the errno, of a system call made during a start. Errors that no page foretells count as passing: a start
-// that waits in vain ends with its time, one that gives up too soon leaves nobody to serve.
+// The persistence of a system call's error during a start. Errors that are not known to be permanent count as
+// transient: a start that waits in vain ends by its timeout, one that gives up too soon leaves nobody to
+// serve.
 Persistence persistence_of(const std::error_code& error);
 Persistence persistence_of(const boost::system::error_code& error);
 
+// The failure of a start.
 class StartError : public std::runtime_error {
  public:
   StartError(Step step, Persistence persistence, const std::string& what)
@@ -44,7 +48,7 @@
   Persistence persistence_;
 };
 
-// Any exception of a start as a StartError; `step` where the exception does not tell its own.
+// Any exception of a start as a StartError; of `step` where the exception does not tell its own.
 StartError to_start_error(const std::exception& error, Step step);
 
 }  // namespace heronvane::startup
--- a/relay/startup/startup.cpp
+++ b/relay/startup/startup.cpp
@@ -2,6 +2,7 @@
 
 #include <unistd.h>
 
+#include <array>
 #include <chrono>
 #include <cstdio>
 #include <exception>
@@ -14,21 +15,22 @@
 namespace heronvane::startup {
 namespace {
 
-// Less than this holds few messages, and much less than it none: that is told, for it looks like a relay that
-// is well.
+// A disk limit in bytes below which a relay holds few requests or none, although it looks healthy.
 constexpr std::uint64_t kLowDiskLimit = 1'000'000;
-// Between two tries. Short, since nobody serves meanwhile; a try that fails at a lock or an address costs
-// some microseconds.
-constexpr auto kRetry = std::chrono::milliseconds(50);
+// Short, since nobody serves meanwhile. An attempt that fails at a lock or an address costs some
+// microseconds.
+constexpr auto kRetryInterval = std::chrono::milliseconds(50);
 // After a failed recovery, which may have read the whole folder.
-constexpr auto kRecoveryRetry = std::chrono::milliseconds(250);
-constexpr Microseconds kLogInterval = 5'000'000;  // one line on the waiting
-constexpr double kSecond = 1e6;
-
-std::string seconds_text(Microseconds time) {
-  char text[32];
-  std::snprintf(text, sizeof text, "%.1f s", static_cast<double>(time) / kSecond);
-  return text;
+constexpr auto kRecoveryRetryInterval = std::chrono::milliseconds(250);
+constexpr Microseconds kLogInterval = 5'000'000;
+constexpr double kSecond = 1e6;            // microseconds
+constexpr std::size_t kSecondsBytes = 32;  // of a duration as text, at most
+constexpr int kFailureStatus = 1;
+
+std::string seconds_text(Microseconds duration) {
+  std::array<char, kSecondsBytes> text{};
+  std::snprintf(text.data(), text.size(), "%.1f s", static_cast<double>(duration) / kSecond);
+  return text.data();
 }
 
 }  // namespace
@@ -40,11 +42,13 @@
 
 Config Startup::load_checked_config() const {
   Config config = load_config(paths_);
-  if (config.state_folder.empty())
+  if (config.state_folder.empty()) {
     throw StartError(Step::configuration, Persistence::permanent,
                      "no state folder: name it by --state FOLDER or LB_STATE");
-  if (config.disk_bytes < kLowDiskLimit)
+  }
+  if (config.disk_bytes < kLowDiskLimit) {
     log("configuration: limits.disk_mb is below 1: messages may be refused for want of room");
+  }
   return config;
 }
 
@@ -58,13 +62,15 @@
     if (!config_) set_config(load_checked_config());
     step = Step::recovery;
     Relay::Start start = start_;
-    start.waited = waiting_since_ > 0 ? steady_now() - waiting_since_ : 0;
-    start.waited_for = waiting_reason_;
+    if (waiting_) {
+      start.waited = steady_now() - waiting_->since;
+      start.waited_for = waiting_->reason;
+    }
     relay_ = std::make_unique<Relay>(io_, *config_, std::move(start));
   } catch (const std::exception& error) {
-    return failed(to_start_error(error, step));
+    return handle_failure(to_start_error(error, step));
   }
-  succeeded();
+  log_success();
 }
 
 void Startup::set_config(Config config) {
@@ -73,43 +79,45 @@
   config_ = std::move(config);
 }
 
-void Startup::succeeded() {
-  if (waiting_since_ == 0) return;
-  log("started after waiting " + seconds_text(steady_now() - waiting_since_) + " for: " + waiting_reason_);
+void Startup::log_success() const {
+  if (!waiting_) return;
+  log("started after waiting " + seconds_text(steady_now() - waiting_->since) + " for: " + waiting_->reason);
 }
 
-void Startup::failed(const StartError& error) {
-  if (!error.is_transient()) return give_up(error.what());
+void Startup::handle_failure(const StartError& error) {
+  if (!error.is_transient()) return fail_permanently(error.what());
   const Microseconds now = steady_now();
-  if (waiting_since_ == 0) waiting_since_ = now;
-  if (now - waiting_since_ >= timeout())
-    return give_up(describe(error) + "; waited " + seconds_text(now - waiting_since_) +
-                   " (relay.start_timeout)");
-  waiting_reason_ = error.what();
-  if (last_log_at_ == 0 || now - last_log_at_ >= kLogInterval) log_waiting(error);
-  retry_timer_.set(error.step() == Step::recovery ? kRecoveryRetry : kRetry, [this] { attempt(); });
+  if (!waiting_) waiting_ = Waiting{now, {}, std::nullopt};
+  const Microseconds waited = now - waiting_->since;
+  if (waited >= timeout()) {
+    return fail_permanently(describe(error) + "; waited " + seconds_text(waited) + " (relay.start_timeout)");
+  }
+  waiting_->reason = error.what();
+  if (!waiting_->logged_at || now - *waiting_->logged_at >= kLogInterval) log_waiting(error);
+  retry_timer_.set(error.step() == Step::recovery ? kRecoveryRetryInterval : kRetryInterval,
+                   [this] { attempt(); });
 }
 
 void Startup::log_waiting(const StartError& error) {
-  last_log_at_ = steady_now();
+  const Microseconds now = steady_now();
+  waiting_->logged_at = now;
   log("waiting: " + describe(error) + "; step " + std::string(name_of(error.step())) + ", since " +
-      seconds_text(last_log_at_ - waiting_since_));
+      seconds_text(now - waiting_->since));
 }
 
-// The error, with the process that has what the start waits for.
 std::string Startup::describe(const StartError& error) const {
   std::string text = error.what();
   if (!config_) return text;
-  const auto process = error.step() == Step::state_folder ? locking_process(config_->state_folder)
-                       : error.step() == Step::listener   ? listening_process(config_->listen)
-                                                          : std::nullopt;
+  std::optional<pid_t> process;
+  if (error.step() == Step::state_folder) process = locking_process(config_->state_folder);
+  if (error.step() == Step::listener) process = listening_process(config_->listen);
   if (process) text += "; " + describe_process(process) + " has it";
   return text;
 }
 
-void Startup::give_up(const std::string& why) {
-  log("heronvane: " + why);
-  status_ = 1;
+void Startup::fail_permanently(const std::string& reason) {
+  log("heronvane: " + reason);
+  status_ = kFailureStatus;
   stopped_ = true;
   io_.stop();
 }
@@ -126,10 +134,10 @@
     Config config = load_checked_config();
     if (relay_) return relay_->reconfigure(config);
     set_config(std::move(config));
-  } catch (const std::exception& error) {
-    const StartError why = to_start_error(error, Step::configuration);
-    if (first) log(std::string("configuration: the old one stays: ") + why.what());
-    if (why.is_transient()) reload_timer_.set(kRetry, [this] { attempt_reload(false); });
+  } catch (const std::exception& exception) {
+    const StartError error = to_start_error(exception, Step::configuration);
+    if (first) log(std::string("configuration: the old one stays: ") + error.what());
+    if (error.is_transient()) reload_timer_.set(kRetryInterval, [this] { attempt_reload(false); });
   }
 }
 
