--- a/bench/scale/module_bench.cpp
+++ b/bench/scale/module_bench.cpp
@@ -128,7 +128,7 @@
     heronvane::EndpointList list;
     list.endpoints.push_back(member(static_cast<std::size_t>(i) * 7 % destinations, 0));
     list.endpoints[0].endpoint.listing = i % 2 == 0 ? Listing::draining : Listing::active;
-    const auto told = directory.take(
+    const auto told = directory.apply(
         list, [](const EndpointId&) {}, [](const heronvane::ListedEndpoint&) {});
     actions.clear();
     dispatcher.handle(kS + i * 5 * kMs, {event::EndpointListUpdate{told.endpoints}}, actions);
@@ -151,7 +151,7 @@
   Dispatcher dispatcher(settings(0), 1);
   std::size_t after_directory = 0;
   {
-    auto told = directory.take(
+    auto told = directory.apply(
         all(destinations), [](const EndpointId&) {}, [](const heronvane::ListedEndpoint&) {});
     std::vector<Endpoint>().swap(told.endpoints);
     after_directory = heap();
@@ -174,7 +174,7 @@
   Dispatcher dispatcher(settings(0), 1);
   std::vector<Action> actions;
   const auto nothing = [](const auto&) {};
-  directory.take(all(destinations), nothing, nothing);
+  directory.apply(all(destinations), nothing, nothing);
   dispatcher.handle(kS, {event::EndpointListSnapshot{directory.all(), false}}, actions);
   std::size_t oldest = 0, newest = destinations;
   Microseconds now = 2 * kS;
@@ -187,7 +187,7 @@
         list.endpoints.back().endpoint.listing = Listing::gone;
         list.endpoints.push_back(member(newest, w));
       }
-      const auto told = directory.take(list, nothing, nothing);
+      const auto told = directory.apply(list, nothing, nothing);
       event::RequestArrived a;
       a.id = ++id, a.destination = static_cast<DestinationId>(newest), a.time_left = 60 * kS;
       actions.clear();
@@ -227,7 +227,7 @@
     heronvane::Directory directory;
     Dispatcher dispatcher(settings(0), 1);
     std::vector<Action> actions;
-    directory.take(
+    directory.apply(
         all(destinations), [](const EndpointId&) {}, [](const heronvane::ListedEndpoint&) {});
     dispatcher.handle(0, {event::EndpointListSnapshot{directory.all(), false}}, actions);
     measured_changes(directory, dispatcher, destinations, std::atoi(argv[3]));
--- a/relay/calls.cpp
+++ b/relay/calls.cpp
@@ -248,7 +248,7 @@
     if (bad) return broken(call);
     const Taken taken = take(call);
     if (taken == Taken::waiting) read(call);
-    if (taken == Taken::shortage) call->read_pause.set(kShortagePause, [this, call] { read(call); });
+    if (taken == Taken::shortage) call->read_pause.set(kShortageRetryDelay, [this, call] { read(call); });
   });
 }
 
@@ -257,8 +257,8 @@
   using State = AnswerReader::State;
   error_code bad;
   const std::size_t size = call->connection->socket.read_some(net::buffer(chunk_), bad);
-  if (is_not_now(bad)) return Taken::waiting;
-  if (is_shortage(bad)) return Taken::shortage;
+  if (would_block(bad)) return Taken::waiting;
+  if (is_memory_shortage(bad)) return Taken::shortage;
   const State state = bad == net::error::eof ? call->answer.end()
                       : bad                  ? State::broken
                                              : call->answer.put(chunk_.data(), size);
--- a/relay/copies/copies.hpp
+++ b/relay/copies/copies.hpp
@@ -16,7 +16,7 @@
 #include <vector>
 
 #include "claim.hpp"
-#include "core/log_copies.hpp"
+#include "core/log_replication.hpp"
 #include "group.hpp"
 #include "owner.hpp"
 #include "rows.hpp"
@@ -39,7 +39,7 @@
   std::function<void(const std::string&)> log = [](const std::string&) {};
 };
 
-class Copies : public LogCopies, public store::LogSink {
+class Copies : public LogReplication, public store::LogSink {
  public:
   struct Hooks {
     // What was added to the store is to be written, and what waited for its records done.
--- a/relay/core/directory.cpp
+++ b/relay/core/directory.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-void Directory::leave(DestinationId destination, const EndpointId& id) {
+void Directory::unlink(DestinationId destination, const EndpointId& id) {
   const auto of = by_destination_.find(destination);
   if (of == by_destination_.end()) return;
   std::erase(of->second, id);
@@ -31,61 +31,61 @@
 void Directory::put(const Endpoint& endpoint, Changes& changes) {
   const auto [it, fresh] = endpoints_.try_emplace(endpoint.id);
   Entry& entry = it->second;
-  entry.named = whole_;
+  entry.named = snapshot_;
   if (!fresh && same(entry.endpoint, endpoint)) return;
   if (!fresh && entry.endpoint.destination != endpoint.destination)
-    leave(entry.endpoint.destination, endpoint.id);
+    unlink(entry.endpoint.destination, endpoint.id);
   if (fresh || entry.endpoint.destination != endpoint.destination)
     by_destination_[endpoint.destination].push_back(endpoint.id);
   active_ -= !fresh && entry.endpoint.listing == Listing::active;
   active_ += endpoint.listing == Listing::active;
   entry.endpoint = endpoint;
-  named_.insert(endpoint.destination);
+  destinations_.insert(endpoint.destination);
   changes.endpoints.push_back(endpoint);
-  if (endpoint.listing != Listing::active) changes.unfit.push_back(endpoint.id);
+  if (endpoint.listing != Listing::active) changes.inactive.push_back(endpoint.id);
 }
 
 Directory::Entries::iterator Directory::remove(Entries::iterator it, Changes& changes) {
   const Endpoint& e = it->second.endpoint;
   active_ -= e.listing == Listing::active;
-  leave(e.destination, it->first);
+  unlink(e.destination, it->first);
   changes.endpoints.push_back(e);
   changes.endpoints.back().listing = Listing::gone;
-  changes.unfit.push_back(it->first);
+  changes.inactive.push_back(it->first);
   return endpoints_.erase(it);
 }
 
-Directory::Changes Directory::take(const EndpointList& list, const Left& left, const Located& located) {
+Directory::Changes Directory::apply(const EndpointList& list, const Left& left, const Located& located) {
   Changes changes;
-  if (list.snapshot && list.first_part) whole_ = list.serial;
+  if (list.snapshot && list.first_part) snapshot_ = list.serial;
   for (const ListedEndpoint& m : list.endpoints) {
     located(m);
     if (m.endpoint.listing != Listing::gone) {
       put(m.endpoint, changes);
       continue;
     }
-    named_.insert(m.endpoint.destination);
+    destinations_.insert(m.endpoint.destination);
     const auto it = endpoints_.find(m.endpoint.id);
     if (it != endpoints_.end()) {
       remove(it, changes);
     } else {
       // The module may know it yet.
       changes.endpoints.push_back(m.endpoint);
-      changes.unfit.push_back(m.endpoint.id);
+      changes.inactive.push_back(m.endpoint.id);
     }
   }
-  if (list.snapshot && list.last_part && list.serial == whole_)
+  if (list.snapshot && list.last_part && list.serial == snapshot_)
     for (auto it = endpoints_.begin(); it != endpoints_.end();) {
-      if (it->second.named == whole_) {
+      if (it->second.named == snapshot_) {
         ++it;
         continue;
       }
       left(it->first);
       it = remove(it, changes);
     }
-  if (named_.size() > kMostUnlisted + endpoints_.size()) {
-    named_.clear();
-    for (const auto& [destination, ids] : by_destination_) named_.insert(destination);
+  if (destinations_.size() > kMostUnlisted + endpoints_.size()) {
+    destinations_.clear();
+    for (const auto& [destination, ids] : by_destination_) destinations_.insert(destination);
   }
   return changes;
 }
@@ -95,7 +95,7 @@
   return it == endpoints_.end() ? nullptr : &it->second.endpoint;
 }
 
-const std::vector<EndpointId>& Directory::of(DestinationId destination) const {
+const std::vector<EndpointId>& Directory::endpoints_of(DestinationId destination) const {
   static const std::vector<EndpointId> none;
   const auto it = by_destination_.find(destination);
   return it == by_destination_.end() ? none : it->second;
--- a/relay/core/target_memory.cpp
+++ b/relay/core/learned_state_store.cpp
@@ -1,4 +1,4 @@
-#include "core/target_memory.hpp"
+#include "core/learned_state_store.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-std::string target_key(const EndpointId& endpoint) { return kPrefix + endpoint; }
+std::string learned_state_key(const EndpointId& endpoint) { return kPrefix + endpoint; }
 
 std::string write_target(const LearnedState& m, Microseconds learned) {
   std::ostringstream out;
@@ -34,10 +34,10 @@
   return out.str();
 }
 
-std::optional<LearnedTarget> read_target(const EndpointId& endpoint, const std::string& text) {
+std::optional<LearnedStateRecord> decode_learned_state(const EndpointId& endpoint, const std::string& text) {
   std::istringstream in(text);
   in.imbue(std::locale::classic());
-  LearnedTarget t;
+  LearnedStateRecord t;
   LearnedState& m = t.memory;
   int form = 0, health = 0;
   in >> form >> t.learned >> m.destination >> health >> m.time_in_health >> m.baseline_rate >>
@@ -51,33 +51,33 @@
   return t;
 }
 
-RecalledTargets::RecalledTargets(const std::map<std::string, std::string>& facts, Which which,
-                                 Microseconds now)
-    : which_(which) {
+RestoredStates::RestoredStates(const std::map<std::string, std::string>& facts, Filter which,
+                               Microseconds now)
+    : filter_(which) {
   for (auto it = facts.lower_bound(kPrefix);
        it != facts.end() && it->first.compare(0, kPrefix.size(), kPrefix) == 0; ++it) {
     const EndpointId id = it->first.substr(kPrefix.size());
-    const auto t = read_target(id, it->second);
+    const auto t = decode_learned_state(id, it->second);
     if (!t || t->learned < now - kLongest)
-      outdated_.push_back(it->first);
+      outdated_keys_.push_back(it->first);
     else if (which.health || which.waits)
-      targets_.emplace(id, *t);
+      records_.emplace(id, *t);
   }
 }
 
-std::optional<heronvane::dispatch::event::LearnedStateRestored> RecalledTargets::take(
+std::optional<heronvane::dispatch::event::LearnedStateRestored> RestoredStates::take(
     const EndpointId& endpoint, Microseconds now, Microseconds gap) {
-  const auto it = targets_.find(endpoint);
-  if (it == targets_.end()) return std::nullopt;
-  LearnedTarget t = std::move(it->second);
-  targets_.erase(it);
-  if (!which_.health) {
+  const auto it = records_.find(endpoint);
+  if (it == records_.end()) return std::nullopt;
+  LearnedStateRecord t = std::move(it->second);
+  records_.erase(it);
+  if (!filter_.health) {
     const Microseconds wait = t.memory.retry_after_left;
     const auto destination = t.memory.destination;
     t.memory = {};
     t.memory.endpoint = endpoint, t.memory.destination = destination, t.memory.retry_after_left = wait;
   }
-  if (!which_.waits) t.memory.retry_after_left = 0;
+  if (!filter_.waits) t.memory.retry_after_left = 0;
   if (t.memory.retry_after_left > 0) t.memory.retry_after_left += gap;
   if (t.memory.blank()) return std::nullopt;
   return heronvane::dispatch::event::LearnedStateRestored{t.memory,
--- a/relay/core/log_copies.hpp
+++ b/relay/core/log_replication.hpp
@@ -9,9 +9,9 @@
 
 namespace heronvane {
 
-class LogCopies {
+class LogReplication {
  public:
-  virtual ~LogCopies() = default;
+  virtual ~LogReplication() = default;
   // Begins to speak to other relays. Until the log is known to be this relay's nothing that it holds may be
   // acted on.
   virtual void start() = 0;
--- a/relay/core/message.hpp
+++ b/relay/core/message.hpp
@@ -34,11 +34,11 @@
   Microseconds sent = 0;
   int zone = -1;                   // of its endpoint; -1: unknown
   std::optional<Outcome> outcome;  // none: not seen, so it may have run
-  bool may_have_run() const {
+  bool possibly_executed() const {
     return !outcome || !(*outcome == Outcome::rejected || *outcome == Outcome::connect_failed ||
                          *outcome == Outcome::not_sent);
   }
-  bool may_have_reached() const {
+  bool possibly_received() const {
     return !outcome || !(*outcome == Outcome::connect_failed || *outcome == Outcome::not_sent);
   }
 };
@@ -55,10 +55,10 @@
   std::optional<Ending> ending;
   // Records of it may have been lost: an attempt that is not known may have run.
   bool doubt = false;
-  bool may_have_run() const {
+  bool possibly_executed() const {
     if (doubt) return true;
     for (const auto& a : attempts)
-      if (a.may_have_run()) return true;
+      if (a.possibly_executed()) return true;
     return false;
   }
 };
--- a/relay/core/stream_writer.hpp
+++ b/relay/core/stream_writer.hpp
@@ -52,8 +52,8 @@
     while (!bad && written_ < text_.size())
       written_ +=
           socket_.write_some(boost::asio::buffer(text_.data() + written_, text_.size() - written_), bad);
-    if (is_not_now(bad)) return wait_for_room();
-    if (is_shortage(bad)) return pause();
+    if (would_block(bad)) return wait_for_room();
+    if (is_memory_shortage(bad)) return pause();
     boost::asio::post(socket_.get_executor(), [self = this->shared_from_this(), bad] { self->done_(bad); });
   }
 
@@ -65,7 +65,7 @@
   }
   // The system has no memory for it now. Ends, as any write, once the socket is closed.
   void pause() {
-    pause_.expires_after(kShortagePause);
+    pause_.expires_after(kShortageRetryDelay);
     pause_.async_wait([self = this->shared_from_this()](boost::system::error_code) { self->go_on(); });
   }
 
--- a/relay/core/list_memory.hpp
+++ b/relay/core/unavailable_endpoints.hpp
@@ -19,44 +19,45 @@
 namespace heronvane {
 
 // Of an endpoint that drains or is gone.
-struct Unfit {
+struct Unavailability {
   heronvane::dispatch::Listing listing = heronvane::dispatch::Listing::draining;  // or gone
   std::int64_t index = 0;                                                         // of the list that told it
   heronvane::dispatch::Microseconds told = 0;                                     // lasting time
   std::string discovery;                                                          // the address that told it
 };
 // As kept in the store; nothing where the text is no such thing.
-std::string write_unfit(const Unfit& unfit);
-std::optional<Unfit> read_unfit(const std::string& text);
+std::string encode(const Unavailability& unfit);
+std::optional<Unavailability> decode_unavailability(const std::string& text);
 
-class ListMemory {
+class UnavailableEndpoints {
  public:
   // Keeps a value by its key over restarts, an empty one drops it; false where there is no room.
   using Keep = std::function<bool(const std::string& key, const std::string& value)>;
 
   // Takes back from `facts` what earlier lives kept; what is older than an hour and not named by `known` is
   // dropped. `now` is lasting time, here and below.
-  ListMemory(const std::map<std::string, std::string>& facts, const EndpointList& known,
-             heronvane::dispatch::Microseconds now, Keep keep);
+  UnavailableEndpoints(const std::map<std::string, std::string>& facts, const EndpointList& known,
+                       heronvane::dispatch::Microseconds now, Keep keep);
 
   // The configuration's list as it holds: without those that are gone, with those that drain.
-  EndpointList known(EndpointList list) const;
+  EndpointList restrict_configured(EndpointList list) const;
   // A list or changes as told by `discovery`, as they hold; what they tell is remembered.
-  EndpointList told(EndpointList list, const std::string& discovery, heronvane::dispatch::Microseconds now);
+  EndpointList reconcile(EndpointList list, const std::string& discovery,
+                         heronvane::dispatch::Microseconds now);
   // A whole list with that index does not name the endpoint any more.
-  void gone(const heronvane::dispatch::EndpointId& endpoint, std::int64_t index, const std::string& discovery,
-            heronvane::dispatch::Microseconds now);
+  void mark_gone(const heronvane::dispatch::EndpointId& endpoint, std::int64_t index,
+                 const std::string& discovery, heronvane::dispatch::Microseconds now);
 
-  std::size_t size() const { return unfit_.size(); }
+  std::size_t size() const { return endpoints_.size(); }
 
  private:
-  void remember(const heronvane::dispatch::EndpointId& endpoint, Unfit unfit);
+  void remember(const heronvane::dispatch::EndpointId& endpoint, Unavailability unfit);
   void forget(const heronvane::dispatch::EndpointId& endpoint);
   void make_room();
 
   Keep keep_;
   std::set<heronvane::dispatch::EndpointId> known_;
-  std::map<heronvane::dispatch::EndpointId, Unfit> unfit_;
+  std::map<heronvane::dispatch::EndpointId, Unavailability> endpoints_;
 };
 
 }  // namespace heronvane
--- a/relay/intake.cpp
+++ b/relay/intake.cpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "clock.hpp"
-#include "core/read_again.hpp"
+#include "core/retry_read.hpp"
 #include "core/stream_writer.hpp"
 #include "framing.hpp"
 #include "request.hpp"
@@ -239,7 +239,7 @@
   // Half a request, by a client that left, is nobody's; one that can't be read is answered.
   void unreadable(error_code bad) {
     if (late_ && bad == net::error::operation_aborted) return turn_down(400, "half a request");
-    if (is_shortage(bad)) return read_on_later();
+    if (is_memory_shortage(bad)) return read_on_later();
     const bool left = bad == http::error::end_of_stream || bad == http::error::partial_message ||
                       bad.category() == net::error::get_system_category() ||
                       bad.category() == net::error::get_misc_category();
@@ -248,7 +248,7 @@
   }
   // What came by then stands. The request's time runs on.
   void read_on_later() {
-    read_again(socket_, read_pause_, [self = shared_from_this()] {
+    retry_read(socket_, read_pause_, [self = shared_from_this()] {
       if (self->closed_ || self->stage_ != Stage::reading) return;
       if (self->late_) return self->turn_down(400, "half a request");
       self->parser_->is_header_done() ? self->read_body() : self->read_on_header();
@@ -309,7 +309,7 @@
       char away[4096];
       const std::size_t size = bad ? 0 : self->socket_.read_some(net::buffer(away), bad);
       self->lingered_ += size;
-      if ((bad && !is_not_now(bad)) || self->lingered_ > kLingerBytes) return self->close();
+      if ((bad && !would_block(bad)) || self->lingered_ > kLingerBytes) return self->close();
       self->linger();
     });
   }
--- a/relay/platform.cpp
+++ b/relay/platform.cpp
@@ -14,7 +14,7 @@
 #include "answer.hpp"
 #include "core/list_reader.hpp"
 #include "core/object_splitter.hpp"
-#include "core/read_again.hpp"
+#include "core/retry_read.hpp"
 #include "core/stream_writer.hpp"
 #include "fail_points.hpp"
 #include "log.hpp"
@@ -206,8 +206,8 @@
   http::async_read_some(
       query->socket, query->buffer, query->parser, [this, query](error_code bad, std::size_t) {
         if (query->over) return;
-        if (is_shortage(bad))
-          return read_again(query->socket, query->read_pause,
+        if (is_memory_shortage(bad))
+          return retry_read(query->socket, query->read_pause,
                             [this, query] { query->over ? void() : read(query); });
         if (bad) return end(query, bad.message());
         if (query->parser.is_header_done()) {
@@ -389,8 +389,8 @@
   post->socket->async_read_some(net::buffer(post->chunk), [this, post](error_code bad, std::size_t size) {
     if (post->over) return;
     using State = AnswerReader::State;
-    if (is_shortage(bad))
-      return read_again(*post->socket, post->read_pause,
+    if (is_memory_shortage(bad))
+      return retry_read(*post->socket, post->read_pause,
                         [this, post, kept = post->socket] { post->over ? void() : read(post); });
     if (bad && bad != net::error::eof) return posted(post, bad.message());
     const State state = bad ? post->answer.end() : post->answer.put(post->chunk.data(), size);
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -103,11 +103,12 @@
       sync_thread_(sync_thread()),
       store_(*folder_, store_options(config), sync_thread_.get()),
       copies_(open_copies()),
-      list_memory_(store_.facts(), config.known, store_.clock().now(),
-                   [this](const std::string& key, const std::string& value) { return keep(key, value); }),
-      known_(list_memory_.known(config.known)),
-      recalled_(store_.facts(), {config.own.store.keep_health, config.own.store.keep_waits},
-                store_.clock().now()),
+      unavailable_endpoints_(
+          store_.facts(), config.known, store_.clock().now(),
+          [this](const std::string& key, const std::string& value) { return keep(key, value); }),
+      known_(unavailable_endpoints_.restrict_configured(config.known)),
+      restored_states_(store_.facts(), {config.own.store.keep_health, config.own.store.keep_waits},
+                       store_.clock().now()),
       dispatcher_(config.settings, config.seed),
       calls_(
           io, call_limits(config), [this](const event::AttemptEnded& e) { ended(e); },
@@ -133,12 +134,12 @@
       stall_timer_(io),
       drain_timer_(io),
       compact_timer_(io) {
-  directory_.take(
+  directory_.apply(
       known_, [](const EndpointId&) {},
       [this](const ListedEndpoint& m) { calls_.locate(m.endpoint.id, m.address); });
-  for (const auto& m : config.known.endpoints) directory_.name(m.endpoint.destination);
+  for (const auto& m : config.known.endpoints) directory_.add_destination(m.endpoint.destination);
   events_.push_back(event::EndpointListSnapshot{directory_.all(), true});
-  for (const auto& key : recalled_.outdated()) store_.keep(key, {});
+  for (const auto& key : restored_states_.outdated_keys()) store_.keep(key, {});
   store_.on_sync([this] { synced(); });
   start_drained();
   recall(directory_.all());
@@ -226,7 +227,7 @@
   if (drain_.drain) return refuse(reply, "draining");
   if (!copied()) return refuse(reply, "too few copies");
   // Before discovery has told its list, an unknown destination may only be unknown yet.
-  if (!directory_.knows(message.destination))
+  if (!directory_.knows_destination(message.destination))
     return list_told_ ? reply({404, 0, "unknown destination"}) : refuse(reply, "no list of destinations yet");
   message.deadline = store_.clock().now() + left;
   const std::size_t open = arrived_.size() + store_.open();
@@ -282,7 +283,7 @@
   const auto kind = static_cast<std::size_t>(told->kind);
   const bool apart = kind < config_.settings.kinds.size() && config_.settings.kinds[kind].per_endpoint_limits;
   if (apart) return keep_from(endpoint);
-  for (const auto& id : std::vector<EndpointId>(directory_.of(told->destination))) keep_from(id);
+  for (const auto& id : std::vector<EndpointId>(directory_.endpoints_of(told->destination))) keep_from(id);
 }
 
 // Nothing that has not begun goes there now.
@@ -296,12 +297,12 @@
     for (auto& m : list.endpoints) m.endpoint.listing = Listing::active;
   const std::string discovery = text_of(platform_.address());
   const Microseconds now = store_.clock().now();
-  list = list_memory_.told(std::move(list), discovery, now);
-  const auto changes = directory_.take(
-      list, [&](const EndpointId& id) { list_memory_.gone(id, list.index, discovery, now); },
+  list = unavailable_endpoints_.reconcile(std::move(list), discovery, now);
+  const auto changes = directory_.apply(
+      list, [&](const EndpointId& id) { unavailable_endpoints_.mark_gone(id, list.index, discovery, now); },
       [this](const ListedEndpoint& m) { calls_.locate(m.endpoint.id, m.address); });
   list_told_ = list_told_ || list.last_part;
-  for (const auto& id : changes.unfit) {
+  for (const auto& id : changes.inactive) {
     keep_from(id);
     calls_.close_idle(id);
     if (directory_.find(id) == nullptr) calls_.forget(id);
--- a/relay/relay.hpp
+++ b/relay/relay.hpp
@@ -19,13 +19,13 @@
 #include "core/directory.hpp"
 #include "core/drain.hpp"
 #include "core/held_gauge.hpp"
-#include "core/list_memory.hpp"
-#include "core/log_copies.hpp"
+#include "core/learned_state_store.hpp"
+#include "core/log_replication.hpp"
 #include "core/outbox.hpp"
 #include "core/round_gap.hpp"
 #include "core/status.hpp"
-#include "core/target_memory.hpp"
 #include "core/timer.hpp"
+#include "core/unavailable_endpoints.hpp"
 #include "core/wake.hpp"
 #include "fronts/front.hpp"
 #include "heronvane/dispatch/dispatcher.hpp"
@@ -134,7 +134,7 @@
   Status status() const;
 
   // relay_copies.cpp, or relay_no_copies.cpp in a build without them
-  std::unique_ptr<LogCopies> open_copies();
+  std::unique_ptr<LogReplication> open_copies();
   void disown();
   void taken_over(MessageId from, MessageId to);
   // What is handed in now can be kept as the settings ask.
@@ -154,13 +154,13 @@
   std::unique_ptr<Front> admin_;                    // where the operator's settings ask for it
   std::unique_ptr<store::SyncThread> sync_thread_;  // where records must outlast the machine
   store::Store store_;
-  std::unique_ptr<LogCopies> copies_;  // where the operator's settings ask for them
-  Outbox outbox_;                      // until their records stand
-  bool unwritten_ = false;             // the store can't be written now: the module is not asked
+  std::unique_ptr<LogReplication> copies_;  // where the operator's settings ask for them
+  Outbox outbox_;                           // until their records stand
+  bool unwritten_ = false;                  // the store can't be written now: the module is not asked
   std::map<std::string, std::string> kept_meanwhile_;
-  ListMemory list_memory_;
+  UnavailableEndpoints unavailable_endpoints_;
   EndpointList known_;  // the configuration's list, as it holds
-  RecalledTargets recalled_;
+  RestoredStates restored_states_;
   heronvane::dispatch::Dispatcher dispatcher_;
   Calls calls_;
   Platform platform_;
--- a/relay/relay_copies.cpp
+++ b/relay/relay_copies.cpp
@@ -6,7 +6,7 @@
 
 namespace heronvane {
 
-std::unique_ptr<LogCopies> Relay::open_copies() {
+std::unique_ptr<LogReplication> Relay::open_copies() {
   if (!config_.own.copies.on) return nullptr;
   copies::Options o;
   o.settings = config_.own.copies;
@@ -61,7 +61,8 @@
       const bool unsafe = cls == config_.names.classes.end() ||
                           config_.settings.classes[static_cast<std::size_t>(cls->second)].idempotency !=
                               heronvane::dispatch::Idempotency::idempotent;
-      if (own != nullptr && unsafe && held.may_have_run() && !own->ending) in_doubt.push_back(known->second);
+      if (own != nullptr && unsafe && held.possibly_executed() && !own->ending)
+        in_doubt.push_back(known->second);
       continue;
     }
     count++;
--- a/relay/relay_lifecycle.cpp
+++ b/relay/relay_lifecycle.cpp
@@ -66,8 +66,8 @@
   r.attempts = static_cast<int>(held.attempts.size());
   r.tried = held.doubt;
   for (const auto& a : held.attempts) {
-    r.tried = r.tried || a.may_have_reached();
-    if (!a.may_have_run() || r.possibly_executed_zone) continue;
+    r.tried = r.tried || a.possibly_received();
+    if (!a.possibly_executed() || r.possibly_executed_zone) continue;
     r.possibly_executed_zone = a.zone;
     r.possibly_executed_age = std::max<Microseconds>(now - a.sent, 0);
   }
@@ -81,11 +81,11 @@
 // ---- What it learned. ----
 // What earlier lives learned of endpoints that are listed now is the module's again.
 void Relay::recall(const std::vector<heronvane::dispatch::Endpoint>& endpoints) {
-  if (recalled_.size() == 0 || unwritten_) return;
+  if (restored_states_.size() == 0 || unwritten_) return;
   const Microseconds now = store_.clock().now(), gap = store_.clock().assumed_gap();
   for (const auto& e : endpoints)
     if (e.listing != Listing::gone)
-      if (auto target = recalled_.take(e.id, now, gap)) happened(std::move(*target));
+      if (auto target = restored_states_.take(e.id, now, gap)) happened(std::move(*target));
 }
 
 // What the module learned goes into the records of this round.
@@ -97,7 +97,7 @@
   // The rest is for endpoints that drain or are gone: these bind.
   constexpr unsigned kTargetPart = 50;
   for (const auto& memory : dispatcher_.take_changed_state(last_round_, kMostTargets)) {
-    const std::string key = target_key(memory.endpoint);
+    const std::string key = learned_state_key(memory.endpoint);
     const std::string value = memory.blank() ? std::string() : write_target(memory, now);
     // Better nothing than what is not so any more.
     if (!store_.keep(key, value, kTargetPart)) store_.keep(key, {});
--- a/relay/relay_no_copies.cpp
+++ b/relay/relay_no_copies.cpp
@@ -5,7 +5,7 @@
 
 namespace heronvane {
 
-std::unique_ptr<LogCopies> Relay::open_copies() {
+std::unique_ptr<LogReplication> Relay::open_copies() {
   if (config_.own.copies.on)
     throw std::runtime_error("settings: [copies]: this build has none: build with -DHERONVANE_COPIES=ON");
   return nullptr;
--- a/tests/crossings/restart_test.cpp
+++ b/tests/crossings/restart_test.cpp
@@ -1,7 +1,7 @@
 // A restart and what it finds: messages that an earlier life took on and nobody tried yet.
 #include <algorithm>
 
-#include "core/target_memory.hpp"
+#include "core/learned_state_store.hpp"
 #include "relay_harness.hpp"
 #include "store/disk.hpp"
 #include "store/store.hpp"
@@ -31,7 +31,7 @@
     store::Options options;
     options.limit_bytes = 3'000'000;
     store::Store store(*disk, options);
-    ASSERT_TRUE(store.keep(target_key("s-1"), write_target(memory, store.clock().now())));
+    ASSERT_TRUE(store.keep(learned_state_key("s-1"), write_target(memory, store.clock().now())));
     ASSERT_TRUE(store.commit());
   }
   std::set<std::string> called() const {
--- a/tests/directory_test.cpp
+++ b/tests/directory_test.cpp
@@ -29,7 +29,7 @@
 Taken take(Directory& d, std::vector<ListedEndpoint> members, bool snapshot) {
   static std::uint64_t serial = 0;
   Taken t;
-  t.changes = d.take(
+  t.changes = d.apply(
       {1, snapshot, std::move(members), ++serial}, [&](const EndpointId& id) { t.left.insert(id); },
       [&](const ListedEndpoint&) { t.located++; });
   return t;
@@ -65,8 +65,8 @@
   EXPECT_EQ(t.changes.endpoints[0].listing, Listing::gone);
   EXPECT_EQ(t.left, std::set<EndpointId>{"b"});
   EXPECT_EQ(d.find("b"), nullptr);
-  EXPECT_TRUE(d.knows(1));
-  EXPECT_EQ(d.of(1), std::vector<EndpointId>{"a"});
+  EXPECT_TRUE(d.knows_destination(1));
+  EXPECT_EQ(d.endpoints_of(1), std::vector<EndpointId>{"a"});
 }
 
 TEST(Directory, OneThatMovesLeavesItsDestination) {
@@ -74,15 +74,15 @@
   take(d, {member("a", 1)}, true);
   const auto t = take(d, {member("a", 2)}, false);
   EXPECT_EQ(t.changes.endpoints.size(), 1u);
-  EXPECT_TRUE(d.of(1).empty());
-  EXPECT_EQ(d.of(2), std::vector<EndpointId>{"a"});
+  EXPECT_TRUE(d.endpoints_of(1).empty());
+  EXPECT_EQ(d.endpoints_of(2), std::vector<EndpointId>{"a"});
 }
 
 TEST(Directory, AListInPartsTellsWhatIsGoneWithItsLast) {
   Directory d;
   take(d, {member("a", 1), member("b", 1), member("c", 1)}, true);
   const auto part = [&](std::uint64_t serial, std::vector<ListedEndpoint> members, bool begins, bool ends) {
-    return d.take(
+    return d.apply(
         {2, true, std::move(members), serial, begins, ends}, [](const EndpointId&) {},
         [](const ListedEndpoint&) {});
   };
@@ -137,7 +137,7 @@
       EXPECT_EQ(found->listing, e.listing);
       EXPECT_EQ(found->destination, e.destination);
       EXPECT_EQ(told.at(id).listing, e.listing);
-      const auto& of = d.of(e.destination);
+      const auto& of = d.endpoints_of(e.destination);
       EXPECT_EQ(std::count(of.begin(), of.end(), id), 1);
       active = active || e.listing == Listing::active;
     }
--- a/tests/kept_test.cpp
+++ b/tests/kept_test.cpp
@@ -1,8 +1,8 @@
 // What the relay keeps of endpoints over a restart, without sockets.
 #include <gtest/gtest.h>
 
-#include "core/list_memory.hpp"
-#include "core/target_memory.hpp"
+#include "core/learned_state_store.hpp"
+#include "core/unavailable_endpoints.hpp"
 #include "operator_settings.hpp"
 
 namespace heronvane {
@@ -16,7 +16,7 @@
 struct Facts {
   std::map<std::string, std::string> all;
   std::size_t most = SIZE_MAX;
-  ListMemory::Keep keep() {
+  UnavailableEndpoints::Keep keep() {
     return [this](const std::string& key, const std::string& value) {
       if (value.empty()) return all.erase(key), true;
       if (all.count(key) == 0 && all.size() >= most) return false;
@@ -45,81 +45,84 @@
 const Listing kReady = Listing::active, kDraining = Listing::draining, kGone = Listing::gone;
 const std::string kHere = "127.0.0.1:8500", kThere = "127.0.0.1:8600";
 
-TEST(ListMemory, HoldsAgainstKnownAndOlderLists) {
+TEST(UnavailableEndpoints, HoldsAgainstKnownAndOlderLists) {
   Facts facts;
   const auto known = list(90, true, {{"a", kReady}, {"b", kReady}, {"c", kReady}});
   {
-    ListMemory m(facts.all, known, kNow, facts.keep());
-    m.told(list(41, false, {{"a", kDraining}, {"b", kGone}}), kHere, kNow);
+    UnavailableEndpoints m(facts.all, known, kNow, facts.keep());
+    m.reconcile(list(41, false, {{"a", kDraining}, {"b", kGone}}), kHere, kNow);
   }
-  ListMemory m(facts.all, known, kNow + 60'000'000, facts.keep());
+  UnavailableEndpoints m(facts.all, known, kNow + 60'000'000, facts.keep());
   // Never until `known` says otherwise, whatever its index.
-  EXPECT_EQ(said(m.known(known)), (Said{{"a", kDraining}, {"c", kReady}}));
+  EXPECT_EQ(said(m.restrict_configured(known)), (Said{{"a", kDraining}, {"c", kReady}}));
   // An older list of the same discovery neither.
-  EXPECT_EQ(said(m.told(list(40, true, {{"a", kReady}, {"b", kReady}, {"c", kReady}}), kHere, kNow)),
+  EXPECT_EQ(said(m.reconcile(list(40, true, {{"a", kReady}, {"b", kReady}, {"c", kReady}}), kHere, kNow)),
             (Said{{"a", kDraining}, {"c", kReady}}));
-  EXPECT_EQ(said(m.told(list(40, false, {{"b", kReady}}), kHere, kNow)), (Said{{"b", kGone}}));
+  EXPECT_EQ(said(m.reconcile(list(40, false, {{"b", kReady}}), kHere, kNow)), (Said{{"b", kGone}}));
   // One that is not older does.
-  EXPECT_EQ(said(m.told(list(41, false, {{"a", kReady}}), kHere, kNow)), (Said{{"a", kReady}}));
+  EXPECT_EQ(said(m.reconcile(list(41, false, {{"a", kReady}}), kHere, kNow)), (Said{{"a", kReady}}));
   EXPECT_EQ(facts.all.count("endpoint/a"), 0u);
   EXPECT_EQ(facts.all.count("endpoint/b"), 1u);
   // Another discovery counts anew: its list is news.
-  EXPECT_EQ(said(m.told(list(1, true, {{"b", kReady}}), kThere, kNow)), (Said{{"b", kReady}}));
+  EXPECT_EQ(said(m.reconcile(list(1, true, {{"b", kReady}}), kThere, kNow)), (Said{{"b", kReady}}));
   EXPECT_TRUE(facts.all.empty());
 }
 
-TEST(ListMemory, WhatAWholeListLeavesOutIsGone) {
+TEST(UnavailableEndpoints, WhatAWholeListLeavesOutIsGone) {
   Facts facts;
   const auto known = list(1, true, {{"a", kReady}});
-  ListMemory(facts.all, known, kNow, facts.keep()).gone("a", 5, kHere, kNow);
-  EXPECT_EQ(said(ListMemory(facts.all, known, kNow, facts.keep()).known(known)), Said{});
+  UnavailableEndpoints(facts.all, known, kNow, facts.keep()).mark_gone("a", 5, kHere, kNow);
+  EXPECT_EQ(said(UnavailableEndpoints(facts.all, known, kNow, facts.keep()).restrict_configured(known)),
+            Said{});
 }
 
 // Nothing piles up: what no restart can bring back is dropped, and where there is no room the oldest is.
-TEST(ListMemory, ForgetsWhatIsOldAndNotKnown) {
+TEST(UnavailableEndpoints, ForgetsWhatIsOldAndNotKnown) {
   Facts facts;
   {
-    ListMemory m(facts.all, {}, kNow, facts.keep());
-    m.gone("a", 5, kHere, kNow), m.gone("b", 6, kHere, kNow);
+    UnavailableEndpoints m(facts.all, {}, kNow, facts.keep());
+    m.mark_gone("a", 5, kHere, kNow), m.mark_gone("b", 6, kHere, kNow);
   }
-  ListMemory m(facts.all, list(1, true, {{"a", kReady}}), kNow + 2 * kHour, facts.keep());
+  UnavailableEndpoints m(facts.all, list(1, true, {{"a", kReady}}), kNow + 2 * kHour, facts.keep());
   EXPECT_EQ(m.size(), 1u);
   EXPECT_EQ(facts.all.count("endpoint/a"), 1u);
   EXPECT_EQ(facts.all.count("endpoint/b"), 0u);
 }
-TEST(ListMemory, TheOldestMakesRoom) {
+TEST(UnavailableEndpoints, TheOldestMakesRoom) {
   Facts facts;
   facts.most = 3;
   const auto known = list(1, true, {{"e0", kReady}});
-  ListMemory m(facts.all, known, kNow, facts.keep());
-  for (int i = 0; i < 10; i++) m.gone("e" + std::to_string(i), i, kHere, kNow + i);
+  UnavailableEndpoints m(facts.all, known, kNow, facts.keep());
+  for (int i = 0; i < 10; i++) m.mark_gone("e" + std::to_string(i), i, kHere, kNow + i);
   EXPECT_EQ(facts.all.size(), 3u);
   EXPECT_EQ(facts.all.count("endpoint/e0"), 1u) << "known names it";
   EXPECT_EQ(facts.all.count("endpoint/e9"), 1u);
 }
 // What is kept is what is known, also where the newest one is the one to make room.
-TEST(ListMemory, WhatMadeRoomForItselfIsNotKept) {
+TEST(UnavailableEndpoints, WhatMadeRoomForItselfIsNotKept) {
   Facts facts;
   facts.most = 2;
-  ListMemory m(facts.all, list(1, true, {{"a", kReady}, {"b", kReady}}), kNow, facts.keep());
-  m.gone("a", 1, kHere, kNow), m.gone("b", 2, kHere, kNow), m.gone("c", 3, kHere, kNow);
+  UnavailableEndpoints m(facts.all, list(1, true, {{"a", kReady}, {"b", kReady}}), kNow, facts.keep());
+  m.mark_gone("a", 1, kHere, kNow), m.mark_gone("b", 2, kHere, kNow), m.mark_gone("c", 3, kHere, kNow);
   EXPECT_EQ(m.size(), 2u);
   EXPECT_EQ(facts.all.count("endpoint/a"), 1u);
   EXPECT_EQ(facts.all.count("endpoint/b"), 1u);
 }
 // A discovery that began to count anew must not keep an endpoint from use for ever.
-TEST(ListMemory, OlderListsAreNoNewsForAnHourAtMost) {
+TEST(UnavailableEndpoints, OlderListsAreNoNewsForAnHourAtMost) {
   Facts facts;
-  ListMemory m(facts.all, {}, kNow, facts.keep());
-  m.told(list(500, false, {{"a", kDraining}}), kHere, kNow);
-  EXPECT_EQ(said(m.told(list(3, false, {{"a", kReady}}), kHere, kNow + kHour)), (Said{{"a", kDraining}}));
-  EXPECT_EQ(said(m.told(list(3, false, {{"a", kReady}}), kHere, kNow + kHour + 1)), (Said{{"a", kReady}}));
+  UnavailableEndpoints m(facts.all, {}, kNow, facts.keep());
+  m.reconcile(list(500, false, {{"a", kDraining}}), kHere, kNow);
+  EXPECT_EQ(said(m.reconcile(list(3, false, {{"a", kReady}}), kHere, kNow + kHour)),
+            (Said{{"a", kDraining}}));
+  EXPECT_EQ(said(m.reconcile(list(3, false, {{"a", kReady}}), kHere, kNow + kHour + 1)),
+            (Said{{"a", kReady}}));
   EXPECT_TRUE(facts.all.empty());
 }
-TEST(ListMemory, UnreadableFactsAreDropped) {
+TEST(UnavailableEndpoints, UnreadableFactsAreDropped) {
   Facts facts;
   facts.all = {{"endpoint/a", "what"}, {"endpoint/b", ""}, {"other", "x"}};
-  ListMemory m(facts.all, {}, kNow, facts.keep());
+  UnavailableEndpoints m(facts.all, {}, kNow, facts.keep());
   EXPECT_EQ(m.size(), 0u);
   EXPECT_EQ(facts.all, (std::map<std::string, std::string>{{"other", "x"}}));
 }
@@ -133,21 +136,21 @@
   m.backoff_delay = 0.75, m.send_rate = 12.5, m.consecutive_rejections = 2, m.first_rejection_age = 9,
   m.admission_probability = 0.5;
   const auto text = write_target(m, kNow);
-  const auto read = read_target("s 1", text);
+  const auto read = decode_learned_state("s 1", text);
   ASSERT_TRUE(read.has_value());
   EXPECT_EQ(read->learned, kNow);
   EXPECT_EQ(write_target(read->memory, read->learned), text);
-  EXPECT_FALSE(read_target("s 1", text.substr(0, text.size() / 2)).has_value());
-  EXPECT_FALSE(read_target("s 1", "2" + text.substr(1)).has_value()) << "of another form";
+  EXPECT_FALSE(decode_learned_state("s 1", text.substr(0, text.size() / 2)).has_value());
+  EXPECT_FALSE(decode_learned_state("s 1", "2" + text.substr(1)).has_value()) << "of another form";
 }
 
 TEST(LearnedState, WaitsAreNotShortenedByAReboot) {
   heronvane::dispatch::LearnedState m;
   m.endpoint = "a", m.retry_after_left = 10'000'000;
-  const std::map<std::string, std::string> facts = {{target_key("a"), write_target(m, kNow)}};
+  const std::map<std::string, std::string> facts = {{learned_state_key("a"), write_target(m, kNow)}};
   const Microseconds later = kNow + 8'000'000;
-  const auto wait = [&](Microseconds gap, RecalledTargets::Which which) -> Microseconds {
-    const auto r = RecalledTargets(facts, which, later).take("a", later, gap);
+  const auto wait = [&](Microseconds gap, RestoredStates::Filter which) -> Microseconds {
+    const auto r = RestoredStates(facts, which, later).take("a", later, gap);
     return r ? r->state.retry_after_left - r->age : -1;
   };
   EXPECT_EQ(wait(0, {true, true}), 2'000'000);
@@ -161,14 +164,15 @@
   heronvane::dispatch::LearnedState m;
   m.health = Health::ejected;
   const auto text = write_target(m, kNow);
-  const std::map<std::string, std::string> facts = {{target_key("a"), text}, {target_key("b"), "what"}};
-  const RecalledTargets soon(facts, {true, true}, kNow + 7 * 24 * kHour);
+  const std::map<std::string, std::string> facts = {{learned_state_key("a"), text},
+                                                    {learned_state_key("b"), "what"}};
+  const RestoredStates soon(facts, {true, true}, kNow + 7 * 24 * kHour);
   EXPECT_EQ(soon.size(), 1u);
-  EXPECT_EQ(soon.outdated(), std::vector<std::string>{target_key("b")});
-  const RecalledTargets late(facts, {true, true}, kNow + 7 * 24 * kHour + 1);
+  EXPECT_EQ(soon.outdated_keys(), std::vector<std::string>{learned_state_key("b")});
+  const RestoredStates late(facts, {true, true}, kNow + 7 * 24 * kHour + 1);
   EXPECT_EQ(late.size(), 0u);
-  EXPECT_EQ(late.outdated(), (std::vector<std::string>{target_key("a"), target_key("b")}));
-  EXPECT_EQ(RecalledTargets(facts, {false, false}, kNow).size(), 0u);
+  EXPECT_EQ(late.outdated_keys(), (std::vector<std::string>{learned_state_key("a"), learned_state_key("b")}));
+  EXPECT_EQ(RestoredStates(facts, {false, false}, kNow).size(), 0u);
 }
 
 #ifdef HERONVANE_SETTINGS_FILE
--- a/tests/store/damage_test.cpp
+++ b/tests/store/damage_test.cpp
@@ -164,7 +164,7 @@
   const auto copy = s.disk.after(0);
   const Store store(*copy, options(s.setting, s.clocks));
   s.whole = told(store);
-  for (const auto& [number, h] : store.held()) s.risky[number] = h.may_have_run();
+  for (const auto& [number, h] : store.held()) s.risky[number] = h.possibly_executed();
 }
 
 // Records that were hurt, and messages whose last whole state stands unhurt.
@@ -208,7 +208,7 @@
     ASSERT_NE(h, nullptr) << "message " << number << " is lost, its record is whole";
     c.held++, c.doubtful += h->doubt;
     if (s.risky.at(number)) {
-      ASSERT_TRUE(h->may_have_run()) << "message " << number << " is said not to have run";
+      ASSERT_TRUE(h->possibly_executed()) << "message " << number << " is said not to have run";
     }
     const bool after = at->second > last_hit;
     if (after && touched.count(number) == 0) {
@@ -339,7 +339,7 @@
     image->flip(name, at, static_cast<unsigned>(at % 8));
     const Store s(*image, options(setting, clocks));
     ASSERT_EQ(s.recovery().damaged.size(), 1u) << at - last.from;
-    ASSERT_TRUE(s.held().at(1).may_have_run()) << at - last.from;
+    ASSERT_TRUE(s.held().at(1).possibly_executed()) << at - last.from;
     ASSERT_TRUE(s.held().at(1).doubt);
   }
 }
--- a/tests/store/format1_test.cpp
+++ b/tests/store/format1_test.cpp
@@ -94,7 +94,7 @@
       return "change" + at;
     const std::size_t attempts = n == 2 || n == 4 ? 1 : n == 5 ? 2 : 0;
     if (h->attempts.size() != attempts) return "attempts" + at;
-    if (h->may_have_run() != (n == 2 || n == 5)) return "may have run" + at;
+    if (h->possibly_executed() != (n == 2 || n == 5)) return "may have run" + at;
     if (h->ending.has_value() != (n == 7)) return "ending" + at;
     if (n == 5 && (h->attempts[1].sent != 103 || h->attempts[1].zone != 1)) return "attempt" + at;
     if (n == 7 && (!h->ending->deferred || h->ending->again != 77)) return "ending" + at;
@@ -169,7 +169,7 @@
             ASSERT_NE(s.find(k), nullptr) << n << ", " << seed << ": " << k;
           }
         }
-        ASSERT_TRUE(s.held().at(2).may_have_run() && s.held().at(5).may_have_run());
+        ASSERT_TRUE(s.held().at(2).possibly_executed() && s.held().at(5).possibly_executed());
         points++;
       }
     }
@@ -235,7 +235,7 @@
       ASSERT_NE(h, nullptr) << from << " to " << to << ": " << n << "\n" << log;
       held++, doubt += h->doubt;
       if (n == 2 || n == 5) {
-        ASSERT_TRUE(h->may_have_run()) << from << " to " << to << ": " << n << "\n" << log;
+        ASSERT_TRUE(h->possibly_executed()) << from << " to " << to << ": " << n << "\n" << log;
       }
       if (at > to && n != 2 && n != 4 && n != 5 && n != 7) {
         ASSERT_FALSE(h->doubt) << from << " to " << to << ": " << n << "\n" << log;
--- a/tests/store/store_test.cpp
+++ b/tests/store/store_test.cpp
@@ -89,8 +89,8 @@
   EXPECT_TRUE(a.message.repeat);
   EXPECT_EQ(a.message.body, std::string(5, '\0') + "x");
   ASSERT_EQ(a.attempts.size(), 2u);
-  EXPECT_FALSE(a.attempts[0].may_have_run());
-  EXPECT_TRUE(a.attempts[1].may_have_run());  // no outcome was seen
+  EXPECT_FALSE(a.attempts[0].possibly_executed());
+  EXPECT_TRUE(a.attempts[1].possibly_executed());  // no outcome was seen
   EXPECT_EQ(a.attempts[1].sent, 2000);
   EXPECT_EQ(a.attempts[1].zone, 1);
   ASSERT_TRUE(s->held().at(2).ending.has_value());
--- a/tests/store/workload.cpp
+++ b/tests/store/workload.cpp
@@ -111,7 +111,8 @@
       if (!t.sent.acted_by(at)) continue;
       if (!there && !h->doubt) wrong(number, "a call is out, and its attempt is missing");
       const bool ended_well = t.ended.added_by(at) && never_ran(t.outcome);
-      if (!ended_well && !h->may_have_run()) wrong(number, "a call is out, and it is said not to have run");
+      if (!ended_well && !h->possibly_executed())
+        wrong(number, "a call is out, and it is said not to have run");
       if (!there || h->doubt) continue;
       const auto& a = h->attempts[i];
       if (a.sent != t.at) wrong(number, "the time of an attempt differs");
--- a/tools/store/export.cpp
+++ b/tools/store/export.cpp
@@ -86,7 +86,7 @@
     w.Null();
   }
   line.field("doubt", h.doubt);
-  line.field("may_have_run", h.may_have_run());
+  line.field("may_have_run", h.possibly_executed());
   line.bytes("body_base64", m.body);
 }
 
--- a/tools/store/report.cpp
+++ b/tools/store/report.cpp
@@ -92,7 +92,7 @@
       << "  repeat        " << (m.repeat ? "yes" : "no") << " (the client hands it in again)\n"
       << (m.idempotency_key.empty() ? std::string()
                                     : "  key           " + printable(m.idempotency_key) + "\n")
-      << "  may have run  " << (h.may_have_run() ? "yes" : "no")
+      << "  may have run  " << (h.possibly_executed() ? "yes" : "no")
       << (h.doubt ? " (in doubt: records of it may have been lost)" : "") << '\n'
       << "  ends          " << end_of(h) << '\n';
   for (std::size_t i = 0; i < h.attempts.size(); i++) {
