--- a/relay/core/list_reader.cpp
+++ b/relay/core/list_reader.cpp
@@ -16,34 +16,34 @@
 // Not by recursion, which thousands of open brackets would take past the stack's end.
 void parse(rapidjson::Document& v, const char* text, std::size_t size) {
   v.Parse<rapidjson::kParseIterativeFlag>(text, size);
-  if (v.HasParseError()) malformed(kPath, "is no JSON");
+  if (v.HasParseError()) throw_malformed(kPath, "is no JSON");
 }
 
 }  // namespace
 
-ListReader::ListReader(std::string text, const Tables& names) : text_(std::move(text)), names_(names) {}
+ListReader::ListReader(std::string text, const NameTables& names) : text_(std::move(text)), names_(names) {}
 
 // One entry of the list, as a list of its own.
 void ListReader::element() {
   const std::size_t size = at_ - begin_;
   const std::size_t content = text_.find_first_not_of(" \t\r\n", begin_);
-  if (content >= at_) malformed(kPath + ".endpoints", "holds an empty entry");
+  if (content >= at_) throw_malformed(kPath + ".endpoints", "holds an empty entry");
   static const std::string head = R"({"index":0,"snapshot":false,"endpoints":[)";
   const std::string one = head + text_.substr(begin_, size) + "]}";
   rapidjson::Document v;
   parse(v, one.data(), one.size());
-  auto read = read_members(v, kPath, names_);
-  std::move(read.members.begin(), read.members.end(), std::back_inserter(list_.members));
+  auto read = read_endpoint_list(v, kPath, names_);
+  std::move(read.endpoints.begin(), read.endpoints.end(), std::back_inserter(list_.endpoints));
 }
 
 void ListReader::finish() {
   frame_.append(text_, copied_);
   rapidjson::Document v;
   parse(v, frame_.data(), frame_.size());
-  auto frame = read_members(v, kPath, names_);
+  auto frame = read_endpoint_list(v, kPath, names_);
   list_.index = frame.index, list_.snapshot = frame.snapshot;
   // Not cut out of it.
-  if (!frame.members.empty()) list_.members = std::move(frame.members);
+  if (!frame.endpoints.empty()) list_.endpoints = std::move(frame.endpoints);
   done_ = true;
 }
 
--- a/relay/core/suspend_monitor.hpp
+++ b/relay/core/suspend_monitor.hpp
@@ -5,8 +5,8 @@
 #include <boost/asio/io_context.hpp>
 #include <functional>
 
-#include "core/alarm.hpp"
 #include "core/suspend_detector.hpp"
+#include "core/timer.hpp"
 
 namespace heronvane {
 
@@ -42,8 +42,8 @@
   const Hooks hooks_;
   State state_ = State::current;
   SuspendDetector detector_;
-  Alarm beat_timer_;
-  Alarm refresh_timer_;
+  Timer beat_timer_;
+  Timer refresh_timer_;
 };
 
 }  // namespace heronvane
--- a/relay/drain_controller.cpp
+++ b/relay/drain_controller.cpp
@@ -30,7 +30,7 @@
   const bool kept =
       keep_drain(ended, [&store](const auto& key, const auto& value) { return store.keep(key, value); });
   if (!kept || !store.commit())
-    throw startup::StartError(startup::Step::recovery, startup::Persistence::passing,
+    throw startup::StartError(startup::Step::recovery, startup::Persistence::transient,
                               "--undrain: can't be kept: " + store.trouble());
   state_ = ended;
 }
--- a/relay/drain_controller.hpp
+++ b/relay/drain_controller.hpp
@@ -9,8 +9,8 @@
 #include <optional>
 #include <string>
 
-#include "core/alarm.hpp"
 #include "core/drain.hpp"
+#include "core/timer.hpp"
 #include "store/disk.hpp"
 #include "store/store.hpp"
 
@@ -66,7 +66,7 @@
   bool change_pending_ = false;
   bool file_failure_logged_ = false;
   std::optional<Microseconds> idle_since_;  // on the steady clock; empty: something is held or owed
-  Alarm timer_;
+  Timer timer_;
 };
 
 }  // namespace heronvane
--- a/relay/intake.hpp
+++ b/relay/intake.hpp
@@ -8,9 +8,9 @@
 #include <memory>
 #include <set>
 
-#include "core/alarm.hpp"
 #include "core/message.hpp"
 #include "core/outbox.hpp"
+#include "core/timer.hpp"
 #include "log.hpp"
 #include "settings.hpp"
 
@@ -30,7 +30,7 @@
   // Accepts on `listener` at once. Each message goes to `take`, which answers by the reply, once, then or
   // later.
   Intake(boost::asio::io_context& io, boost::asio::ip::tcp::acceptor listener,
-         const heronvane::dispatch::Settings& settings, const heronvane::dispatch::adapter::Tables& names,
+         const heronvane::dispatch::Settings& settings, const heronvane::dispatch::adapter::NameTables& names,
          const IntakeLimits& limits, Take take, Ready ready);
   ~Intake();
 
@@ -55,15 +55,15 @@
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  Alarm pause_;
+  Timer pause_;
   const heronvane::dispatch::Settings& settings_;
-  const heronvane::dispatch::adapter::Tables& names_;
+  const heronvane::dispatch::adapter::NameTables& names_;
   IntakeLimits limits_;
   Take take_;
   Ready ready_;
   bool draining_ = false, finishing_ = false;
   std::size_t body_bytes_ = 0;
-  Tally tally_, accept_failures_;
+  CounterLog tally_, accept_failures_;
   std::set<std::shared_ptr<Session>> sessions_;
 };
 
--- a/relay/platform.cpp
+++ b/relay/platform.cpp
@@ -14,7 +14,7 @@
 #include "answer.hpp"
 #include "core/list_reader.hpp"
 #include "core/object_splitter.hpp"
-#include "core/read_again.hpp"
+#include "core/retry_read.hpp"
 #include "core/stream_writer.hpp"
 #include "fail_points.hpp"
 #include "log.hpp"
@@ -56,8 +56,8 @@
   }
   bool follow, over = false;
   tcp::socket socket;
-  Alarm timer;
-  Alarm read_pause;  // while the system has no memory for a read
+  Timer timer;
+  Timer read_pause;  // while the system has no memory for a read
   beast::flat_buffer buffer;
   http::request<http::empty_body> request;
   http::response_parser<http::string_body> parser;
@@ -68,15 +68,15 @@
   bool answered = false;             // a watch that lived
   bool looked = false;               // once for what had come when its time was up
   std::optional<ListReader> reader;  // of the list that is being read
-  std::optional<MemberList> list;    // that is being told
+  std::optional<EndpointList> list;  // that is being told
   std::size_t told = 0;              // of its entries
 };
 
 struct Platform::Post {
   explicit Post(net::io_context& io) : timer(io), read_pause(io) {}
   std::shared_ptr<tcp::socket> socket;
-  Alarm timer;
-  Alarm read_pause;  // while the system has no memory for a read
+  Timer timer;
+  Timer read_pause;  // while the system has no memory for a read
   std::vector<MessageId> ids;
   bool fresh = false, over = false;
   http::request<http::string_body> request;
@@ -87,7 +87,7 @@
 };
 
 Platform::Platform(net::io_context& io, const tcp::endpoint& address,
-                   const heronvane::dispatch::adapter::Tables& names, std::int64_t index,
+                   const heronvane::dispatch::adapter::NameTables& names, std::int64_t index,
                    std::size_t most_list, Listed listed, Failed failed, Noticed noticed)
     : io_(io),
       address_(address),
@@ -206,8 +206,8 @@
   http::async_read_some(
       query->socket, query->buffer, query->parser, [this, query](error_code bad, std::size_t) {
         if (query->over) return;
-        if (is_shortage(bad))
-          return read_again(query->socket, query->read_pause,
+        if (is_memory_shortage(bad))
+          return retry_read(query->socket, query->read_pause,
                             [this, query] { query->over ? void() : read(query); });
         if (bad) return end(query, bad.message());
         if (query->parser.is_header_done()) {
@@ -291,19 +291,20 @@
 
 // The next part of the list; true with the last one.
 bool Platform::hand_over(Query& query) {
-  MemberList& list = *query.list;
+  EndpointList& list = *query.list;
   // One that was overtaken by the watch is asked for again.
   const bool overtaken = !query.follow && watch_ && list.index < index_;
-  const std::size_t left = list.members.size() - query.told, count = overtaken ? left : std::min(left, kPart);
+  const std::size_t left = list.endpoints.size() - query.told,
+                    count = overtaken ? left : std::min(left, kPart);
   if (!overtaken) {
-    MemberList part;
+    EndpointList part;
     part.index = list.index, part.snapshot = list.snapshot, part.serial = list.serial;
-    part.begins = query.told == 0, part.ends = count == left;
-    const auto from = list.members.begin() + static_cast<std::ptrdiff_t>(query.told);
-    part.members.assign(std::make_move_iterator(from),
-                        std::make_move_iterator(from + static_cast<std::ptrdiff_t>(count)));
+    part.first_part = query.told == 0, part.last_part = count == left;
+    const auto from = list.endpoints.begin() + static_cast<std::ptrdiff_t>(query.told);
+    part.endpoints.assign(std::make_move_iterator(from),
+                          std::make_move_iterator(from + static_cast<std::ptrdiff_t>(count)));
     // Only now: what is broken off is asked for anew.
-    if (part.ends) index_ = list.index;
+    if (part.last_part) index_ = list.index;
     listed_(std::move(part));
   }
   query.told += count;
@@ -388,8 +389,8 @@
   post->socket->async_read_some(net::buffer(post->chunk), [this, post](error_code bad, std::size_t size) {
     if (post->over) return;
     using State = AnswerReader::State;
-    if (is_shortage(bad))
-      return read_again(*post->socket, post->read_pause,
+    if (is_memory_shortage(bad))
+      return retry_read(*post->socket, post->read_pause,
                         [this, post, kept = post->socket] { post->over ? void() : read(post); });
     if (bad && bad != net::error::eof) return posted(post, bad.message());
     const State state = bad ? post->answer.end() : post->answer.put(post->chunk.data(), size);
--- a/relay/platform.hpp
+++ b/relay/platform.hpp
@@ -10,21 +10,21 @@
 #include <string>
 #include <vector>
 
-#include "core/alarm.hpp"
 #include "core/message.hpp"
-#include "members.hpp"
+#include "core/timer.hpp"
+#include "endpoint_list.hpp"
 #include "settings.hpp"
 
 namespace heronvane {
 
 class Platform {
  public:
-  using Listed = std::function<void(MemberList)>;
+  using Listed = std::function<void(EndpointList)>;
   using Failed = std::function<void()>;
   using Noticed = std::function<void(const std::vector<MessageId>&)>;
 
   Platform(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address,
-           const heronvane::dispatch::adapter::Tables& names, std::int64_t index, std::size_t most_list,
+           const heronvane::dispatch::adapter::NameTables& names, std::int64_t index, std::size_t most_list,
            Listed listed, Failed failed, Noticed noticed);
   ~Platform();
 
@@ -64,7 +64,7 @@
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::endpoint address_;
-  const heronvane::dispatch::adapter::Tables& names_;  // outlives this
+  const heronvane::dispatch::adapter::NameTables& names_;  // outlives this
   std::int64_t index_;
   std::uint64_t serial_ = 0;     // of the list told last
   const std::size_t most_list_;  // bytes of a list
@@ -78,7 +78,7 @@
   std::shared_ptr<boost::asio::ip::tcp::socket> kept_;
   static constexpr std::size_t kMostLines = 64;  // notices in one request
   std::size_t most_lines_ = kMostLines;
-  Alarm again_;
+  Timer again_;
   bool waiting_ = false;
   bool whole_due_ = false;  // since discovery moved
   bool following_ = false;  // the module wants changes
--- a/relay/relay.cpp
+++ b/relay/relay.cpp
@@ -76,7 +76,7 @@
   try {
     return store::open_folder(path);
   } catch (const std::exception& error) {
-    throw startup::as_start_error(error, startup::Step::folder);
+    throw startup::to_start_error(error, startup::Step::state_folder);
   }
 }
 
@@ -103,18 +103,19 @@
       sync_thread_(sync_thread()),
       store_(*folder_, store_options(config), sync_thread_.get()),
       copies_(open_copies()),
-      list_memory_(store_.facts(), config.known, store_.clock().now(),
-                   [this](const std::string& key, const std::string& value) { return keep(key, value); }),
-      known_(list_memory_.known(config.known)),
-      recalled_(store_.facts(), {config.own.store.keep_health, config.own.store.keep_waits},
-                store_.clock().now()),
+      unavailable_endpoints_(
+          store_.facts(), config.known, store_.clock().now(),
+          [this](const std::string& key, const std::string& value) { return keep(key, value); }),
+      known_(unavailable_endpoints_.restrict_configured(config.known)),
+      restored_states_(store_.facts(), {config.own.store.keep_health, config.own.store.keep_waits},
+                       store_.clock().now()),
       dispatcher_(config.settings, config.seed),
       calls_(
           io, call_limits(config), [this](const event::AttemptEnded& e) { ended(e); },
           [this] { return suspend_monitor_.is_current(); }),
       platform_(
           io, config.discovery, config.names, config.known.index, most_list(config),
-          [this](MemberList list) { listed(std::move(list)); },
+          [this](EndpointList list) { listed(std::move(list)); },
           [this] { happened(event::EndpointListFailed{}); },
           [this](const std::vector<MessageId>& ids) {
             for (const MessageId id : ids) completed(id);
@@ -131,11 +132,12 @@
       stall_timer_(io),
       shutdown_timer_(io),
       compact_timer_(io) {
-  directory_.take(
-      known_, [](const EndpointId&) {}, [this](const Member& m) { calls_.locate(m.endpoint.id, m.address); });
-  for (const auto& m : config.known.members) directory_.name(m.endpoint.destination);
+  directory_.apply(
+      known_, [](const EndpointId&) {},
+      [this](const ListedEndpoint& m) { calls_.locate(m.endpoint.id, m.address); });
+  for (const auto& m : config.known.endpoints) directory_.add_destination(m.endpoint.destination);
   events_.push_back(event::EndpointListSnapshot{directory_.all(), true});
-  for (const auto& key : recalled_.outdated()) store_.keep(key, {});
+  for (const auto& key : restored_states_.outdated_keys()) store_.keep(key, {});
   store_.on_sync([this] { synced(); });
   if (start_.undrain) drain_.end_at_start(*start_.undrain, store_);
   drain_.resume();
@@ -200,7 +202,7 @@
   a.id = id;
   a.destination = m.destination;
   a.message_class = config_.names.classes.at(m.message_class);
-  a.tenant = heronvane::dispatch::adapter::position(config_.names.tenants, m.tenant);
+  a.tenant = heronvane::dispatch::adapter::index_of(config_.names.tenants, m.tenant);
   a.time_left = m.deadline - store_.clock().now();
   a.repeat = m.repeat;
   return a;
@@ -228,7 +230,7 @@
   if (drain_.draining()) return refuse(reply, "draining");
   if (!copied()) return refuse(reply, "too few copies");
   // Before discovery has told its list, an unknown destination may only be unknown yet.
-  if (!directory_.knows(message.destination))
+  if (!directory_.knows_destination(message.destination))
     return list_told_ ? reply({404, 0, "unknown destination"}) : refuse(reply, "no list of destinations yet");
   message.deadline = store_.clock().now() + left;
   const std::size_t open = requests_.queued() + store_.open();
@@ -274,7 +276,7 @@
   const auto kind = static_cast<std::size_t>(told->kind);
   const bool apart = kind < config_.settings.kinds.size() && config_.settings.kinds[kind].per_endpoint_limits;
   if (apart) return keep_from(endpoint);
-  for (const auto& id : std::vector<EndpointId>(directory_.of(told->destination))) keep_from(id);
+  for (const auto& id : std::vector<EndpointId>(directory_.endpoints_of(told->destination))) keep_from(id);
 }
 
 // Nothing that has not begun goes there now.
@@ -283,17 +285,17 @@
   outbox_.withdraw(endpoint, [this](const EndpointId& to, const Outgoing& m) { take_back(to, m); });
 }
 
-void Relay::listed(MemberList list) {
+void Relay::listed(EndpointList list) {
   if (HERONVANE_DEFECT("ignore-drain"))
-    for (auto& m : list.members) m.endpoint.listing = Listing::active;
+    for (auto& m : list.endpoints) m.endpoint.listing = Listing::active;
   const std::string discovery = text_of(platform_.address());
   const Microseconds now = store_.clock().now();
-  list = list_memory_.told(std::move(list), discovery, now);
-  const auto changes = directory_.take(
-      list, [&](const EndpointId& id) { list_memory_.gone(id, list.index, discovery, now); },
-      [this](const Member& m) { calls_.locate(m.endpoint.id, m.address); });
-  list_told_ = list_told_ || list.ends;
-  for (const auto& id : changes.unfit) {
+  list = unavailable_endpoints_.reconcile(std::move(list), discovery, now);
+  const auto changes = directory_.apply(
+      list, [&](const EndpointId& id) { unavailable_endpoints_.mark_gone(id, list.index, discovery, now); },
+      [this](const ListedEndpoint& m) { calls_.locate(m.endpoint.id, m.address); });
+  list_told_ = list_told_ || list.last_part;
+  for (const auto& id : changes.inactive) {
     keep_from(id);
     calls_.close_idle(id);
     if (directory_.find(id) == nullptr) calls_.forget(id);
--- a/relay/relay.hpp
+++ b/relay/relay.hpp
@@ -16,18 +16,18 @@
 
 #include "calls.hpp"
 #include "config.hpp"
-#include "core/alarm.hpp"
 #include "core/cycle_pacing.hpp"
 #include "core/directory.hpp"
 #include "core/in_flight_gauge.hpp"
+#include "core/learned_state_store.hpp"
 #include "core/lifecycle.hpp"
-#include "core/list_memory.hpp"
-#include "core/log_copies.hpp"
+#include "core/log_replication.hpp"
 #include "core/outbox.hpp"
 #include "core/request_table.hpp"
 #include "core/status.hpp"
 #include "core/suspend_monitor.hpp"
-#include "core/target_memory.hpp"
+#include "core/timer.hpp"
+#include "core/unavailable_endpoints.hpp"
 #include "drain_controller.hpp"
 #include "fronts/front.hpp"
 #include "heronvane/dispatch/dispatcher.hpp"
@@ -72,7 +72,7 @@
   bool keep(const std::string& key, const std::string& value);
   void on_request(Message message, Microseconds left, ReplyCallback reply);
   void ended(const heronvane::dispatch::event::AttemptEnded& e);
-  void listed(MemberList list);
+  void listed(EndpointList list);
   template <class E>
   void happened(E event) {
     events_.emplace_back(std::move(event));
@@ -123,7 +123,7 @@
   Status status() const;
 
   // relay_copies.cpp, or relay_no_copies.cpp in a build without them
-  std::unique_ptr<LogCopies> open_copies();
+  std::unique_ptr<LogReplication> open_copies();
   void disown();
   void taken_over(MessageId from, MessageId to);
   // What is handed in now can be kept as the settings ask.
@@ -143,13 +143,13 @@
   std::unique_ptr<Front> admin_;                    // where the operator's settings ask for it
   std::unique_ptr<store::SyncThread> sync_thread_;  // where records must outlast the machine
   store::Store store_;
-  std::unique_ptr<LogCopies> copies_;  // where the operator's settings ask for them
-  Outbox outbox_;                      // until their records stand
-  bool unwritten_ = false;             // the store can't be written now: the module is not asked
+  std::unique_ptr<LogReplication> copies_;  // where the operator's settings ask for them
+  Outbox outbox_;                           // until their records stand
+  bool unwritten_ = false;                  // the store can't be written now: the module is not asked
   std::map<std::string, std::string> kept_meanwhile_;
-  ListMemory list_memory_;
-  MemberList known_;  // the configuration's list, as it holds
-  RecalledTargets recalled_;
+  UnavailableEndpoints unavailable_endpoints_;
+  EndpointList known_;  // the configuration's list, as it holds
+  RestoredStates restored_states_;
   heronvane::dispatch::Dispatcher dispatcher_;
   Calls calls_;
   Platform platform_;
@@ -157,7 +157,7 @@
   Directory directory_;
   std::unordered_map<EndpointId, std::size_t> filling_;  // of the plan that is made, the last call to each
   RequestTable requests_;
-  Tally refused_;           // told once a second, by reason
+  CounterLog refused_;      // told once a second, by reason
   InFlightGauge gauge_;     // kept where there is an admin socket
   bool list_told_ = false;  // by discovery, in this life
   std::deque<std::vector<heronvane::dispatch::Endpoint>>
@@ -173,7 +173,7 @@
   DrainController drain_;
   SuspendMonitor suspend_monitor_;
   std::int64_t generation_;
-  Alarm round_timer_, module_timer_, stall_timer_, shutdown_timer_, compact_timer_;
+  Timer round_timer_, module_timer_, stall_timer_, shutdown_timer_, compact_timer_;
   std::function<void()> done_;
   std::optional<Intake> intake_;  // last: it accepts once all else stands
 };
--- a/tests/directory_test.cpp
+++ b/tests/directory_test.cpp
@@ -14,8 +14,8 @@
 using heronvane::dispatch::EndpointId;
 using heronvane::dispatch::Listing;
 
-Member member(const std::string& id, std::int64_t destination, Listing listing = Listing::active) {
-  Member m;
+ListedEndpoint member(const std::string& id, std::int64_t destination, Listing listing = Listing::active) {
+  ListedEndpoint m;
   m.endpoint.id = id, m.endpoint.destination = destination, m.endpoint.listing = listing;
   return m;
 }
@@ -26,12 +26,12 @@
   std::size_t located = 0;
 };
 
-Taken take(Directory& d, std::vector<Member> members, bool snapshot) {
+Taken take(Directory& d, std::vector<ListedEndpoint> members, bool snapshot) {
   static std::uint64_t serial = 0;
   Taken t;
-  t.changes = d.take(
+  t.changes = d.apply(
       {1, snapshot, std::move(members), ++serial}, [&](const EndpointId& id) { t.left.insert(id); },
-      [&](const Member&) { t.located++; });
+      [&](const ListedEndpoint&) { t.located++; });
   return t;
 }
 
@@ -65,8 +65,8 @@
   EXPECT_EQ(t.changes.endpoints[0].listing, Listing::gone);
   EXPECT_EQ(t.left, std::set<EndpointId>{"b"});
   EXPECT_EQ(d.find("b"), nullptr);
-  EXPECT_TRUE(d.knows(1));
-  EXPECT_EQ(d.of(1), std::vector<EndpointId>{"a"});
+  EXPECT_TRUE(d.knows_destination(1));
+  EXPECT_EQ(d.endpoints_of(1), std::vector<EndpointId>{"a"});
 }
 
 TEST(Directory, OneThatMovesLeavesItsDestination) {
@@ -74,16 +74,17 @@
   take(d, {member("a", 1)}, true);
   const auto t = take(d, {member("a", 2)}, false);
   EXPECT_EQ(t.changes.endpoints.size(), 1u);
-  EXPECT_TRUE(d.of(1).empty());
-  EXPECT_EQ(d.of(2), std::vector<EndpointId>{"a"});
+  EXPECT_TRUE(d.endpoints_of(1).empty());
+  EXPECT_EQ(d.endpoints_of(2), std::vector<EndpointId>{"a"});
 }
 
 TEST(Directory, AListInPartsTellsWhatIsGoneWithItsLast) {
   Directory d;
   take(d, {member("a", 1), member("b", 1), member("c", 1)}, true);
-  const auto part = [&](std::uint64_t serial, std::vector<Member> members, bool begins, bool ends) {
-    return d.take(
-        {2, true, std::move(members), serial, begins, ends}, [](const EndpointId&) {}, [](const Member&) {});
+  const auto part = [&](std::uint64_t serial, std::vector<ListedEndpoint> members, bool begins, bool ends) {
+    return d.apply(
+        {2, true, std::move(members), serial, begins, ends}, [](const EndpointId&) {},
+        [](const ListedEndpoint&) {});
   };
   EXPECT_TRUE(part(1'000, {member("a", 1)}, true, false).endpoints.empty());
   // Changes that come between its parts are newer than it.
@@ -106,14 +107,14 @@
   std::map<EndpointId, Endpoint> plain;
   for (int round = 0; round < 3'000; round++) {
     const bool snapshot = random() % 5 == 0;
-    std::map<EndpointId, Member> named;
+    std::map<EndpointId, ListedEndpoint> named;
     for (auto n = random() % 12; n > 0; n--) {
       auto m = member("e" + std::to_string(random() % 20), static_cast<std::int64_t>(random() % 4));
       const auto lot = random() % 6;
       m.endpoint.listing = lot == 0 ? Listing::gone : lot == 1 ? Listing::draining : Listing::active;
       named[m.endpoint.id] = m;
     }
-    std::vector<Member> members;
+    std::vector<ListedEndpoint> members;
     for (const auto& [id, m] : named) members.push_back(m);
     const auto t = take(d, members, snapshot);
     const auto before = plain;
@@ -136,7 +137,7 @@
       EXPECT_EQ(found->listing, e.listing);
       EXPECT_EQ(found->destination, e.destination);
       EXPECT_EQ(told.at(id).listing, e.listing);
-      const auto& of = d.of(e.destination);
+      const auto& of = d.endpoints_of(e.destination);
       EXPECT_EQ(std::count(of.begin(), of.end(), id), 1);
       active = active || e.listing == Listing::active;
     }
