--- a/bench/decisions/day.cpp
+++ b/bench/decisions/day.cpp
@@ -31,7 +31,7 @@
 // ---- The module's instances. ----
 
 void Day::probe_settings() {
-  const int probe = static_cast<int>(random_.between(0, kSettingProbes - 1));
+  const int probe = static_cast<int>(random_.between(0, setting_probes() - 1));
   bool accepted = true;
   std::string reason;
   try {
--- a/bench/decisions/learned_store.cpp
+++ b/bench/decisions/learned_store.cpp
@@ -1,5 +1,6 @@
 #include "learned_store.hpp"
 
+#include <iterator>
 #include <limits>
 #include <utility>
 
@@ -8,41 +9,33 @@
 
 constexpr std::int64_t kLongest = std::numeric_limits<std::int64_t>::max();
 
-// A record of another make.
+using Change = void (*)(LearnedState&, Random&);
+
+double wild(Random& random) {
+  return random.one_of<double>({-1, 0, 1e30, std::numeric_limits<double>::quiet_NaN()});
+}
+int wild_count(Random& random) { return static_cast<int>(random.between(-5, 5'000)); }
+Micros wild_age(Random& random) { return random.one_of<Micros>({-1, kLongest, 1'000'000}); }
+
+// Each makes a sound record one of another make.
+constexpr Change kChanges[] = {
+    [](LearnedState& s, Random&) { s.destination++; },
+    [](LearnedState& s, Random& random) { s.usual_rate = wild(random); },
+    [](LearnedState& s, Random& random) { s.budget = wild(random); },
+    [](LearnedState& s, Random& random) { s.failure_share = wild(random); },
+    [](LearnedState& s, Random& random) { s.backoff = wild(random); },
+    [](LearnedState& s, Random& random) { s.send_rate = wild(random); },
+    [](LearnedState& s, Random& random) { s.admission = wild(random); },
+    [](LearnedState& s, Random& random) { s.failures_in_row = wild_count(random); },
+    [](LearnedState& s, Random& random) { s.rejections = wild_count(random); },
+    [](LearnedState& s, Random& random) { s.batch = wild_count(random); },
+    [](LearnedState& s, Random& random) { s.health_age = wild_age(random); },
+    [](LearnedState& s, Random& random) { s.rejected_age = wild_age(random); },
+};
+
 void spoil(LearnedState& state, Random& random) {
-  const double wild = random.one_of<double>({-1, 0, 1e30, std::numeric_limits<double>::quiet_NaN()});
-  switch (random.between(0, 9)) {
-    case 0:
-      state.destination++;
-      break;
-    case 1:
-      state.usual_rate = wild;
-      break;
-    case 2:
-      state.budget = wild;
-      break;
-    case 3:
-      state.failure_share = wild;
-      break;
-    case 4:
-      state.backoff = wild;
-      break;
-    case 5:
-      state.admission = wild;
-      break;
-    case 6:
-      state.failures_in_row = static_cast<int>(random.between(-5, 5'000));
-      break;
-    case 7:
-      state.rejections = static_cast<int>(random.between(-5, 5'000));
-      break;
-    case 8:
-      state.health_age = random.one_of<Micros>({-1, kLongest, 1'000'000});
-      break;
-    default:
-      state.rejected_age = random.one_of<Micros>({-1, kLongest, 1'000'000});
-      break;
-  }
+  const auto last = static_cast<std::int64_t>(std::size(kChanges)) - 1;
+  kChanges[random.between(0, last)](state, random);
 }
 
 }  // namespace
--- a/bench/decisions/scenario.cpp
+++ b/bench/decisions/scenario.cpp
@@ -1,6 +1,7 @@
 #include "scenario.hpp"
 
 #include <algorithm>
+#include <iterator>
 
 namespace decisions {
 namespace {
@@ -88,6 +89,41 @@
   day.restarts = static_cast<int>(random.between(0, 5));
 }
 
+using Change = void (*)(Settings&);
+// Each makes a value senseless, or one that only looks so.
+constexpr Change kChanges[] = {
+    [](Settings& s) { s.classes.clear(); },
+    [](Settings& s) { s.classes.back().latency_objective = 0; },
+    [](Settings& s) { s.classes.back().deadline = 0; },
+    [](Settings& s) { s.classes.back().priority_weight = -1; },
+    [](Settings& s) { s.classes.back().weight_at_deadline = -0.5; },
+    [](Settings& s) { s.classes.back().key_window = -1; },
+    [](Settings& s) {
+      s.kinds.push_back({false, 0});
+    },
+    [](Settings& s) { s.tenant_quotas_per_s.push_back(-1); },
+    [](Settings& s) { s.relays = 0; },
+    [](Settings& s) { s.slots = 0; },
+    [](Settings& s) { s.in_flight_max = 0; },
+    [](Settings& s) { s.attempts_max = 0; },
+    [](Settings& s) { s.tick = -1; },
+    [](Settings& s) { s.connect_timeout = -1; },
+    [](Settings& s) { s.connection_idle = -1; },
+    [](Settings& s) { s.drain_grace = -1; },
+    [](Settings& s) { s.poll_interval_max = -1; },
+    [](Settings& s) { s.key_quiet_period = -1; },
+    [](Settings& s) { s.answer_slack = -1; },
+    [](Settings& s) { s.collapse_factor = 0; },
+    [](Settings& s) { s.overload_span = -1; },
+    [](Settings& s) { s.slow_start_window = -1; },
+    [](Settings& s) { s.slow_start_share = -0.1; },
+    [](Settings& s) { s.slow_start_share = 1.1; },
+    [](Settings& s) { s.zone_fees.push_back(-1); },
+    [](Settings& s) { s.relay_index = s.relays + 1; },
+    [](Settings& s) { s.retry_after_max = -1; },
+    [](Settings& s) { s.over_quota_weight = -1; },
+};
+
 }  // namespace
 
 Scenario draw_scenario(Random& random) {
@@ -107,94 +143,11 @@
   return day;
 }
 
-Settings probed_settings(Settings s, int probe) {
-  if (probe == 0) s.classes.clear();
-  if (s.classes.empty()) return s;
-  ClassSettings& c = s.classes.back();
-  switch (probe) {
-    case 1:
-      c.latency_objective = 0;
-      break;
-    case 2:
-      c.deadline = 0;
-      break;
-    case 3:
-      c.priority_weight = -1;
-      break;
-    case 4:
-      c.weight_at_deadline = -0.5;
-      break;
-    case 5:
-      c.key_window = -1;
-      break;
-    case 6:
-      s.kinds.push_back({false, 0});
-      break;
-    case 7:
-      s.tenant_quotas_per_s.push_back(-1);
-      break;
-    case 8:
-      s.relays = 0;
-      break;
-    case 9:
-      s.slots = 0;
-      break;
-    case 10:
-      s.in_flight_max = 0;
-      break;
-    case 11:
-      s.attempts_max = 0;
-      break;
-    case 12:
-      s.tick = -1;
-      break;
-    case 13:
-      s.connect_timeout = -1;
-      break;
-    case 14:
-      s.connection_idle = -1;
-      break;
-    case 15:
-      s.drain_grace = -1;
-      break;
-    case 16:
-      s.poll_interval_max = -1;
-      break;
-    case 17:
-      s.key_quiet_period = -1;
-      break;
-    case 18:
-      s.answer_slack = -1;
-      break;
-    case 19:
-      s.collapse_factor = 0;
-      break;
-    case 20:
-      s.overload_span = -1;
-      break;
-    case 21:
-      s.slow_start_window = -1;
-      break;
-    case 22:
-      s.slow_start_share = -0.1;
-      break;
-    case 23:
-      s.slow_start_share = 1.1;
-      break;
-    case 24:
-      s.zone_fees.push_back(-1);
-      break;
-    case 25:
-      s.relay_index = s.relays + 1;
-      break;
-    case 26:
-      s.retry_after_max = -1;
-      break;
-    default:
-      s.over_quota_weight = -1;
-      break;
-  }
-  return s;
+int setting_probes() { return static_cast<int>(std::size(kChanges)); }
+
+Settings probed_settings(Settings settings, int probe) {
+  kChanges[probe](settings);
+  return settings;
 }
 
 }  // namespace decisions
--- a/bench/decisions/scenario.hpp
+++ b/bench/decisions/scenario.hpp
@@ -36,9 +36,9 @@
 
 Scenario draw_scenario(Random& random);
 
-// The settings with one value that may make no sense: which one hangs on `probe`, from 0 to kSettingProbes
-// - 1.
-constexpr int kSettingProbes = 28;
+// How many ways there are to change one value of the settings so that they may make no sense any more.
+int setting_probes();
+// The settings, changed in the way `probe` (from 0 on).
 Settings probed_settings(Settings settings, int probe);
 
 }  // namespace decisions
