--- a/bench/decisions/receivers.cpp
+++ b/bench/decisions/receivers.cpp
@@ -150,7 +150,9 @@
   reply.latency = r.latency * random_.skewed(50, 250) / 100;
   if (random_.chance(0.01)) reply.latency *= 12;
   if (now < r.slow_until) reply.latency = reply.latency * 15 + 200 * kMillisecond;
-  if (random_.chance(failure_share_))
+  if (random_.chance(failure_share_) && random_.chance(0.7))
+    reply.outcome = random_.chance(0.5) ? Outcome::error : Outcome::reset;
+  else if (random_.chance(failure_share_ / 3))
     reply.outcome = random_.one_of<Outcome>({Outcome::error, Outcome::reset, Outcome::error,
                                              Outcome::connect_failed, Outcome::timeout, Outcome::cancelled});
   if (reply.outcome == Outcome::timeout) reply.latency = send.timeout;
@@ -203,7 +205,8 @@
 }
 
 void Receivers::change_failure_share() {
-  failure_share_ = random_.chance(0.5) ? day_.failure_share : random_.one_of<double>({0, 0.05, 0.15, 0.4});
+  failure_share_ =
+      random_.chance(0.5) ? day_.failure_share : random_.one_of<double>({0, 0.05, 0.15, 0.4, 0.6});
 }
 
 std::vector<Endpoint> Receivers::change_all(std::int64_t destination, Listing listing) {
--- a/bench/decisions/scenario.cpp
+++ b/bench/decisions/scenario.cpp
@@ -45,6 +45,7 @@
   s.slots = static_cast<int>(random.one_of<std::int64_t>({1, 4, 16, 16, 64, 256, 1'000}));
   s.in_flight_max =
       static_cast<int>(random.one_of<std::int64_t>({20, 100, 300, 1'000, 1'000, 10'000, 100'000}));
+  if (random.chance(0.4)) s.slots = static_cast<int>(random.skewed(1, 300));
   if (random.chance(0.02)) s.in_flight_max = 1;
   s.attempts_max = static_cast<int>(random.one_of<std::int64_t>({1, 2, 3, 5, 10}));
   s.hedging = random.chance(0.3);
