--- a/bench/decisions/scenario.cpp
+++ b/bench/decisions/scenario.cpp
@@ -16,6 +16,7 @@
   c.latency_objective = random.skewed(100, 3'000) * kMillisecond;
   c.deadline = c.latency_objective * random.between(1, 8) + random.between(0, 500) * kMillisecond;
   if (random.chance(0.05)) c.deadline = std::max<Micros>(c.latency_objective / 2, 1);
+  if (random.chance(0.03)) c.deadline = c.latency_objective + random.between(0, 10);
   c.idempotency = static_cast<Idempotency>(random.between(0, 2));
   c.key_scope = static_cast<KeyScope>(random.between(0, 2));
   c.key_window = c.idempotency == Idempotency::keyed ? random.skewed(0, 20'000) * kMillisecond : 0;
@@ -26,6 +27,8 @@
 void draw_lists(Random& random, Settings& s) {
   const std::int64_t classes = random.between(1, 6);
   for (std::int64_t i = 0; i < classes; i++) s.classes.push_back(draw_class(random));
+  if (random.chance(0.03))
+    for (ClassSettings& c : s.classes) c.deadline = 7'200 * kSecond;  // beyond the longest timer
   const std::int64_t kinds = random.between(0, 4);
   for (std::int64_t i = 0; i < kinds; i++)
     s.kinds.push_back({random.chance(0.4), random.one_of<int>({1, 2, 5, 20})});
