--- a/bench/decisions/compare.sh
+++ b/bench/decisions/compare.sh
@@ -60,7 +60,7 @@
 show_difference() {  # SEED
   for side in a b; do "$folder/$side/decisions" --show "$1" > "$folder/$side/actions" || true; done
   local line
-  line=$(cmp "$folder/a/actions" "$folder/b/actions" 2>&1 | sed -n 's/.*line \([0-9]*\)$/\1/p')
+  line=$(cmp "$folder/a/actions" "$folder/b/actions" 2>&1 | sed -n 's/.*line \([0-9]*\)$/\1/p') || true
   if [[ -z $line ]]; then
     echo "one side's actions are the beginning of the other's, or only the digests differ"
     return
