--- a/src/endpoint_health.hpp
+++ b/src/endpoint_health.hpp
@@ -28,6 +28,8 @@
   bool is_slow_start() const { return state_ == Health::slow_start; }
   // When the present health was entered; an ejection that is confirmed counts anew.
   Microseconds since() const { return since_; }
+  // When the present health ends by time alone, where `window` is its longest time.
+  Microseconds ends_at(Microseconds window) const { return since_ + window; }
 
   // Enters the health that `change` leads to and logs it; confirming an ejection logs nothing.
   void apply(DecisionPass& pass, HealthChange change, const EndpointId& endpoint);
--- /dev/null
+++ b/src/endpoint_state.hpp
@@ -0,0 +1,67 @@
+// What is known of one endpoint and of one destination: the owners of what is learned, side by side.
+#pragma once
+
+#include <vector>
+
+#include "batching.hpp"
+#include "call_rate.hpp"
+#include "checkpoint_marks.hpp"
+#include "concurrency.hpp"
+#include "connection_reuse.hpp"
+#include "endpoint_calls.hpp"
+#include "endpoint_health.hpp"
+#include "heronvane/dispatch/dispatcher.hpp"
+#include "latency.hpp"
+#include "outlier_detection.hpp"
+#include "rate_limit_scope.hpp"
+#include "slow_start.hpp"
+
+namespace heronvane::dispatch {
+
+// A rate-limit scope and what the checkpoint notes of it.
+struct ScopeState {
+  explicit ScopeState(const BackoffScale& scale) : limits(scale) {}
+
+  RateLimitScope limits;
+  ScopeMark checkpoint;
+};
+
+// Owned by EndpointRegistry; stays at its address until it is forgotten.
+struct EndpointState {
+  explicit EndpointState(const BackoffScale& scale) : own_scope(scale) {}
+
+  Endpoint info;                // as listed last
+  bool has_own_limits = false;  // own_scope counts, not the destination's
+  ScopeState own_scope;
+  EndpointCalls calls;  // in flight
+  HealthCheckSlots::Share health_check_slots;
+  ConcurrencyLimit concurrency;
+  Batching batching;
+  ConnectionReuse connections;
+  LatencyEstimate latency;
+  CallRate served{kServedRateMemorySeconds};  // calls
+  CallRate demand{kDemandMemorySeconds};      // first attempts while healthy
+  FailureEvidence evidence;
+  EndpointHealth health;
+  SlowStart slow_start;
+  bool has_attempt_ended = false;  // in this incarnation
+  bool is_restored = false;        // a record of an earlier incarnation was taken
+  EndpointMark checkpoint;
+
+  // Ejected or recovering, and nothing served since the last failure: its calls are health checks.
+  bool is_on_trial() const { return !health.is_healthy() && evidence.consecutive_failures() > 0; }
+  RecoveryPhase recovery_phase() const { return {health.state(), health.since(), is_on_trial()}; }
+  int overdue_calls(Microseconds now) const { return calls.overdue(now, latency.overdue_after()); }
+
+ private:
+  static constexpr double kDemandMemorySeconds = 30;  // long: a relay may make few calls a minute
+};
+
+struct DestinationState {
+  explicit DestinationState(const BackoffScale& scale) : scope(scale) {}
+
+  ScopeState scope;                       // of the endpoints without own limits
+  std::vector<EndpointState*> endpoints;  // in the order of their arrival
+};
+
+}  // namespace heronvane::dispatch
--- /dev/null
+++ b/src/endpoint_tracker.hpp
@@ -0,0 +1,114 @@
+// Learns from what happens at endpoints: the list that names them, the outcomes of their calls, gossip and
+// restored state. Owns all that is known of endpoints and destinations, and is the one place where an
+// endpoint is ejected or recovers.
+//
+// Not synchronised, used on the dispatcher's thread only.
+#pragma once
+
+#include <optional>
+#include <set>
+#include <vector>
+
+#include "checkpoint.hpp"
+#include "concurrency.hpp"
+#include "decision_pass.hpp"
+#include "endpoint_registry.hpp"
+#include "endpoint_state.hpp"
+#include "heronvane/dispatch/dispatcher.hpp"
+#include "latency.hpp"
+#include "outlier_detection.hpp"
+#include "rate_limit_scope.hpp"
+#include "request.hpp"
+#include "slow_start.hpp"
+
+namespace heronvane::dispatch {
+
+class EndpointTracker {
+ public:
+  // `settings` must outlive it.
+  EndpointTracker(const Settings& settings, double shortest_latency_objective_s);
+
+  // ---- What is known ----
+
+  EndpointRegistry& registry() { return registry_; }
+  const EndpointRegistry& registry() const { return registry_; }
+  Checkpoint& checkpoint() { return checkpoint_; }
+  const Checkpoint& checkpoint() const { return checkpoint_; }
+  const BackoffScale& backoff_scale() const { return backoff_scale_; }
+  const HealthCheckSlots& health_check_slots() const { return health_check_slots_; }
+  double slowness() const { return slowness_.value(); }  // Slowness::value()
+  RateLimitScope& limits_of(EndpointState& endpoint) { return registry_.scope_of(endpoint).limits; }
+  // When time alone ends the health of an endpoint that is not healthy.
+  Microseconds health_ends_at(const EndpointState& endpoint) const;
+  // When its slow-start budget lets a call go; `now` where it is healthy.
+  Microseconds budget_ready_at(const EndpointState& endpoint, Microseconds now) const;
+  // Calls that may be in flight to it.
+  int call_limit(const EndpointState& endpoint, Microseconds now) const;
+
+  // ---- Events ----
+
+  void apply(const event::EndpointListSnapshot& list, DecisionPass& pass);
+  void apply(const event::EndpointListUpdate& change, DecisionPass& pass);
+  void apply(const event::GossipReceived& gossip, const DecisionPass& pass);
+  // Returns the endpoint where the record counts, null where it is ignored.
+  EndpointState* apply(const event::LearnedStateRestored& record, DecisionPass& pass);
+
+  struct EndedAttempt {
+    CallId call = 0;
+    Microseconds sent_at = 0;
+    int batch_size = 1;
+    bool is_last_of_call = false;  // all its requests have an outcome now
+    bool is_call_judged = false;   // an outcome of the call was counted before
+  };
+  // Returns whether the outcome of the call counts as evidence of the endpoint's health: once a call.
+  bool record_attempt(EndpointState& endpoint, const event::AttemptEnded& ended, const EndedAttempt& result,
+                      DecisionPass& pass);
+
+  // ---- Sends ----
+
+  // Moves the health on where its time is up. Before an endpoint's eligibility is asked for.
+  void advance_health(EndpointState& endpoint, DecisionPass& pass);
+  void record_call_began(EndpointState& endpoint, CallId call, bool is_first_attempt, DecisionPass& pass);
+
+  // ---- The end of a pass ----
+
+  // Frees the health-check slots of endpoints that warmed up in this pass; wakes up for those who may use
+  // them.
+  void release_warmed_up(DecisionPass& pass);
+  // Closes the idle connections of endpoints at which a call ended and which are rarely called.
+  void close_rarely_used(DecisionPass& pass);
+  void forget_gone(Microseconds now) { registry_.forget_gone(now, slow_start_.window(), checkpoint_); }
+
+ private:
+  void apply(const Endpoint& listed, DecisionPass& pass);
+  void record_outcome(EndpointState& endpoint, const event::AttemptEnded& ended, const EndedAttempt& result,
+                      DecisionPass& pass);
+  void record_served(EndpointState& endpoint, Microseconds sent_at, Microseconds latency, DecisionPass& pass);
+  void record_rejected(EndpointState& endpoint, DecisionPass& pass);
+  void record_failed(EndpointState& endpoint, Outcome outcome, Microseconds elapsed, int batch_size,
+                     DecisionPass& pass);
+  void note_connections_exhausted(EndpointState& endpoint, Outcome outcome, Microseconds now);
+  void eject(EndpointState& endpoint, HealthChange why, DecisionPass& pass);
+  void restore_health(EndpointState& endpoint, const LearnedState& state, Microseconds written,
+                      DecisionPass& pass);
+  // Draws the pause before the next call to an ejected endpoint.
+  Microseconds draw_health_check_gap(EndpointState& endpoint, DecisionPass& pass);
+  // After each change of an endpoint's health, its failures or its calls.
+  void update_health_check_slots(EndpointState& endpoint);
+  void settle_budget(EndpointState& endpoint, Microseconds now);
+  void checkpoint_by(EndpointState& endpoint, Microseconds moment);
+
+  const Settings& settings_;
+  BackoffScale backoff_scale_;
+  EndpointRegistry registry_;
+  SlowStartPolicy slow_start_;
+  Checkpoint checkpoint_;
+  SharedLimits shared_limits_;
+  BackgroundFailureRate background_failures_;
+  Slowness slowness_;
+  HealthCheckSlots health_check_slots_;
+  std::vector<EndpointState*> warmed_up_;  // in this pass
+  std::set<EndpointId> call_ended_at_;     // in this pass
+};
+
+}  // namespace heronvane::dispatch
--- a/src/rate_limit_scope.cpp
+++ b/src/rate_limit_scope.cpp
@@ -9,7 +9,7 @@
 namespace heronvane::dispatch {
 
 void RateLimitScope::record_served(Microseconds now, SharedLimits& shared) {
-  served_.add(now);
+  served_.record(now);
   shared.served_after_rejection.record(kind_, rejections_, true);
   rejections_.clear();
   backoff_.decrease(now);
@@ -23,7 +23,7 @@
 }
 
 void RateLimitScope::slow_down(DecisionPass& pass, const EndpointId& endpoint, SharedLimits& shared) {
-  send_rate_.cut(pass.now, served_.at(pass.now), least_rate(shared, pass.now));
+  send_rate_.cut(pass.now, served_.per_second(pass.now), least_rate(shared, pass.now));
   if (admission_.cut(pass.now, shared.served_after_rejection.share(kind_))) {
     shared.gossip.announce(pass, endpoint, admission_);
   }
@@ -70,7 +70,7 @@
 
 bool RateLimitScope::serves_this_relay(Microseconds now) const {
   constexpr double kLeastServed = 2;  // calls, within the rate's memory
-  return served_.at(now) * kRateMemory >= kLeastServed;
+  return served_.per_second(now) * kServedRateMemorySeconds >= kLeastServed;
 }
 
 bool RateLimitScope::has_learned(const Settings& settings) const {
--- a/src/rate_limit_scope.hpp
+++ b/src/rate_limit_scope.hpp
@@ -6,9 +6,9 @@
 
 #include "admission.hpp"
 #include "backoff.hpp"
+#include "call_rate.hpp"
 #include "decision_pass.hpp"
 #include "heronvane/dispatch/dispatcher.hpp"
-#include "rates.hpp"
 #include "rejection_gossip.hpp"
 #include "rejections.hpp"
 #include "send_rate.hpp"
@@ -95,7 +95,7 @@
   SendRate send_rate_;
   Admission admission_;
   RejectionRun rejections_;
-  Rate served_{kRateMemory};
+  CallRate served_{kServedRateMemorySeconds};
   Microseconds retry_after_until_ = 0;
   Microseconds restored_written_ = -kNever;  // when the record that counts was written
   std::size_t kind_ = 0;
--- a/tests/policy/call_table_test.cpp
+++ b/tests/policy/call_table_test.cpp
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-#include "state.hpp"
+#include "endpoint_state.hpp"
 
 namespace heronvane::dispatch::testing {
 namespace {
--- a/tests/policy/rates_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -1,5 +1,3 @@
-// What an endpoint that warms up may get: the sum of small steps of its rate, and the way back.
-#include "rates.hpp"
 #include "slow_start.hpp"
 
 #include <gtest/gtest.h>
@@ -9,7 +7,7 @@
 namespace heronvane::dispatch::testing {
 namespace {
 
-TEST(Growth, IsTheIntegralOfItsRateAndUntilIsItsInverse) {
+TEST(BudgetGrowth, IsTheIntegralOfItsRateAndUntilIsItsInverse) {
   std::mt19937_64 random(1);
   const auto part = [&] { return static_cast<double>(random() % 1'000) / 1'000; };
   for (int i = 0; i < 2'000; i++) {
@@ -28,15 +26,5 @@
   }
 }
 
-TEST(Rate, LookingChangesNothing) {
-  Rate often(4), seldom(4);
-  for (Microseconds now = 0; now < 20'000'000; now += 50'000) {
-    often.add(now), seldom.add(now);
-    for (Microseconds t = now; t < now + 50'000; t += 7'000) (void)often.at(t);
-  }
-  EXPECT_EQ(often.at(21'000'000), seldom.at(21'000'000));
-  EXPECT_NEAR(seldom.at(20'000'000), 20, 1);
-}
-
 }  // namespace
 }  // namespace heronvane::dispatch::testing
