--- a/include/heronvane/dispatch/dispatcher.hpp
+++ b/include/heronvane/dispatch/dispatcher.hpp
@@ -297,7 +297,10 @@
   std::size_t retained_objects() const;
 
  private:
+  friend class DispatcherFactory;  // of the module's own tests
   struct State;
+  explicit Dispatcher(std::unique_ptr<State> state);
+
   std::unique_ptr<State> state_;
 };
 
--- a/src/dispatcher.cpp
+++ b/src/dispatcher.cpp
@@ -19,8 +19,10 @@
 #include <tuple>
 #include <unordered_map>
 
+#include "call_cancellation.hpp"
 #include "call_table.hpp"
 #include "decision_pass.hpp"
+#include "dispatcher_factory.hpp"
 #include "endpoint_tracker.hpp"
 #include "fleet_size.hpp"
 #include "list_polling.hpp"
@@ -30,6 +32,8 @@
 #include "reevaluation_queue.hpp"
 #include "request.hpp"
 #include "request_lifecycle.hpp"
+#include "request_scheduler.hpp"
+#include "request_sender.hpp"
 #include "request_state.hpp"
 #include "restored_value.hpp"
 #include "retry_policy.hpp"
@@ -53,11 +57,17 @@
   bool own = false;            // others that wait there may pass
   bool trial = false;          // for want of a trial call
   bool chance = false;         // drawn anew in the next round
+
+  SendResult::Kind kind() const {
+    if (chance || (own && trial)) return SendResult::Kind::retry_next_pass;
+    if (own) return SendResult::Kind::request_blocked;
+    return trial ? SendResult::Kind::awaiting_health_check : SendResult::Kind::subqueue_blocked;
+  }
 };
 
 }  // namespace
 
-struct Dispatcher::State {
+struct Dispatcher::State : RequestSender {
   Settings set;
   Random random;
   Microseconds now = 0;
@@ -69,13 +79,18 @@
   ListPolling list_polling;
   std::vector<EndpointState*> begun;  // in this round: with calls for many
 
-  State(const Settings& s, std::uint64_t seed)
+  CallCancellation cancellation;
+  std::unique_ptr<RequestScheduler> scheduler;
+
+  State(const Settings& s, std::uint64_t seed, const SchedulerFactory& make_scheduler)
       : set(s),
         random(seed),
         request_state(set),
         lifecycle(request_state,
                   microseconds(BackoffScale(request_state.priority.shortest_objective_s()).initial())),
-        endpoints(set, request_state.priority.shortest_objective_s()) {}
+        endpoints(set, request_state.priority.shortest_objective_s()),
+        cancellation(request_state, endpoints),
+        scheduler(make_scheduler({request_state, lifecycle, cancellation, *this})) {}
 
   Priority& priority = request_state.priority;
   RetryPolicy& retry_policy = request_state.retry_policy;
@@ -117,9 +132,6 @@
   }
 
   // ---- Messages. ----
-  double urgency(const Request& m, Microseconds answer) const {
-    return priority.urgency({m.request_class, m.full_weight, m.objective_at}, answer);
-  }
   void on(const event::RequestArrived& ev) { lifecycle.arrive(ev, *pass); }
   void on(const event::RequestRecovered& ev) { lifecycle.recover(ev, *pass); }
   void on(const event::RequestWithdrawn& ev) { lifecycle.withdraw(ev.id, now); }
@@ -191,7 +203,7 @@
     return !own_try || !e.health.is_healthy() || try_comes(m, limits, gate);
   }
   bool room_in_call(const EndpointState& e) const { return e.batching.has_room(now); }
-  bool trial_free() const { return endpoints.health_check_slots().is_any_free(set); }
+  bool is_health_check_allowed() const override { return endpoints.health_check_slots().is_any_free(set); }
   // Cheaper first: shorter expected wait there, its fee, the distance.
   double price(const EndpointState& e) const {
     const auto zone = static_cast<std::size_t>(e.info.zone);
@@ -200,6 +212,13 @@
     return load * e.latency.recent() * (e.health.is_slow_start() ? 2 : 1) * (1 + fee) +
            (e.info.zone == set.zone ? 0 : 0.02);
   }
+  std::size_t health_checks_in_flight() const override { return endpoints.health_check_slots().in_use(); }
+  std::vector<EndpointState*> take_open_endpoints() override { return std::exchange(begun, {}); }
+  SendResult try_send(Request& m, DecisionPass&) override {
+    Gate gate;
+    if (try_send(m, gate)) return {SendResult::Kind::sent, gate.when};
+    return {gate.kind(), gate.when};
+  }
   bool try_send(Request& m, Gate& gate) {
     if (!retry_policy.has_attempt_left(m, now)) return false;
     EndpointState* best = nullptr;
@@ -240,174 +259,17 @@
     pass->actions.add(std::move(a));
   }
 
-  // Guards against calls taken and never answered: they would hold slots, and repeatable messages, until
-  // the long time-out that slow destinations need. Given up are calls that later ones have overtaken and,
-  // while slots are short, sooner, also those since whose send nothing was served there. Unsafe messages,
-  // which it loses, have an aim's time first. May cut a call that is merely heavy.
-  void give_up(Request& m, bool slots_short) {
-    const auto [attempt, call_id] = *m.in_flight.begin();
-    const Call& call = *calls.find(call_id);
-    const bool unsafe = m.request_class->idempotency == Idempotency::non_idempotent,
-               overtaken = call.endpoint->calls.is_overtaken(call.sent_at);
-    const bool silent =
-        call.endpoint->calls.is_silent_since(call.sent_at);  // answers to earlier calls: slow, at work
-    if (m.cancelled_attempt == attempt || !(overtaken || (slots_short && silent))) return;
-    const double least = unsafe ? seconds(m.request_class->latency_objective) : 0;
-    const LatencyEstimate& latency = call.endpoint->latency;
-    double after = slots_short ? latency.overdue_seconds() : latency.given_up_seconds();
-    // Later it is worth less; but where all destinations answer slowly, patience is cheaper than cutting.
-    if (slots_short)
-      after =
-          std::min(after, seconds(m.request_class->latency_objective)) * std::max(1.0, endpoints.slowness());
-    const Microseconds due = call.sent_at + micros(std::max(least, after));
-    if (now < due) return wake_by(due);
-    m.cancelled_attempt = attempt;
-    pass->actions.add(action::Cancel{m.id, attempt});
-  }
-
   // ---- What goes next. ----
   // Messages that come after this one may go in its call, whatever kept them before.
   void share_call(const Request& with, EndpointState& e) {
     begun.push_back(&e);
-    const Microseconds ahead = now + micros(kAssumedLatencySeconds);
-    const double u = urgency(with, ahead);
+    const Microseconds ahead = Priority::expected_delivery(now);
+    const double u = priority.urgency(with.weight_curve(), ahead);
     send_queue.unblock_if(with.destination, [&](const SendQueue::Entry& other) {
-      const double v = urgency(static_cast<const Request&>(other), ahead);
+      const double v = priority.urgency(request_of(other).weight_curve(), ahead);
       return v < u || (v == u && other.id > with.id);
     });
   }
-#ifdef HERONVANE_FULL_WALK
-#include HERONVANE_FULL_WALK
-#else
-  void dispatch() {
-    const bool slots_short = calls.full();
-    const std::size_t held_then = requests.uncompleted();
-    reevaluation.add_due(now);
-    const Microseconds ahead = now + micros(kAssumedLatencySeconds);
-    send_queue.advance_phases(ahead);
-    std::vector<MessageId> due = overdue_messages(slots_short), ended;
-    for (const MessageId id : reevaluation.pending()) {
-      Request* const m = requests.find(id);
-      if (m == nullptr || m->completed) continue;
-      now >= retry_policy.ends_at(*m) ? due.push_back(id) : line_up(*m, ahead);
-    }
-    std::sort(due.begin(), due.end());
-    due.erase(std::unique(due.begin(), due.end()), due.end());
-    for (const MessageId id : due) {
-      Request& m = *requests.find(id);
-      if (now < retry_policy.ends_at(m)) {
-        give_up(m, slots_short);
-        continue;
-      }
-      lifecycle.fail(m, *pass);
-      ended.push_back(id);
-    }
-    const auto urgent = [&](const SendQueue::Entry& e) {
-      return urgency(static_cast<const Request&>(e), ahead);
-    };
-    const auto unlucky = send_open(urgent);
-    fill_calls(urgent);
-    for (Request* m : unlucky) send_queue.enqueue(*m, subqueue_of(*m));
-    // Buffer nearly full: hand back what is worth least, rather than have the next ones turned away.
-    if (const std::size_t excess = load_shedding.excess(held_then); excess > 0)
-      for (auto* e : send_queue.least_urgent(excess, urgent)) {
-        Request& m = static_cast<Request&>(*e);
-        // What an earlier life took on is tried before it is handed back: what comes in now waits or is
-        // refused.
-        if (!LoadShedding::may_shed(m)) continue;
-        lifecycle.reject(m, *pass);
-        ended.push_back(m.id);
-      }
-    for (auto id : ended) lifecycle.forget_if_done(*requests.find(id), now);
-    for (const MessageId id : reevaluation.pending())
-      if (Request* const m = requests.find(id)) plan(*m);
-    reevaluation.clear_pending();
-    // Short from now on: some that are out may be given up sooner.
-    if (set.cancellation && !slots_short && calls.full()) wake_by(now);
-    if (reevaluation.next_due() < kNever) wake_by(reevaluation.next_due());
-    if (send_queue.next_recheck() < kNever) wake_by(send_queue.next_recheck());
-  }
-  // Those in flight that may be given up.
-  std::vector<MessageId> overdue_messages(bool slots_short) const {
-    std::vector<MessageId> found;
-    if (!set.cancellation) return found;
-    for (const auto& [id, call] : calls.all()) {
-      const bool overtaken = call.endpoint->calls.is_overtaken(call.sent_at),
-                 silent = call.endpoint->calls.is_silent_since(call.sent_at);
-      if (!overtaken && !(slots_short && silent)) continue;
-      for (const MessageId with : call.requests) {
-        const Request* const m = requests.find(with);
-        const bool there = m != nullptr && !m->completed && !m->in_flight.empty();
-        if (there && m->in_flight.begin()->second == id) found.push_back(with);
-      }
-    }
-    return found;
-  }
-  // Waits from now on, if its time has come and it does not wait already.
-  void line_up(Request& m, Microseconds ahead) {
-    if (!m.in_flight.empty() || m.ready_at > now) return;
-    if (!m.added()) send_queue.add(m, ahead);
-    if (m.subqueue() == nullptr && lifecycle.turn_at(m, now) <= now) send_queue.enqueue(m, subqueue_of(m));
-  }
-  void plan(Request& m) {
-    ReevaluationQueue::mark_evaluated(m);
-    Microseconds at = m.completed ? kNever : retry_policy.ends_at(m);
-    if (!m.completed && m.in_flight.empty() && m.subqueue() == nullptr)
-      at = std::min(at, std::max(m.ready_at, lifecycle.turn_at(m, now)));
-    reevaluation.schedule(m, at);
-  }
-  // Those that were tried in vain, and are to be tried in the next round.
-  template <class Urgency>
-  std::vector<Request*> send_open(const Urgency& urgent) {
-    send_queue.unblock_due(now);
-    std::vector<Request*> again;
-    while (!calls.full()) {
-      auto* const first = send_queue.most_urgent(urgent, trial_free());
-      if (first == nullptr) break;
-      Request& m = static_cast<Request&>(*first);
-      Gate gate;
-      if (try_send(m, gate)) continue;
-      if (gate.chance || (gate.own && gate.trial))
-        send_queue.dequeue(m), again.push_back(&m), wake_by(gate.when);
-      else if (gate.own)
-        send_queue.defer(m, gate.when);
-      else
-        gate.trial ? send_queue.block_until_health_check(*m.subqueue(), gate.when)
-                   : send_queue.block(*m.subqueue(), gate.when);
-    }
-    return again;
-  }
-  // Calls begun in this round may have room for more, whatever the slots.
-  template <class Urgency>
-  void fill_calls(const Urgency& urgent) {
-    using Next = std::tuple<double, MessageId, EndpointState*>;
-    const auto later = [](const Next& a, const Next& b) {
-      return std::get<0>(a) != std::get<0>(b) ? std::get<0>(a) < std::get<0>(b)
-                                              : std::get<1>(a) > std::get<1>(b);
-    };
-    std::priority_queue<Next, std::vector<Next>, decltype(later)> queue(later);
-    std::vector<SendQueue::SubqueueKey> without;  // subqueues that find no room
-    const auto put = [&](EndpointState* e) {
-      if (!room_in_call(*e)) return;
-      if (auto* const m = send_queue.most_urgent_for(e->info.destination, urgent, without))
-        queue.emplace(urgent(*m), m->id, e);
-    };
-    for (EndpointState* e : std::exchange(begun, {})) put(e);
-    while (!queue.empty()) {
-      const auto [u, id, e] = queue.top();
-      queue.pop();
-      Request* const m = requests.find(id);
-      if (m != nullptr && m->subqueue() != nullptr && room_in_call(*e)) {
-        const auto key = subqueue_of(*m);
-        Gate gate;
-        if (std::find(without.begin(), without.end(), key) == without.end() && !try_send(*m, gate))
-          without.push_back(key);
-      }
-      put(e);
-    }
-  }
-#endif
-
   void handle(Microseconds at, const std::vector<Event>& events, std::vector<Action>& actions) {
     now = std::max(now, at);
     ActionSink sink(actions);
@@ -416,7 +278,7 @@
     pass = &this_pass;
     for (const auto& ev : events) std::visit([this](const auto& e) { on(e); }, ev);
     if (set.list_subscription) list_polling.poll_when_due(*pass);
-    dispatch();
+    scheduler->run(this_pass);
     endpoints.release_warmed_up(*pass);
     endpoints.close_rarely_used(*pass);
     order_keys.forget_quiet(now);
@@ -429,14 +291,19 @@
   }
 };
 
-Dispatcher::Dispatcher(const Settings& settings, std::uint64_t seed) {
-  validate(settings);
-  state_ = std::make_unique<State>(settings, seed);
-}
+Dispatcher::Dispatcher(const Settings& settings, std::uint64_t seed)
+    : Dispatcher(DispatcherFactory::make(settings, seed, make_indexed_scheduler)) {}
+Dispatcher::Dispatcher(std::unique_ptr<State> state) : state_(std::move(state)) {}
 Dispatcher::~Dispatcher() = default;
 Dispatcher::Dispatcher(Dispatcher&&) noexcept = default;
 Dispatcher& Dispatcher::operator=(Dispatcher&&) noexcept = default;
 
+Dispatcher DispatcherFactory::make(const Settings& settings, std::uint64_t seed,
+                                   const SchedulerFactory& make_scheduler) {
+  validate(settings);
+  return Dispatcher(std::make_unique<Dispatcher::State>(settings, seed, make_scheduler));
+}
+
 std::size_t Dispatcher::retained_objects() const {
   const State& s = *state_;
   return s.endpoints.registry().size() + s.requests.size() + s.order_keys.retained() + s.calls.size() +
--- a/src/priority.cpp
+++ b/src/priority.cpp
@@ -4,6 +4,7 @@
 #include <cmath>
 #include <set>
 
+#include "latency.hpp"
 #include "time_units.hpp"
 
 namespace heronvane::dispatch {
@@ -93,6 +94,10 @@
 Priority::Priority(const Settings& settings)
     : settings_(settings), shortest_objective_s_(shortest_objective_of(settings)) {}
 
+Microseconds Priority::expected_delivery(Microseconds now) {
+  return now + microseconds(kAssumedLatencySeconds);
+}
+
 double Priority::weight(const WeightCurve& curve, Microseconds moment) const {
   return curve.full_weight *
          remaining_weight(*curve.request_class, settings_.decay, moment - curve.objective_at);
--- a/src/priority.hpp
+++ b/src/priority.hpp
@@ -51,6 +51,9 @@
   // The shortest latency objective of all classes, in seconds: the module's unit for waits.
   double shortest_objective_s() const { return shortest_objective_s_; }
 
+  // When a request that is sent at `now` is expected to be delivered: the moment its urgency is reckoned for.
+  static Microseconds expected_delivery(Microseconds now);
+
   // The weight that a delivery at `moment` would earn.
   double weight(const WeightCurve& curve, Microseconds moment) const;
 
--- a/src/request.hpp
+++ b/src/request.hpp
@@ -9,6 +9,7 @@
 #include <string>
 
 #include "heronvane/dispatch/dispatcher.hpp"
+#include "priority.hpp"
 #include "send_queue.hpp"
 #include "time_units.hpp"
 
@@ -41,6 +42,12 @@
   bool completed = false;            // its final action was decided, or its client withdrew it
   bool reevaluation_queued = false;  // its place in the reevaluation queue
   Microseconds reevaluate_at = kNever;
+
+  WeightCurve weight_curve() const { return {request_class, full_weight, objective_at}; }
 };
 
+// The request that an entry of the send queue belongs to.
+inline Request& request_of(SendQueue::Entry& entry) { return static_cast<Request&>(entry); }
+inline const Request& request_of(const SendQueue::Entry& entry) { return static_cast<const Request&>(entry); }
+
 }  // namespace heronvane::dispatch
--- a/tests/policy/index_test.cpp
+++ b/tests/policy/index_test.cpp
@@ -59,7 +59,7 @@
   for (std::uint64_t seed = first; seed < first + count; seed++) {
     RandomStream stream(seed);
     Dispatcher index(stream.settings(), seed);
-    FullWalk walk(stream.settings(), seed);
+    Dispatcher walk = make_full_walk_dispatcher(stream.settings(), seed);
     std::multiset<Microseconds> walk_timers, index_timers;
     while (!stream.done()) {
       const auto next = std::min(walk_timers.empty() ? kFar : *walk_timers.begin(),
