--- a/include/heronvane/dispatch/dispatcher.hpp
+++ b/include/heronvane/dispatch/dispatcher.hpp
@@ -298,7 +298,7 @@
 
  private:
   friend class DispatcherFactory;  // of the module's own tests
-  struct State;
+  class State;
   explicit Dispatcher(std::unique_ptr<State> state);
 
   std::unique_ptr<State> state_;
--- /dev/null
+++ b/src/endpoint_selection.hpp
@@ -0,0 +1,59 @@
+// Which endpoint of its destination gets a request: those that are eligible now, and of them the cheapest.
+//
+// Owns nothing but refers to the owners of requests and endpoints, which must outlive it. Asking moves an
+// endpoint's health on where its time is up, and draws.
+#pragma once
+
+#include <algorithm>
+
+#include "decision_pass.hpp"
+#include "endpoint_state.hpp"
+#include "endpoint_tracker.hpp"
+#include "heronvane/dispatch/dispatcher.hpp"
+#include "rate_limit_scope.hpp"
+#include "request.hpp"
+#include "request_sender.hpp"
+#include "request_state.hpp"
+
+namespace heronvane::dispatch {
+
+// Why the endpoints that were asked cannot get a request now, gathered over all of them. It holds for all
+// requests of the subqueue, unless `by_request_alone`; and until `retry_at`, unless something happens at the
+// destination or, where one is awaited, a health check is allowed.
+struct Ineligibility {
+  Microseconds retry_at = kNever;
+  bool by_request_alone = false;
+  bool awaits_health_check = false;
+
+  void until(Microseconds moment) { retry_at = std::min(retry_at, moment); }
+  // What it means for a request that no endpoint can get.
+  SendResult::Kind kind() const;
+};
+
+class EndpointSelection {
+ public:
+  EndpointSelection(const RequestState& state, EndpointTracker& endpoints);
+
+  struct Choice {
+    EndpointState* endpoint = nullptr;  // null: none is eligible
+    Ineligibility ineligibility;        // of those that were not chosen
+  };
+  // The cheapest eligible endpoint of the destination. Draws once for each eligible one without an open call,
+  // in their order.
+  Choice choose(Request& request, const DestinationState& destination, DecisionPass& pass);
+
+  // Whether the destination's admission probability has to let a call to the endpoint pass.
+  bool needs_admission(const Request& request, EndpointState& endpoint, const DecisionPass& pass);
+
+ private:
+  bool is_eligible(Request& request, EndpointState& endpoint, Ineligibility& reasons, DecisionPass& pass);
+  bool may_start_call(Request& request, EndpointState& endpoint, Ineligibility& reasons, DecisionPass& pass);
+  bool is_first_attempt_due(Request& request, const RateLimitScope& limits, Ineligibility& reasons,
+                            DecisionPass& pass) const;
+  static double cost(const EndpointState& endpoint, const Settings& settings);
+
+  const RequestState& state_;
+  EndpointTracker& endpoints_;
+};
+
+}  // namespace heronvane::dispatch
--- a/src/indexed_scheduler.cpp
+++ b/src/indexed_scheduler.cpp
@@ -119,7 +119,8 @@
   std::vector<Request*> retried;
   state_.send_queue.unblock_due(pass.now);
   while (!state_.calls.full()) {
-    auto* const entry = state_.send_queue.most_urgent(by_urgency, sender_.is_health_check_allowed());
+    auto* const entry =
+        state_.send_queue.most_urgent(by_urgency, sender_.is_health_check_allowed(pass.settings));
     if (entry == nullptr) break;
     Request& request = request_of(*entry);
     const SendResult result = sender_.try_send(request, pass);
--- a/src/request_sender.hpp
+++ b/src/request_sender.hpp
@@ -43,7 +43,7 @@
   virtual SendResult try_send(Request& request, DecisionPass& pass) = 0;
 
   // Whether a further endpoint that is ejected or recovering may get a call.
-  virtual bool is_health_check_allowed() const = 0;
+  virtual bool is_health_check_allowed(const Settings& settings) const = 0;
 
   // Calls in flight to such endpoints.
   virtual std::size_t health_checks_in_flight() const = 0;
