--- /dev/null
+++ b/relay/committer.cpp
@@ -0,0 +1,139 @@
+#include "committer.hpp"
+
+#include <boost/asio/post.hpp>
+#include <chrono>
+#include <utility>
+
+#include "fail_points.hpp"
+
+namespace heronvane {
+namespace {
+
+constexpr auto kWriteRetryInterval = std::chrono::milliseconds(50);
+// Guards against a full disk that keeps a core busy.
+constexpr auto kCompactionRetryInterval = std::chrono::milliseconds(250);
+
+std::unique_ptr<store::SyncThread> make_sync_thread(boost::asio::io_context& io, store::Disk& folder,
+                                                    store::Durability durability) {
+  if (durability != store::Durability::machine) return nullptr;
+  return std::make_unique<store::SyncThread>(
+      folder, [&io](std::function<void()> done) { boost::asio::post(io, std::move(done)); });
+}
+
+}  // namespace
+
+Committer::Committer(boost::asio::io_context& io, store::Disk& folder, store::Options options, Hooks hooks)
+    : io_(io),
+      hooks_(std::move(hooks)),
+      sync_thread_(make_sync_thread(io, folder, options.durability)),
+      store_(folder, std::move(options), sync_thread_.get()),
+      retry_timer_(io),
+      compaction_timer_(io) {}
+
+// Syncs that are under way need the store's files.
+Committer::~Committer() { sync_thread_.reset(); }
+
+void Committer::listen() {
+  store_.on_sync([this] { durable_moved_on(); });
+}
+
+void Committer::commit(WriteAheadPlan plan) {
+  commit_due_ = false;
+  outbox_.put(std::move(plan));
+  HERONVANE_POINT("commit.before");
+  if (!store_.commit()) return commit_failed();
+  HERONVANE_POINT("commit.after");
+  outbox_.written(store_.written());
+  if (!std::exchange(writable_, true)) resume_writing();
+  if (!outbox_.empty()) hooks_.plans_wait();
+  execute_durable_plans();
+  if (store_.sync_hangs()) reject_waiting_replies();
+  if (!store_.trouble().empty() || !outbox_.empty()) retry_later();
+}
+
+void Committer::commit_soon() {
+  if (std::exchange(commit_due_, true)) return;
+  boost::asio::post(io_, [this] { commit_if_due(); });
+}
+
+void Committer::commit_if_due() {
+  if (std::exchange(commit_due_, false)) commit();
+}
+
+// Nothing that was planned goes as it was planned: by the time the store can be written the module is asked
+// anew. Clients wait only so long: a request that stands in no record was not taken on.
+void Committer::commit_failed() {
+  writable_ = false;
+  HERONVANE_POINT("not-written");
+  hooks_.reject(outbox_.take_unwritten_replies(), CommitFailure::not_written);
+  if (store_.sync_hangs()) reject_waiting_replies();
+  withdraw_all();
+  retry_later();
+}
+
+void Committer::resume_writing() {
+  for (const auto& [key, value] : std::exchange(kept_meanwhile_, {})) store_.keep(key, value);
+  hooks_.writable_again();
+}
+
+void Committer::durable_moved_on() {
+  execute_durable_plans();
+  if (!store_.trouble().empty()) {
+    reject_waiting_replies();
+    retry_later();
+  }
+  compact_if_wanted();
+}
+
+void Committer::execute_durable_plans() {
+  while (auto plan = outbox_.next(store_.durable())) hooks_.execute(std::move(*plan));
+}
+
+void Committer::reject_waiting_replies() {
+  hooks_.reject(outbox_.take_replies(), CommitFailure::durability_unknown);
+}
+
+void Committer::retry_later() {
+  retry_timer_.set(kWriteRetryInterval, [this] { retry(); });
+}
+
+void Committer::retry() {
+  commit();
+  if (!writable_ || !outbox_.empty()) hooks_.expire_overdue();
+  compact_if_wanted();
+}
+
+bool Committer::keep(const std::string& key, const std::string& value) {
+  if (writable_) return store_.keep(key, value);
+  if (value.empty() && store_.facts().count(key) == 0)
+    kept_meanwhile_.erase(key);
+  else
+    kept_meanwhile_[key] = value;
+  return true;
+}
+
+bool Committer::is_settled() const {
+  return outbox_.empty() && !commit_due_ && writable_ && store_.durable() == store_.written();
+}
+
+void Committer::compact_if_wanted() {
+  if (store_.wants_compaction()) schedule_compaction();
+}
+
+void Committer::schedule_compaction() {
+  if (std::exchange(compaction_scheduled_, true)) return;
+  boost::asio::post(io_, [this] { compaction_step(); });
+}
+
+void Committer::compaction_step() {
+  const auto step = store_.compact();
+  compaction_scheduled_ = step == store::Store::Step::blocked;
+  if (step == store::Store::Step::more) return schedule_compaction();
+  if (!compaction_scheduled_) return;
+  compaction_timer_.set(kCompactionRetryInterval, [this] {
+    compaction_scheduled_ = false;
+    compact_if_wanted();
+  });
+}
+
+}  // namespace heronvane
--- a/relay/core/outbox.cpp
+++ b/relay/core/outbox.cpp
@@ -5,41 +5,47 @@
 namespace heronvane {
 
 void Outbox::written(std::uint64_t ticket) {
-  for (auto it = waiting_.rbegin(); it != waiting_.rend() && it->first == kNotWritten; ++it)
-    it->first = ticket;
+  for (auto it = waiting_.rbegin(); it != waiting_.rend() && it->ticket == kNotWritten; ++it)
+    it->ticket = ticket;
 }
 
 std::optional<WriteAheadPlan> Outbox::next(std::uint64_t durable) {
-  if (waiting_.empty() || waiting_.front().first > durable) return std::nullopt;
-  WriteAheadPlan plan = std::move(waiting_.front().second);
+  if (waiting_.empty() || waiting_.front().ticket > durable) return std::nullopt;
+  WriteAheadPlan plan = std::move(waiting_.front().plan);
   waiting_.pop_front();
   return plan;
 }
 
-// Told once all are out: what hears of it may come back here.
+// Calls back once all are out: what hears of it may come back here.
 template <class Pick>
 void Outbox::withdraw_if(Pick pick, const Withdrawn& withdrawn) {
-  std::vector<std::pair<EndpointId, Outgoing>> out;
-  for (auto& [ticket, plan] : waiting_) {
-    for (auto& [endpoint, messages] : plan.calls)
-      std::erase_if(messages, [&, &to = endpoint](Outgoing& m) {
-        if (!pick(to, m)) return false;
-        out.emplace_back(to, std::move(m));
+  struct Picked {
+    EndpointId endpoint;
+    Outgoing message;
+  };
+  std::vector<Picked> out;
+  for (auto& waiting : waiting_) {
+    auto& calls = waiting.plan.calls;
+    for (auto& call : calls) {
+      std::erase_if(call.messages, [&](Outgoing& message) {
+        if (!pick(call.endpoint, message)) return false;
+        out.push_back({call.endpoint, std::move(message)});
         return true;
       });
-    std::erase_if(plan.calls, [](const auto& call) { return call.second.empty(); });
+    }
+    std::erase_if(calls, [](const PlannedCall& call) { return call.messages.empty(); });
   }
-  for (const auto& [endpoint, m] : out) withdrawn(endpoint, m);
+  for (const auto& [endpoint, message] : out) withdrawn(endpoint, message);
 }
 
 void Outbox::withdraw(const EndpointId& endpoint, const Withdrawn& withdrawn) {
-  withdraw_if([&](const EndpointId& to, const Outgoing&) { return to == endpoint; }, withdrawn);
+  withdraw_if([&](const EndpointId& to, const Outgoing& /*message*/) { return to == endpoint; }, withdrawn);
 }
 void Outbox::withdraw_all(const Withdrawn& withdrawn) {
-  withdraw_if([](const EndpointId&, const Outgoing&) { return true; }, withdrawn);
+  withdraw_if([](const EndpointId& /*to*/, const Outgoing& /*message*/) { return true; }, withdrawn);
 }
 void Outbox::withdraw(MessageId id, int attempt, const Withdrawn& withdrawn) {
-  withdraw_if([&](const EndpointId&, const Outgoing& m) { return m.id == id && m.attempt == attempt; },
+  withdraw_if([&](const EndpointId& /*to*/, const Outgoing& m) { return m.id == id && m.attempt == attempt; },
               withdrawn);
 }
 
--- a/relay/core/request_table.hpp
+++ b/relay/core/request_table.hpp
@@ -29,6 +29,7 @@
 
   // A completed request's client id is cached for `completed_lifetime`.
   explicit RequestTable(Microseconds completed_lifetime) : completed_(completed_lifetime) {}
+  ~RequestTable() = default;
   RequestTable(const RequestTable&) = delete;
   RequestTable& operator=(const RequestTable&) = delete;
 
--- a/relay/core/suspend_detector.hpp
+++ b/relay/core/suspend_detector.hpp
@@ -1,10 +1,8 @@
-// Tells that the loop stood still: the process was stopped, or the machine slept. What was decided before is
-// old news then. No input or output here.
+// Detects that the event loop stood still: the process was stopped, or the machine slept. What was decided
+// before is out of date then. No input or output here.
 #pragma once
 
-#include <time.h>
-
-#include <algorithm>
+#include <ctime>
 
 #include "clock.hpp"
 
--- /dev/null
+++ b/relay/endpoint_view.cpp
@@ -0,0 +1,106 @@
+#include "endpoint_view.hpp"
+
+#include <algorithm>
+#include <cstddef>
+#include <utility>
+
+#include "fail_points.hpp"
+
+namespace heronvane {
+
+namespace event = heronvane::dispatch::event;
+using heronvane::dispatch::Endpoint;
+using heronvane::dispatch::Listing;
+
+EndpointView::EndpointView(const Config& config, Committer& committer, DecisionCycle& cycle, Hooks hooks)
+    : config_(config),
+      committer_(committer),
+      cycle_(cycle),
+      hooks_(std::move(hooks)),
+      list_memory_(
+          committer.store().facts(), config.known, committer.store().clock().now(),
+          [this](const std::string& key, const std::string& value) { return committer_.keep(key, value); }),
+      stored_states_(committer.store().facts(), {config.own.store.keep_health, config.own.store.keep_waits},
+                     committer.store().clock().now()) {}
+
+void EndpointView::start() {
+  directory_.take(
+      list_memory_.known(config_.known), [](const EndpointId& /*gone*/) {}, hooks_.located);
+  for (const auto& member : config_.known.members) directory_.name(member.endpoint.destination);
+  cycle_.enqueue(event::EndpointListSnapshot{directory_.all(), true});
+  for (const auto& key : stored_states_.outdated()) committer_.store().keep(key, {});
+}
+
+void EndpointView::restore_learned_state() { restore(directory_.all()); }
+
+void EndpointView::apply(MemberList list, const std::string& discovery) {
+  if (HERONVANE_DEFECT("ignore-drain"))
+    for (auto& member : list.members) member.endpoint.listing = Listing::active;
+  const Microseconds now = committer_.store().clock().now();
+  list = list_memory_.told(std::move(list), discovery, now);
+  const auto changes = directory_.take(
+      list, [&](const EndpointId& id) { list_memory_.gone(id, list.index, discovery, now); }, hooks_.located);
+  list_received_ = list_received_ || list.ends;
+  for (const auto& id : changes.unfit) hooks_.unfit(id);
+  // One complete list later, rather than all changes, while the module can't be asked.
+  if (committer_.is_writable())
+    notify(changes.endpoints);
+  else
+    resync_due_ = true;
+}
+
+// In parts: a module that is told of thousands at once would hold up clients.
+void EndpointView::notify(const std::vector<Endpoint>& endpoints) {
+  constexpr std::size_t kMostEndpoints = 1'000;
+  const bool others_wait = !parts_.empty();
+  for (std::size_t at = 0; at == 0 || at < endpoints.size(); at += kMostEndpoints) {
+    const auto first = endpoints.begin() + static_cast<std::ptrdiff_t>(at);
+    const auto size = std::min(kMostEndpoints, endpoints.size() - at);
+    parts_.emplace_back(first, first + static_cast<std::ptrdiff_t>(size));
+  }
+  if (!others_wait) notify_next_part();
+}
+
+void EndpointView::notify_next_part() {
+  if (parts_.empty()) return;
+  const auto part = std::move(parts_.front());
+  parts_.pop_front();
+  cycle_.notify(event::EndpointListUpdate{part});
+  restore(part);
+}
+
+void EndpointView::resynchronize() {
+  if (!std::exchange(resync_due_, false)) return;
+  parts_.clear();
+  const auto all = directory_.all();
+  cycle_.notify(event::EndpointListSnapshot{all, false});
+  restore(all);
+}
+
+void EndpointView::restore(const std::vector<Endpoint>& endpoints) {
+  if (stored_states_.size() == 0 || !committer_.is_writable()) return;
+  const auto& clock = committer_.store().clock();
+  const Microseconds now = clock.now();
+  const Microseconds gap = clock.assumed_gap();
+  for (const auto& endpoint : endpoints) {
+    if (endpoint.listing == Listing::gone) continue;
+    if (auto state = stored_states_.take(endpoint.id, now, gap)) cycle_.notify(std::move(*state));
+  }
+}
+
+void EndpointView::store_learned_state() {
+  constexpr std::size_t kMostStates = 64;  // the rest follow with the next cycle
+  // The rest of the share is for endpoints that drain or are gone: these bind.
+  constexpr unsigned kFactsPercent = 50;
+  if (!config_.own.store.keep_health && !config_.own.store.keep_waits) return;
+  store::Store& store = committer_.store();
+  const Microseconds now = store.clock().now();
+  for (const auto& state : cycle_.take_changed_state(kMostStates)) {
+    const std::string key = target_key(state.endpoint);
+    const std::string value = state.blank() ? std::string() : write_target(state, now);
+    // Better nothing than a state that does not hold any more.
+    if (!store.keep(key, value, kFactsPercent)) store.keep(key, {});
+  }
+}
+
+}  // namespace heronvane
--- a/relay/relay.hpp
+++ b/relay/relay.hpp
@@ -14,21 +14,20 @@
 #include <unordered_map>
 #include <vector>
 
-#include "calls.hpp"
+#include "committer.hpp"
 #include "config.hpp"
 #include "core/alarm.hpp"
-#include "core/cycle_pacing.hpp"
-#include "core/directory.hpp"
+#include "core/decision_cycle.hpp"
 #include "core/in_flight_gauge.hpp"
 #include "core/lifecycle.hpp"
-#include "core/list_memory.hpp"
 #include "core/log_copies.hpp"
 #include "core/outbox.hpp"
 #include "core/request_table.hpp"
 #include "core/status.hpp"
 #include "core/suspend_monitor.hpp"
-#include "core/target_memory.hpp"
 #include "drain_controller.hpp"
+#include "endpoint_view.hpp"
+#include "executor.hpp"
 #include "fronts/front.hpp"
 #include "heronvane/dispatch/dispatcher.hpp"
 #include "intake.hpp"
@@ -36,8 +35,6 @@
 #include "peers.hpp"
 #include "platform.hpp"
 #include "store/disk.hpp"
-#include "store/store.hpp"
-#include "store/sync_thread.hpp"
 
 namespace heronvane {
 
@@ -66,42 +63,20 @@
 
  private:
   std::unique_ptr<Peers> hear_peers();
-  std::unique_ptr<store::SyncThread> sync_thread();
-  void tell_listed(const std::vector<heronvane::dispatch::Endpoint>& endpoints);
-  void tell_next_listed();
-  bool keep(const std::string& key, const std::string& value);
   void on_request(Message message, Microseconds left, ReplyCallback reply);
   void ended(const heronvane::dispatch::event::AttemptEnded& e);
-  void listed(MemberList list);
-  template <class E>
-  void happened(E event) {
-    events_.emplace_back(std::move(event));
-    schedule();
-  }
-  void schedule(bool urgent = false);
-  void settle_soon();
-  void round();
+  Committer::Hooks commit_hooks();
+  Executor::Hooks executor_hooks();
+  EndpointView::Hooks endpoint_hooks();
+  void run_cycle();
   void decide(WriteAheadPlan& plan);
-  void settle(WriteAheadPlan plan = {});
-  void synced();
-  void not_written();
-  void retry_later();
-  void tell_overdue();
-  void keep_from(const EndpointId& endpoint);
-  void cancel(MessageId id, int attempt);
-  void carry_out();
-  void begin(const EndpointId& endpoint, std::vector<Outgoing> messages);
-  void take_back(const EndpointId& endpoint, const Outgoing& message);
-  void turn_away(std::vector<WriteAheadPlan::PendingReply> answers, unsigned status);
+  void expire_overdue();
+  void execute(WriteAheadPlan plan);
+  void reject(std::vector<WriteAheadPlan::PendingReply> replies, CommitFailure why);
   void completed(MessageId id, bool was_taken_on = true);
   bool is_known(const std::string& client_id) const;
   void refuse(const ReplyCallback& reply, const char* why);
-  void send(WriteAheadPlan& plan, const heronvane::dispatch::action::Send& a);
   void finish(WriteAheadPlan& plan, MessageId id, const Ending& ending);
-  void set_timer(Microseconds after, std::uint64_t token);
-  void arm_timers();
-  void hold_back(const EndpointId& endpoint);
-  void compact();
 #ifdef HERONVANE_FAIL_POINTS
   void tell_late(MessageId id, const Ending& ending);
 #endif
@@ -110,8 +85,6 @@
   void without_copies();
   void recover();
   bool adopt(MessageId id, const Held& held);
-  void recall(const std::vector<heronvane::dispatch::Endpoint>& endpoints);
-  void remember_targets();
   SuspendMonitor::Hooks suspend_hooks();
   DrainController::Hooks drain_hooks();
   bool has_open_work() const;
@@ -138,42 +111,25 @@
   const Microseconds started_ = wall_now(), started_steady_ = steady_now();
   // In this order: a start that fails for want of the folder or an address has not touched what is held.
   std::unique_ptr<store::Disk> folder_;
-  boost::asio::ip::tcp::acceptor listener_;         // until the intake has it
-  std::unique_ptr<Peers> peers_;                    // where the settings allow notes
-  std::unique_ptr<Front> admin_;                    // where the operator's settings ask for it
-  std::unique_ptr<store::SyncThread> sync_thread_;  // where records must outlast the machine
-  store::Store store_;
+  boost::asio::ip::tcp::acceptor listener_;  // until the intake has it
+  std::unique_ptr<Peers> peers_;             // where the settings allow notes
+  std::unique_ptr<Front> admin_;             // where the operator's settings ask for it
+  Committer committer_;
+  store::Store& store_;                // the committer's
   std::unique_ptr<LogCopies> copies_;  // where the operator's settings ask for them
-  Outbox outbox_;                      // until their records stand
-  bool unwritten_ = false;             // the store can't be written now: the module is not asked
-  std::map<std::string, std::string> kept_meanwhile_;
-  ListMemory list_memory_;
-  MemberList known_;  // the configuration's list, as it holds
-  RecalledTargets recalled_;
-  heronvane::dispatch::Dispatcher dispatcher_;
-  Calls calls_;
+  DecisionCycle cycle_;
+  EndpointView endpoints_;
+  Executor executor_;
   Platform platform_;
 
-  Directory directory_;
-  std::unordered_map<EndpointId, std::size_t> filling_;  // of the plan that is made, the last call to each
   RequestTable requests_;
-  Tally refused_;           // told once a second, by reason
-  InFlightGauge gauge_;     // kept where there is an admin socket
-  bool list_told_ = false;  // by discovery, in this life
-  std::deque<std::vector<heronvane::dispatch::Endpoint>>
-      listed_later_;  // told by a list, not to the module yet
-  std::vector<heronvane::dispatch::Event> events_;
-  std::multimap<Microseconds, std::uint64_t> timers_;
-  Microseconds last_round_ = 0;
-  bool list_missed_ = false;  // the list changed meanwhile
-  CyclePacing round_gap_;
-  Microseconds round_at_ = 0;  // when the next is due
-  bool round_due_ = false, settle_due_ = false, compacting_ = false;
+  Tally refused_;        // told once a second, by reason
+  InFlightGauge gauge_;  // kept where there is an admin socket
   Lifecycle lifecycle_;
   DrainController drain_;
   SuspendMonitor suspend_monitor_;
   std::int64_t generation_;
-  Alarm round_timer_, module_timer_, stall_timer_, shutdown_timer_, compact_timer_;
+  Alarm shutdown_timer_;
   std::function<void()> done_;
   std::optional<Intake> intake_;  // last: it accepts once all else stands
 };
--- a/relay/relay_admin.cpp
+++ b/relay/relay_admin.cpp
@@ -108,18 +108,19 @@
   s.fence = drain_.highest_fence();
   s.held = store_.held().size(), s.given_up = s.held - store_.open();
   s.counts = gauge_.counts(store_.clock().now());
-  s.calls = calls_.out(), s.slots = static_cast<std::size_t>(config_.settings.max_concurrent_calls);
+  s.calls = executor_.calls_out(), s.slots = static_cast<std::size_t>(config_.settings.max_concurrent_calls);
   s.clients = intake_->clients();
   std::vector<heronvane::dispatch::LearnedState> known;
-  dispatcher_.endpoint_states(steady_now(), kMostTargets, known);
+  cycle_.dispatcher().endpoint_states(steady_now(), kMostTargets, known);
   for (auto& k : known) {
-    const auto* const told = directory_.find(k.endpoint);
+    const auto* const told = endpoints_.directory().find(k.endpoint);
     s.targets.push_back({std::move(k), told == nullptr ? heronvane::dispatch::Listing::gone : told->listing});
   }
   s.store_bytes = store_.bytes(), s.store_limit = store_.limit(), s.segments = store_.segments().size();
   s.memory_kb = memory_kb(), s.descriptors = open_descriptors();
   if (copies_) s.copies = copies_->status_json();
-  s.list_told = list_told_, s.list_index = platform_.index(), s.endpoints = directory_.size();
+  s.list_told = endpoints_.list_received(), s.list_index = platform_.index(),
+  s.endpoints = endpoints_.directory().size();
   return s;
 }
 
--- a/relay/relay_copies.cpp
+++ b/relay/relay_copies.cpp
@@ -18,29 +18,29 @@
   o.durability = config_.own.store.durability;
   o.log = log;
   copies::Copies::Hooks h;
-  h.settle = [this] { settle(); };
-  h.stands = [this] { synced(); };
+  h.settle = [this] { committer_.commit(); };
+  h.stands = [this] { committer_.durable_moved_on(); };
   h.ready = [this] { recover(); };
   h.disown = [this] { disown(); };
   h.taken_over = [this](MessageId from, MessageId to) { taken_over(from, to); };
   // Their records may stand after all, so nothing is promised.
-  h.wait_is_over = [this] { turn_away(outbox_.take_replies(), 504); };
+  h.wait_is_over = [this] { committer_.reject_waiting_replies(); };
   return std::make_unique<copies::Copies>(io_, store_, std::move(o), std::move(h));
 }
 
 // All that is held is another relay's: it is ended there. Calls that are out may still be answered, and
 // nobody asks.
 void Relay::disown() {
-  turn_away(outbox_.take_replies(), 504);
-  outbox_.withdraw_all([this](const EndpointId& to, const Outgoing& m) { take_back(to, m); });
+  committer_.reject_waiting_replies();
+  committer_.withdraw_all();
   std::vector<MessageId> all;
   for (const auto& [id, held] : store_.held()) all.push_back(id);
   for (const MessageId id : all) {
     const Held* const held = store_.find(id);
     if (held == nullptr) continue;
     for (std::size_t i = 0; i < held->attempts.size(); i++)
-      if (!held->attempts[i].outcome) calls_.cancel(id, static_cast<int>(i));
-    if (!held->ending) happened(heronvane::dispatch::event::RequestWithdrawn{id});
+      if (!held->attempts[i].outcome) executor_.cancel(id, static_cast<int>(i));
+    if (!held->ending) cycle_.notify(heronvane::dispatch::event::RequestWithdrawn{id});
     completed(id, false);
   }
 }
@@ -71,14 +71,14 @@
   for (const MessageId id : unknown) finish(plan, id, {});
   // It may have run over there: it must not run here.
   for (const MessageId id : in_doubt) {
-    happened(heronvane::dispatch::event::RequestWithdrawn{id});
+    cycle_.notify(heronvane::dispatch::event::RequestWithdrawn{id});
     finish(plan, id, {});
   }
   for (const MessageId id : drop) store_.over(id, false);
   log("copies: " + std::to_string(count) + " messages taken over, " + std::to_string(drop.size()) +
       " of them known here");
-  settle(std::move(plan));
-  schedule(true);
+  committer_.commit(std::move(plan));
+  cycle_.schedule(DecisionCycle::Urgency::urgent);
 }
 
 }  // namespace heronvane
--- a/relay/relay_lifecycle.cpp
+++ b/relay/relay_lifecycle.cpp
@@ -9,7 +9,6 @@
 namespace heronvane {
 
 namespace event = heronvane::dispatch::event;
-using heronvane::dispatch::Listing;
 
 namespace {
 
@@ -45,9 +44,9 @@
     if (!(copies_ && copies_->parked(id)) && !adopt(id, held)) unknown.push_back(id);
   WriteAheadPlan plan;
   for (const MessageId id : unknown) finish(plan, id, {});  // a class that the settings no longer have
-  settle(std::move(plan));
+  committer_.commit(std::move(plan));
   if (!store_.held().empty()) log("recovered " + std::to_string(store_.held().size()) + " messages");
-  round();
+  cycle_.run();
 }
 
 // One that is held and that the module does not know; false: of a class that the settings do not have.
@@ -73,58 +72,33 @@
   // Called at a time and place that no record tells.
   if (held.doubt) r.possibly_executed_zone = -1, r.possibly_executed_age = kLongAgo;
   if (HERONVANE_DEFECT("forget-attempt")) r.possibly_executed_zone.reset();
-  events_.push_back(std::move(r));
+  cycle_.enqueue(std::move(r));
   return true;
 }
 
-// ---- What it learned. ----
-// What earlier lives learned of endpoints that are listed now is the module's again.
-void Relay::recall(const std::vector<heronvane::dispatch::Endpoint>& endpoints) {
-  if (recalled_.size() == 0 || unwritten_) return;
-  const Microseconds now = store_.clock().now(), gap = store_.clock().assumed_gap();
-  for (const auto& e : endpoints)
-    if (e.listing != Listing::gone)
-      if (auto target = recalled_.take(e.id, now, gap)) happened(std::move(*target));
-}
-
-// What the module learned goes into the records of this round.
-void Relay::remember_targets() {
-  constexpr std::size_t kMostTargets = 64;  // the rest come with the next round
-  const auto& own = config_.own.store;
-  if (!own.keep_health && !own.keep_waits) return;
-  const Microseconds now = store_.clock().now();
-  // The rest is for endpoints that drain or are gone: these bind.
-  constexpr unsigned kTargetPart = 50;
-  for (const auto& memory : dispatcher_.take_changed_state(last_round_, kMostTargets)) {
-    const std::string key = target_key(memory.endpoint);
-    const std::string value = memory.blank() ? std::string() : write_target(memory, now);
-    // Better nothing than what is not so any more.
-    if (!store_.keep(key, value, kTargetPart)) store_.keep(key, {});
-  }
-}
-
 // ---- Suspension and drain. ----
 SuspendMonitor::Hooks Relay::suspend_hooks() {
   SuspendMonitor::Hooks hooks;
   hooks.withdraw_attempts = [this] {
-    calls_.hold_back_all();
-    outbox_.withdraw_all([this](const EndpointId& to, const Outgoing& m) { take_back(to, m); });
-    settle();
+    executor_.withdraw_all();
+    committer_.commit();
   };
   hooks.refresh_list = [this](std::function<void()> done) { platform_.refresh(std::move(done)); };
-  hooks.resumed = [this] { schedule(); };
+  hooks.resumed = [this] { cycle_.schedule(); };
   return hooks;
 }
 
 DrainController::Hooks Relay::drain_hooks() {
   DrainController::Hooks hooks;
-  hooks.store_is_writable = [this] { return !unwritten_; };
-  hooks.keep = [this](const std::string& key, const std::string& value) { return keep(key, value); };
+  hooks.store_is_writable = [this] { return committer_.is_writable(); };
+  hooks.keep = [this](const std::string& key, const std::string& value) {
+    return committer_.keep(key, value);
+  };
   hooks.when_durable = [this](std::function<void(bool durable)> done) {
     WriteAheadPlan plan;
     plan.replies.push_back(
         {0, [done = std::move(done)](const ClientReply& reply) { done(reply.status == 202); }, {202, 0}});
-    settle(std::move(plan));
+    committer_.commit(std::move(plan));
   };
   hooks.has_open_work = [this] { return has_open_work(); };
   hooks.is_answering = [this] { return intake_->busy() || (admin_ && admin_->busy()); };
@@ -133,8 +107,8 @@
 }
 
 bool Relay::has_open_work() const {
-  return !store_.held().empty() || requests_.queued() > 0 || !outbox_.empty() || calls_.out() > 0 ||
-         settle_due_ || platform_.notices_owed() || unwritten_ || store_.durable() != store_.written();
+  return !store_.held().empty() || requests_.queued() > 0 || executor_.calls_out() > 0 ||
+         platform_.notices_owed() || !committer_.is_settled();
 }
 
 // ---- The end. ----
@@ -151,24 +125,24 @@
   if (lifecycle_.advance(now)) {
     // What waits for its records, or for its connection, would go too late for its answer to come home. None
     // of it has run, and its record says so.
-    calls_.hold_back_all();
-    outbox_.withdraw_all([this](const EndpointId& to, const Outgoing& m) { take_back(to, m); });
-    settle();
+    executor_.withdraw_all();
+    committer_.commit();
   }
-  if (settle_due_) settle();
+  committer_.commit_if_due();
   if (lifecycle_.accept_time_is_over(now)) intake_->finish();
-  const Lifecycle::OpenWork open{.calls_out = calls_.out(),
-                                 .requests_held = store_.held().size(),
-                                 .client_connections = intake_->clients(),
-                                 .requests_queued = requests_.queued() > 0,
-                                 .notifications_owed = platform_.notices_owed(),
-                                 .writes_pending = unwritten_ || !outbox_.empty()};
+  const Lifecycle::OpenWork open{
+      .calls_out = executor_.calls_out(),
+      .requests_held = store_.held().size(),
+      .client_connections = intake_->clients(),
+      .requests_queued = requests_.queued() > 0,
+      .notifications_owed = platform_.notices_owed(),
+      .writes_pending = !committer_.is_writable() || committer_.has_waiting_plans()};
   if (lifecycle_.is_done(now, open)) {
     // No call that was answered is left without its record.
-    calls_.take_answers();
-    settle();
+    executor_.take_answers();
+    committer_.commit();
     log("stopped: " + std::to_string(store_.held().size()) + " messages left in the store, " +
-        std::to_string(calls_.out()) + " calls out");
+        std::to_string(executor_.calls_out()) + " calls out");
     return done_();
   }
   shutdown_timer_.set(kShutdownCheckInterval, [this] { check_shutdown(); });
