--- /dev/null
+++ b/relay/admin_port.cpp
@@ -0,0 +1,94 @@
+// Answers the operator's requests.
+#include "admin_port.hpp"
+
+#include <optional>
+#include <string>
+#include <utility>
+#include <variant>
+
+#include "fronts/admin.hpp"
+
+namespace heronvane {
+namespace {
+
+AdminAnswer not_stored(const std::string& trouble) {
+  return admin_error(507, "storage", "can't be kept now" + (trouble.empty() ? "" : ": " + trouble),
+                     "nothing was changed; ask again");
+}
+
+// Answers one request, by its kind.
+class RequestHandler {
+ public:
+  RequestHandler(const AdminContext& relay, const Admin::Reply& reply) : relay_(relay), reply_(reply) {}
+
+  void operator()(const AdminAnswer& rejection) const { reply_(rejection); }
+  void operator()(const admin::GetStatus&) const { reply_({200, status_json(relay_.status.status())}); }
+
+  void operator()(const admin::GetMessage& asked) const {
+    const auto id = relay_.requests.find(asked.id);
+    const Held* const held = id ? relay_.store.find(*id) : nullptr;
+    if (held != nullptr) return reply_({200, message_json(*id, *held, relay_.config.names.zones)});
+    if (relay_.store.remembers(asked.id) || relay_.requests.completed_lately(asked.id))
+      return reply_({200, over_json(asked.id)});
+    reply_(admin_error(404, "unknown", "no message of that id is held or remembered",
+                       "it may be another relay's, or over for long"));
+  }
+
+  void operator()(const admin::Drain& asked) const {
+    if (!relay_.config.own.admin.drain)
+      return reply_(admin_error(403, "off", "this relay takes no drains",
+                                "set drain = true under [admin] in its settings and start it anew"));
+    change_drain({asked.fence, asked.fence}, [&store = relay_.store, &requests = relay_.requests] {
+      const std::size_t held = store.held().size() + requests.queued();
+      return "{\"draining\":true,\"held\":" + std::to_string(held) + "}";
+    });
+  }
+
+  void operator()(const admin::Undrain& asked) const {
+    change_drain({asked.fence, std::nullopt}, [] { return std::string("{\"draining\":false}"); });
+  }
+
+  void operator()(const admin::RaiseFence& asked) const {
+    change_drain({asked.fence, relay_.drain.drain_fence()},
+                 [fence = asked.fence] { return "{\"fence\":" + std::to_string(fence) + "}"; });
+  }
+
+  void operator()(const admin::TakeOver& asked) const {
+    if (!relay_.config.own.copies.on)
+      return reply_(admin_error(409, "off", "this relay keeps no copies of others' logs",
+                                "[copies] in its settings; docs/operate/copies.md"));
+    const std::string why_not =
+        relay_.copies.ready() ? relay_.copies.take_over(asked.name) : "its own log is not known to stand yet";
+    if (!why_not.empty())
+      return reply_(admin_error(409, "refused", why_not, "look at \"copies\" in the status of the others"));
+    reply_({200, "{\"taking_over\":true}"});
+  }
+
+ private:
+  // `text` is asked for once the change is durable.
+  void change_drain(const DrainState& to, std::function<std::string()> text) const {
+    const Fence highest = relay_.drain.highest_fence();
+    if (to.fence < highest) return reply_(admin_fenced(to.fence, highest));
+    relay_.drain.change(to, [&store = relay_.store, reply = reply_, text = std::move(text)](bool durable) {
+      reply(durable ? AdminAnswer{200, text()} : not_stored(store.trouble()));
+    });
+  }
+
+  const AdminContext& relay_;
+  const Admin::Reply& reply_;
+};
+
+}  // namespace
+
+std::unique_ptr<Front> open_admin_front(boost::asio::io_context& io, const Config& config,
+                                        AdminContextSource context) {
+  if (!config.own.admin.socket) return std::make_unique<NoAdminFront>();
+  return std::make_unique<Admin>(
+      io, config.state_folder + "/admin.sock",
+      [context = std::move(context)](const AdminRequest& asked, const Admin::Reply& reply) {
+        const AdminContext relay = context();
+        std::visit(RequestHandler(relay, reply), asked);
+      });
+}
+
+}  // namespace heronvane
--- /dev/null
+++ b/relay/log_copies_disabled.cpp
@@ -0,0 +1,17 @@
+// A build without copies of the log: settings that ask for them are rejected.
+#include <stdexcept>
+#include <utility>
+
+#include "log_copies_port.hpp"
+#include "standalone_log.hpp"
+
+namespace heronvane {
+
+std::unique_ptr<LogCopies> open_log_copies(boost::asio::io_context& /*io*/, store::Store& store,
+                                           const Config& config, bool force_own, LogCopiesHooks hooks) {
+  if (config.own.copies.on)
+    throw std::runtime_error("settings: [copies]: this build has none: build with -DHERONVANE_COPIES=ON");
+  return std::make_unique<StandaloneLog>(store, force_own, std::move(hooks.ready));
+}
+
+}  // namespace heronvane
--- a/relay/main.cpp
+++ b/relay/main.cpp
@@ -27,7 +27,7 @@
 int run(const heronvane::CommandLine& options, const heronvane::Places& places) {
   const auto loop = heronvane::startup::make_event_loop();
   if (!loop) return 0;
-  heronvane::Relay::Start start;
+  heronvane::RelayServer::Start start;
   start.run = options.run.empty() ? drawn_run() : options.run;
   start.undrain = options.undrain;
   start.force_own = options.force_own;
--- /dev/null
+++ b/relay/relay_recovery.cpp
@@ -0,0 +1,143 @@
+// Requests that were taken on by earlier incarnations of this relay, or by other relays: what is owed of
+// them.
+#include <algorithm>
+#include <limits>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "fail_points.hpp"
+#include "log.hpp"
+#include "relay_server.hpp"
+
+namespace heronvane {
+
+namespace event = heronvane::dispatch::event;
+
+namespace {
+
+constexpr Microseconds kLongAgo = std::numeric_limits<Microseconds>::max() / 4;
+
+}  // namespace
+
+// A request that an earlier incarnation took on is still owed its end.
+void RelayServer::recover() {
+  if (HERONVANE_DEFECT("forget-folder")) return;
+  std::vector<MessageId> unknown_class;
+  for (const auto& [id, held] : store_.held())
+    if (!copies_->parked(id) && !adopt(id, held)) unknown_class.push_back(id);
+  WriteAheadPlan plan;
+  for (const MessageId id : unknown_class) end_request(plan, id, {});
+  committer_.commit(std::move(plan));
+  if (!store_.held().empty()) log("recovered " + std::to_string(store_.held().size()) + " messages");
+  cycle_.run();
+}
+
+// Takes up a request that is held and that the module does not know; false: of a class that the settings do
+// not have.
+bool RelayServer::adopt(MessageId id, const Held& held) {
+  requests_.add(id, held.message.id);
+  status_.request_added(id, held.message.message_class, held_since(held));
+  if (held.ending) {
+    platform_.notice(id, held.message.id, *held.ending);
+    return true;
+  }
+  if (!config_.names.classes.contains(held.message.message_class)) return false;
+  cycle_.enqueue(recovered(id, held));
+  return true;
+}
+
+event::RequestRecovered RelayServer::recovered(MessageId id, const Held& held) const {
+  const Microseconds now = store_.clock().now();
+  event::RequestRecovered request;
+  request.message = arrival(id, held.message);
+  request.attempts = static_cast<int>(held.attempts.size());
+  request.tried = held.doubt;
+  for (const auto& attempt : held.attempts) {
+    request.tried = request.tried || attempt.may_have_reached();
+    if (!attempt.may_have_run() || request.possibly_executed_zone) continue;
+    request.possibly_executed_zone = attempt.zone;
+    request.possibly_executed_age = std::max<Microseconds>(now - attempt.sent, 0);
+  }
+  if (held.doubt) {
+    // Sent at a time and place that no record tells.
+    request.possibly_executed_zone = -1;
+    request.possibly_executed_age = kLongAgo;
+  }
+  if (HERONVANE_DEFECT("forget-attempt")) request.possibly_executed_zone.reset();
+  return request;
+}
+
+// No record tells since when a request of an earlier incarnation is held: since its class's deadline began to
+// run, or its first attempt, if that was before.
+Microseconds RelayServer::held_since(const Held& held) const {
+  Microseconds since = store_.clock().now();
+  const auto cls = config_.names.classes.find(held.message.message_class);
+  if (cls != config_.names.classes.end()) {
+    const auto& settings = config_.settings.classes[static_cast<std::size_t>(cls->second)];
+    since = std::min(since, held.message.deadline - settings.deadline);
+  }
+  if (!held.attempts.empty()) since = std::min(since, held.attempts.front().sent);
+  return since;
+}
+
+// All that is held is another relay's: it is ended there. Calls that are out may still be answered, and
+// nobody asks.
+void RelayServer::disown() {
+  committer_.reject_waiting_replies();
+  committer_.withdraw_all();
+  std::vector<MessageId> all;
+  for (const auto& [id, held] : store_.held()) all.push_back(id);
+  for (const MessageId id : all) {
+    const Held* const held = store_.find(id);
+    if (held == nullptr) continue;
+    for (std::size_t i = 0; i < held->attempts.size(); i++)
+      if (!held->attempts[i].outcome) executor_.cancel(id, static_cast<int>(i));
+    if (!held->ending) cycle_.notify(event::RequestWithdrawn{id});
+    completed(id, false);
+  }
+}
+
+// What another relay had taken on, and is gone: from here on it is as if it had been taken on here.
+void RelayServer::taken_over(MessageId from, MessageId to) {
+  std::vector<MessageId> duplicates;
+  std::vector<MessageId> unknown_class;
+  std::vector<MessageId> possibly_executed;  // of this relay's own
+  std::size_t count = 0;
+  for (auto it = store_.held().lower_bound(from); it != store_.held().end() && it->first < to; ++it) {
+    const auto& [id, held] = *it;
+    if (!is_known(held.message.id)) {
+      count++;
+      if (!adopt(id, held)) unknown_class.push_back(id);
+      continue;
+    }
+    // The client sent it here, too: one request, of which one end is owed.
+    duplicates.push_back(id);
+    const auto own_id = requests_.find(held.message.id);
+    const Held* const own = own_id ? store_.find(*own_id) : nullptr;
+    if (own != nullptr && !own->ending && held.may_have_run() && may_not_run_twice(held.message))
+      possibly_executed.push_back(*own_id);
+  }
+  WriteAheadPlan plan;
+  for (const MessageId id : unknown_class) end_request(plan, id, {});
+  // It may have run over there: it must not run here.
+  for (const MessageId id : possibly_executed) {
+    cycle_.notify(event::RequestWithdrawn{id});
+    end_request(plan, id, {});
+  }
+  for (const MessageId id : duplicates) store_.over(id, false);
+  log("copies: " + std::to_string(count) + " messages taken over, " + std::to_string(duplicates.size()) +
+      " of them known here");
+  committer_.commit(std::move(plan));
+  cycle_.schedule(DecisionCycle::Urgency::urgent);
+}
+
+// Whether the request's class is not idempotent, or unknown.
+bool RelayServer::may_not_run_twice(const Message& message) const {
+  const auto cls = config_.names.classes.find(message.message_class);
+  return cls == config_.names.classes.end() ||
+         config_.settings.classes[static_cast<std::size_t>(cls->second)].idempotency !=
+             heronvane::dispatch::Idempotency::idempotent;
+}
+
+}  // namespace heronvane
--- /dev/null
+++ b/relay/standalone_log.hpp
@@ -0,0 +1,41 @@
+// The log of a relay that keeps no copies of it elsewhere: it is this relay's from the start, and on its disk
+// alone.
+#pragma once
+
+#include <functional>
+#include <string>
+#include <vector>
+
+#include "core/log_copies.hpp"
+#include "store/store.hpp"
+
+namespace heronvane {
+
+// The null implementation of LogCopies.
+class StandaloneLog : public LogCopies {
+ public:
+  // `store` outlives this. `ready`: what the log holds may be acted on.
+  StandaloneLog(store::Store& store, bool force_own, std::function<void()> ready);
+
+  // Throws std::runtime_error where the log had copies elsewhere, which may have taken over what it holds,
+  // and nobody was asked; not under `force_own`.
+  void start() override;
+  bool ready() const override { return true; }
+  bool is_short() const override { return false; }
+  void hurry() override {}
+  bool parked(MessageId /*number*/) const override { return false; }
+  std::string take_over(const std::string& /*name*/) override {
+    return "this relay keeps no copies of others' logs";
+  }
+  std::string status_json() const override { return {}; }
+  void members(std::vector<copies::Settings::Member> /*members*/) override {}
+
+ private:
+  void forget_copies();
+
+  store::Store& store_;
+  const bool force_own_;
+  const std::function<void()> ready_;
+};
+
+}  // namespace heronvane
--- a/relay/startup/startup.cpp
+++ b/relay/startup/startup.cpp
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-Startup::Startup(boost::asio::io_context& io, Places places, Relay::Start start)
+Startup::Startup(boost::asio::io_context& io, Places places, RelayServer::Start start)
     : io_(io), places_(std::move(places)), start_(std::move(start)), again_(io), reload_again_(io) {}
 
 void Startup::begin() { attempt(); }
@@ -57,10 +57,10 @@
   try {
     if (!config_) configured(load());
     step = Step::recovery;
-    Relay::Start start = start_;
+    RelayServer::Start start = start_;
     start.waited = waiting_since_ > 0 ? steady_now() - waiting_since_ : 0;
     start.waited_for = waited_for_;
-    relay_ = std::make_unique<Relay>(io_, *config_, std::move(start));
+    relay_ = std::make_unique<RelayServer>(io_, *config_, std::move(start));
   } catch (const std::exception& error) {
     return failed(as_start_error(error, step));
   }
--- a/relay/startup/startup.hpp
+++ b/relay/startup/startup.hpp
@@ -13,7 +13,7 @@
 #include "clock.hpp"
 #include "config.hpp"
 #include "core/alarm.hpp"
-#include "relay.hpp"
+#include "relay_server.hpp"
 #include "startup/start_error.hpp"
 
 namespace heronvane::startup {
@@ -21,7 +21,7 @@
 class Startup {
  public:
   // `io` outlives it. Nothing happens before begin().
-  Startup(boost::asio::io_context& io, Places places, Relay::Start start);
+  Startup(boost::asio::io_context& io, Places places, RelayServer::Start start);
 
   // Makes the first try at once; later ones are made by the loop.
   void begin();
@@ -48,9 +48,9 @@
 
   boost::asio::io_context& io_;
   const Places places_;
-  const Relay::Start start_;
+  const RelayServer::Start start_;
   std::optional<Config> config_;  // the relay's, unchanged from when that is made
-  std::unique_ptr<Relay> relay_;  // null while the start is waiting
+  std::unique_ptr<RelayServer> relay_;  // null while the start is waiting
   Alarm again_, reload_again_;
   Microseconds waiting_since_ = 0;  // 0: it has not failed yet
   Microseconds told_at_ = 0;        // of the last line about the waiting
--- /dev/null
+++ b/relay/status_reporter.cpp
@@ -0,0 +1,139 @@
+#include "status_reporter.hpp"
+
+#include <dirent.h>
+#include <sys/stat.h>
+#include <unistd.h>
+
+#include <fstream>
+#include <utility>
+#include <vector>
+
+#include "fail_points.hpp"
+#include "version.hpp"
+
+namespace heronvane {
+namespace {
+
+constexpr std::size_t kMostEndpoints = 1000;  // past these, only those of which something is known
+
+const char* text_of(RejectReason reason) {
+  switch (reason) {
+    case RejectReason::draining:
+      return "draining";
+    case RejectReason::too_few_copies:
+      return "too few copies";
+    case RejectReason::no_destination_list:
+      return "no list of destinations yet";
+    case RejectReason::in_flight_limit:
+      return "open messages at their bound";
+    case RejectReason::store_not_writable:
+      return "the folder can't be written";
+    case RejectReason::no_capacity:
+      return "no room in the folder or memory";
+    case RejectReason::decided_reject:
+      return "turned away by the decisions";
+    case RejectReason::decided_fail:
+      return "failed by the decisions";
+    case RejectReason::commit_failed:
+      return "its record could not be written in time";
+  }
+  return "";
+}
+
+std::uint64_t memory_kb() {
+  std::ifstream in("/proc/self/statm");
+  std::uint64_t size = 0;
+  std::uint64_t pages = 0;
+  in >> size >> pages;
+  return pages * static_cast<std::uint64_t>(::sysconf(_SC_PAGESIZE)) / 1024;
+}
+
+std::uint64_t open_descriptors() {
+  // Newer systems tell their number as the folder's size.
+  struct stat info {};
+  if (::stat("/proc/self/fd", &info) == 0 && info.st_size > 0)
+    return static_cast<std::uint64_t>(info.st_size);
+  DIR* const all = ::opendir("/proc/self/fd");
+  if (all == nullptr) return 0;
+  std::uint64_t count = 0;
+  while (const dirent* one = ::readdir(all)) count += one->d_name[0] != '.';
+  ::closedir(all);
+  return count - 1;  // the one that looks
+}
+
+}  // namespace
+
+StatusReporter::StatusReporter(boost::asio::io_context& io, const Config& config, StartInfo start,
+                               Sources sources)
+    : config_(config),
+      start_(std::move(start)),
+      sources_(std::move(sources)),
+      rejections_(io, "messages refused"),
+      generation_(config.generation) {}
+
+void StatusReporter::request_added(MessageId id, const std::string& message_class, Microseconds since) {
+  if (config_.own.admin.socket) in_flight_.taken(id, message_class, since);
+}
+
+void StatusReporter::rejected(RejectReason reason) { rejections_.add(text_of(reason)); }
+
+bool StatusReporter::ready() const {
+  if (HERONVANE_DEFECT("never-ready-again") && HERONVANE_SECOND_LIFE()) return false;
+  return sources_.lifecycle.rules().reports_ready && !sources_.drain.draining() &&
+         sources_.committer.is_writable() && sources_.copies.ready() && !sources_.copies.is_short() &&
+         sources_.committer.store().trouble().empty() && sources_.endpoints.directory().any_active();
+}
+
+Status StatusReporter::status() const {
+  const store::Store& store = sources_.committer.store();
+  Status s;
+  s.start_waited = start_.waited;
+  s.start_waited_for = start_.waited_for;
+  s.name = config_.name;
+  s.run = start_.run;
+  s.version = kVersion;
+  s.trouble = store.trouble();
+  s.pid = ::getpid();
+  s.generation = generation_;
+  s.started = start_.started;
+  s.uptime = steady_now() - start_.started_steady;
+  s.ready = ready();
+  s.draining = sources_.drain.draining();
+  s.stopping = sources_.lifecycle.phase() != Lifecycle::Phase::running;
+  s.fence = sources_.drain.highest_fence();
+  s.held = store.held().size();
+  s.given_up = s.held - store.open();
+  s.counts = in_flight_.counts(store.clock().now());
+  s.copies = sources_.copies.status_json();
+  add_endpoints(s);
+  add_resources(s);
+  return s;
+}
+
+void StatusReporter::add_endpoints(Status& status) const {
+  const Directory& directory = sources_.endpoints.directory();
+  std::vector<heronvane::dispatch::LearnedState> known;
+  sources_.cycle.dispatcher().endpoint_states(steady_now(), kMostEndpoints, known);
+  for (auto& state : known) {
+    const auto* const listed = directory.find(state.endpoint);
+    const auto listing = listed == nullptr ? heronvane::dispatch::Listing::gone : listed->listing;
+    status.targets.push_back({std::move(state), listing});
+  }
+  status.list_told = sources_.endpoints.list_received();
+  status.list_index = sources_.platform.index();
+  status.endpoints = directory.size();
+}
+
+void StatusReporter::add_resources(Status& status) const {
+  const store::Store& store = sources_.committer.store();
+  status.calls = sources_.executor.calls_out();
+  status.slots = static_cast<std::size_t>(config_.settings.max_concurrent_calls);
+  status.clients = sources_.client_connections();
+  status.store_bytes = store.bytes();
+  status.store_limit = store.limit();
+  status.segments = store.segments().size();
+  status.memory_kb = memory_kb();
+  status.descriptors = open_descriptors();
+}
+
+}  // namespace heronvane
