--- a/relay/main.cpp
+++ b/relay/main.cpp
@@ -32,7 +32,7 @@
 int run_relay(const heronvane::CommandLine& options, const heronvane::ConfigPaths& paths) {
   const auto loop = heronvane::startup::make_event_loop();
   if (!loop) return 0;
-  heronvane::Relay::Start start;
+  heronvane::RelayServer::Start start;
   start.run = options.run.empty() ? draw_run_id() : options.run;
   start.undrain = options.undrain;
   start.force_own = options.force_own;
--- a/relay/startup/startup.cpp
+++ b/relay/startup/startup.cpp
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-Startup::Startup(boost::asio::io_context& io, ConfigPaths paths, Relay::Start start)
+Startup::Startup(boost::asio::io_context& io, ConfigPaths paths, RelayServer::Start start)
     : io_(io), paths_(std::move(paths)), start_(std::move(start)), retry_timer_(io), reload_timer_(io) {}
 
 void Startup::begin() { attempt(); }
@@ -61,12 +61,12 @@
   try {
     if (!config_) set_config(load_checked_config());
     step = Step::recovery;
-    Relay::Start start = start_;
+    RelayServer::Start start = start_;
     if (waiting_) {
       start.waited = steady_now() - waiting_->since;
       start.waited_for = waiting_->reason;
     }
-    relay_ = std::make_unique<Relay>(io_, *config_, std::move(start));
+    relay_ = std::make_unique<RelayServer>(io_, *config_, std::move(start));
   } catch (const std::exception& error) {
     return handle_failure(to_start_error(error, step));
   }
--- a/relay/startup/startup.hpp
+++ b/relay/startup/startup.hpp
@@ -13,7 +13,7 @@
 #include "clock.hpp"
 #include "config.hpp"
 #include "core/timer.hpp"
-#include "relay.hpp"
+#include "relay_server.hpp"
 #include "startup/start_error.hpp"
 
 namespace heronvane::startup {
@@ -22,7 +22,7 @@
 class Startup {
  public:
   // `io` must outlive it. Nothing happens before begin().
-  Startup(boost::asio::io_context& io, ConfigPaths paths, Relay::Start start);
+  Startup(boost::asio::io_context& io, ConfigPaths paths, RelayServer::Start start);
 
   // Makes the first attempt at once; later ones are made by the loop.
   void begin();
@@ -60,9 +60,9 @@
 
   boost::asio::io_context& io_;
   const ConfigPaths paths_;
-  const Relay::Start start_;
-  std::optional<Config> config_;  // does not change once the relay is made
-  std::unique_ptr<Relay> relay_;  // null until an attempt has succeeded
+  const RelayServer::Start start_;
+  std::optional<Config> config_;        // does not change once the relay is made
+  std::unique_ptr<RelayServer> relay_;  // null until an attempt has succeeded
   std::optional<Waiting> waiting_;
   Timer retry_timer_;
   Timer reload_timer_;
