--- a/relay/relay_lifecycle.cpp
+++ b/relay/relay_lifecycle.cpp
@@ -98,7 +98,7 @@
   constexpr unsigned kTargetPart = 50;
   for (const auto& memory : dispatcher_.take_changed_state(last_round_, kMostTargets)) {
     const std::string key = learned_state_key(memory.endpoint);
-    const std::string value = memory.blank() ? std::string() : write_target(memory, now);
+    const std::string value = memory.blank() ? std::string() : encode(LearnedStateRecord{memory, now});
     // Better nothing than what is not so any more.
     if (!store_.keep(key, value, kTargetPart)) store_.keep(key, {});
   }
