--- a/relay/core/cycle_pacing.hpp
+++ b/relay/core/cycle_pacing.hpp
@@ -1,7 +1,8 @@
-// How soon a round may follow the last one. No clock: durations are handed in.
+// How soon a decision cycle may follow the last one. No clock: durations are handed in.
 //
-// Where the settings' tick binds, a tick. Elsewhere a message need not wait for it: rounds follow each other
-// after some times what one of them takes, so that under load they grow in place of their number.
+// Where the settings' minimum interval binds, after that. Elsewhere a request need not wait for it: cycles
+// follow each other after a multiple of what one of them takes, so that under load they grow in place of
+// their number.
 #pragma once
 
 #include <algorithm>
@@ -13,26 +14,29 @@
 class CyclePacing {
  public:
   using Microseconds = heronvane::dispatch::Microseconds;
-  CyclePacing(Microseconds tick, bool early) : tick_(tick), early_(early) {}
+  // `interval`: between two cycles; `early`: cycles may come sooner where something may be sent at once.
+  CyclePacing(Microseconds interval, bool early) : interval_(interval), early_(early) {}
 
-  // After a round that took so long.
+  // After a cycle that took so long.
   void ran(Microseconds took) {
     mean_ += kGain * (static_cast<double>(std::max<Microseconds>(took, 0)) - mean_);
   }
-  // From one round to the next at least: for what may be sent at once, and for all else.
+  // From one cycle's start to the next one's at least: for what may be sent at once, and for all else.
   Microseconds urgent() const {
-    if (!early_) return tick_;
-    return std::clamp(static_cast<Microseconds>(kTimes * mean_), std::min(kLeast, tick_), tick_);
+    if (!early_) return interval_;
+    return std::clamp(static_cast<Microseconds>(kDurationMultiple * mean_), std::min(kLeast, interval_),
+                      interval_);
   }
-  Microseconds usual() const { return tick_; }
+  Microseconds usual() const { return interval_; }
 
  private:
-  static constexpr double kGain = 0.1, kTimes = 6;  // weight of the newest; a seventh of the time in rounds
-  static constexpr Microseconds kLeast = 800;       // microseconds
+  static constexpr double kGain = 0.1;            // weight of the newest duration in the mean
+  static constexpr double kDurationMultiple = 6;  // a seventh of the time is spent in cycles
+  static constexpr Microseconds kLeast = 800;
 
-  Microseconds tick_;
+  Microseconds interval_;
   bool early_;
-  double mean_ = 0;
+  double mean_ = 0;  // duration of a cycle, microseconds
 };
 
 }  // namespace heronvane
--- a/relay/core/in_flight_gauge.cpp
+++ b/relay/core/in_flight_gauge.cpp
@@ -3,38 +3,49 @@
 #include <algorithm>
 
 namespace heronvane {
+namespace {
 
-void InFlightGauge::taken(MessageId number, const std::string& message_class, Microseconds when) {
+constexpr Microseconds kSecond = 1'000'000;
+
+}  // namespace
+
+void InFlightGauge::add(MessageId id, const std::string& message_class, Microseconds since) {
+  const Microseconds start = since / kResolution;
   const auto of_class = by_class_.try_emplace(message_class).first;
-  if (!held_.emplace(number, Entry{when / kStep, of_class}).second) return;
+  if (!in_flight_.emplace(id, Entry{start, of_class}).second) return;
   of_class->second++;
-  by_step_[when / kStep]++;
+  by_start_[start]++;
 }
 
-void InFlightGauge::over(MessageId number) {
-  const auto it = held_.find(number);
-  if (it == held_.end()) return;
-  const auto step = by_step_.find(it->second.step);
-  if (--step->second == 0) by_step_.erase(step);
+void InFlightGauge::remove(MessageId id) {
+  const auto it = in_flight_.find(id);
+  if (it == in_flight_.end()) return;
+  const auto start = by_start_.find(it->second.start);
+  if (--start->second == 0) by_start_.erase(start);
   if (--it->second.of_class->second == 0) by_class_.erase(it->second.of_class);
-  held_.erase(it);
+  in_flight_.erase(it);
 }
 
 InFlightGauge::Counts InFlightGauge::counts(Microseconds now) const {
-  Counts c;
-  c.by_class = by_class_;
-  if (by_step_.empty()) return c;
-  c.oldest = std::max<Microseconds>(0, now - by_step_.begin()->first * kStep);
+  Counts counts;
+  counts.by_class = by_class_;
+  if (by_start_.empty()) return counts;
+  counts.oldest = std::max<Microseconds>(0, now - by_start_.begin()->first * kResolution);
   // The newest first: what is older than the last bound is the rest, and is not looked at.
   std::size_t seen = 0;
-  for (auto it = by_step_.rbegin(); it != by_step_.rend(); ++it) {
-    const Microseconds age = now - it->first * kStep;
-    if (age > 30'000'000) break;
-    (age <= 1'000'000 ? c.up_to_1s : age <= 5'000'000 ? c.up_to_5s : c.up_to_30s) += it->second;
+  for (auto it = by_start_.rbegin(); it != by_start_.rend(); ++it) {
+    const Microseconds age = now - it->first * kResolution;
+    if (age > 30 * kSecond) break;
+    if (age <= 1 * kSecond)
+      counts.up_to_1s += it->second;
+    else if (age <= 5 * kSecond)
+      counts.up_to_5s += it->second;
+    else
+      counts.up_to_30s += it->second;
     seen += it->second;
   }
-  c.more = held_.size() - seen;
-  return c;
+  counts.more = in_flight_.size() - seen;
+  return counts;
 }
 
 }  // namespace heronvane
--- a/relay/core/in_flight_gauge.hpp
+++ b/relay/core/in_flight_gauge.hpp
@@ -1,5 +1,5 @@
-// How many messages are held, by class and by how long they have been: counted as they come and go, so that
-// telling it costs nothing by the message. No input or output here.
+// How many requests are in flight, by class and by age: counted as they come and go, so that a report costs
+// nothing by the request. No input or output here.
 #pragma once
 
 #include <cstddef>
@@ -11,29 +11,35 @@
 
 namespace heronvane {
 
+// Owned by the StatusReporter; called on the event loop's thread only.
 class InFlightGauge {
  public:
-  static constexpr Microseconds kStep = 50'000;  // ages are told to this
+  static constexpr Microseconds kResolution = 50'000;  // of the ages
 
   struct Counts {
     std::map<std::string, std::size_t> by_class;
-    Microseconds oldest = 0;  // the age of the one held longest; 0: none is
-    std::size_t up_to_1s = 0, up_to_5s = 0, up_to_30s = 0, more = 0;
+    Microseconds oldest = 0;  // the age of the oldest; 0: there is none
+    std::size_t up_to_1s = 0;
+    std::size_t up_to_5s = 0;
+    std::size_t up_to_30s = 0;
+    std::size_t more = 0;
   };
 
-  // A message is held since `when`.
-  void taken(MessageId number, const std::string& message_class, Microseconds when);
-  void over(MessageId number);
+  // Adds a request that is in flight since `since`; no effect where it is counted already.
+  void add(MessageId id, const std::string& message_class, Microseconds since);
+  // No effect where it is not counted.
+  void remove(MessageId id);
+  // `now` is on the clock of `since`.
   Counts counts(Microseconds now) const;
 
  private:
   struct Entry {
-    Microseconds step = 0;
+    Microseconds start = 0;  // in whole steps of the resolution
     std::map<std::string, std::size_t>::iterator of_class;
   };
-  std::unordered_map<MessageId, Entry> held_;
+  std::unordered_map<MessageId, Entry> in_flight_;
   std::map<std::string, std::size_t> by_class_;
-  std::map<Microseconds, std::size_t> by_step_;  // when they were taken on, in whole steps
+  std::map<Microseconds, std::size_t> by_start_;  // since when, in whole steps of the resolution
 };
 
 }  // namespace heronvane
--- a/relay/core/suspend_detector.hpp
+++ b/relay/core/suspend_detector.hpp
@@ -17,15 +17,15 @@
 
 class SuspendDetector {
  public:
-  static constexpr Microseconds kBeat = 500'000;        // the loop turns at least so often
-  static constexpr Microseconds kStopped = 2'000'000;   // stood still so long, it was stopped
-  static constexpr Microseconds kListTime = 1'000'000;  // for the list to come after that
+  static constexpr Microseconds kHeartbeatInterval = 500'000;   // the loop turns at least so often
+  static constexpr Microseconds kSuspendThreshold = 2'000'000;  // stood still so long, it was suspended
+  static constexpr Microseconds kListTimeout = 1'000'000;       // for the list to come after that
 
-  // How long the loop stood still before this turn, where that was a stop; else 0.
-  Microseconds turn(Microseconds now) {
+  // How long the loop stood still before this turn, where that was a suspension; else 0. `now` is boot_now().
+  Microseconds observe(Microseconds now) {
     const Microseconds gap = last_ == 0 ? 0 : now - last_;
     last_ = now;
-    return gap >= kStopped ? gap : 0;
+    return gap >= kSuspendThreshold ? gap : 0;
   }
 
  private:
--- a/relay/core/suspend_monitor.cpp
+++ b/relay/core/suspend_monitor.cpp
@@ -17,12 +17,12 @@
 
 void SuspendMonitor::beat() {
   is_current();
-  beat_timer_.set(std::chrono::microseconds(SuspendDetector::kBeat), [this] { beat(); });
+  beat_timer_.set(std::chrono::microseconds(SuspendDetector::kHeartbeatInterval), [this] { beat(); });
 }
 
 bool SuspendMonitor::is_current() {
   if (!enabled_) return true;
-  const Microseconds gap = detector_.turn(boot_now());
+  const Microseconds gap = detector_.observe(boot_now());
   if (gap > 0) begin_refresh(gap);
   return state_ == State::current;
 }
@@ -33,7 +33,7 @@
   state_ = State::refreshing_list;
   hooks_.withdraw_attempts();
   hooks_.refresh_list([this] { finish_refresh(); });
-  refresh_timer_.set(std::chrono::microseconds(SuspendDetector::kListTime), [this] { finish_refresh(); });
+  refresh_timer_.set(std::chrono::microseconds(SuspendDetector::kListTimeout), [this] { finish_refresh(); });
 }
 
 void SuspendMonitor::finish_refresh() {
--- a/relay/status_reporter.cpp
+++ b/relay/status_reporter.cpp
@@ -72,7 +72,7 @@
       generation_(config.generation) {}
 
 void StatusReporter::request_added(MessageId id, const std::string& message_class, Microseconds since) {
-  if (config_.own.admin.socket) in_flight_.taken(id, message_class, since);
+  if (config_.own.admin.socket) in_flight_.add(id, message_class, since);
 }
 
 void StatusReporter::rejected(RejectReason reason) { rejections_.add(text_of(reason)); }
--- a/relay/status_reporter.hpp
+++ b/relay/status_reporter.hpp
@@ -64,7 +64,7 @@
   // Requests in flight, counted for the operator's status where there is an admin socket. `since`: on the
   // store's persistent clock.
   void request_added(MessageId id, const std::string& message_class, Microseconds since);
-  void request_removed(MessageId id) { in_flight_.over(id); }
+  void request_removed(MessageId id) { in_flight_.remove(id); }
   // Counted, and logged once a second by reason.
   void rejected(RejectReason reason);
   // The configuration that holds from now on.
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -21,9 +21,11 @@
   constexpr Microseconds kSecond = 1'000'000;
   InFlightGauge g;
   EXPECT_EQ(g.counts(0).oldest, 0);
-  g.taken(1, "a", 0), g.taken(2, "a", 60 * kSecond), g.taken(3, "b", 87 * kSecond),
-      g.taken(4, "b", 90 * kSecond);
-  g.taken(4, "b", 90 * kSecond);  // twice
+  g.add(1, "a", 0);
+  g.add(2, "a", 60 * kSecond);
+  g.add(3, "b", 87 * kSecond);
+  g.add(4, "b", 90 * kSecond);
+  g.add(4, "b", 90 * kSecond);  // twice
   auto c = g.counts(90 * kSecond);
   EXPECT_EQ(c.by_class, (std::map<std::string, std::size_t>{{"a", 2}, {"b", 2}}));
   EXPECT_EQ(c.oldest, 90 * kSecond);
@@ -31,12 +33,16 @@
   EXPECT_EQ(c.up_to_5s, 1u);
   EXPECT_EQ(c.up_to_30s, 1u);
   EXPECT_EQ(c.more, 1u);
-  g.over(1), g.over(1), g.over(9), g.over(3);
+  g.remove(1);
+  g.remove(1);
+  g.remove(9);
+  g.remove(3);
   c = g.counts(90 * kSecond);
   EXPECT_EQ(c.by_class, (std::map<std::string, std::size_t>{{"a", 1}, {"b", 1}}));
   EXPECT_EQ(c.oldest, 30 * kSecond);
   EXPECT_EQ(c.up_to_1s + c.up_to_5s + c.up_to_30s + c.more, 2u);
-  g.over(2), g.over(4);
+  g.remove(2);
+  g.remove(4);
   c = g.counts(90 * kSecond);
   EXPECT_TRUE(c.by_class.empty());
   EXPECT_EQ(c.oldest, 0);
