--- a/src/batching.cpp
+++ b/src/batching.cpp
@@ -12,13 +12,13 @@
   if (trusted > 0) trusted_ = std::min(trusted, most_);
 }
 
-void Batching::begin_call(std::uint64_t call, Microseconds now) {
+void Batching::begin_call(CallId call, Microseconds now) {
   open_call_ = call;
   opened_at_ = now;
   open_requests_ = 0;
 }
 
-void Batching::end_call(std::uint64_t call) {
+void Batching::end_call(CallId call) {
   if (call == open_call_) open_call_ = kNoCall;
 }
 
--- a/src/batching.hpp
+++ b/src/batching.hpp
@@ -1,8 +1,7 @@
 // How many requests one call to an endpoint may carry, and the call of this pass that more can join.
 #pragma once
 
-#include <cstdint>
-
+#include "call_id.hpp"
 #include "heronvane/dispatch/dispatcher.hpp"
 
 namespace heronvane::dispatch {
@@ -22,20 +21,20 @@
   // Takes the size that an earlier incarnation had learned; 0: unknown.
   void restore(int trusted);
 
-  void begin_call(std::uint64_t call, Microseconds now);
+  void begin_call(CallId call, Microseconds now);
   void add_request() { open_requests_++; }
-  void end_call(std::uint64_t call);
+  void end_call(CallId call);
   // The call that was begun last; meaningful while has_room().
-  std::uint64_t open_call() const { return open_call_; }
+  CallId open_call() const { return open_call_; }
   // Whether a request can join a call that was begun in this pass.
   bool has_room(Microseconds now) const;
 
  private:
-  static constexpr std::uint64_t kNoCall = 0;
+  static constexpr CallId kNoCall = 0;
 
   int most_ = 1;
   int trusted_ = 1;
-  std::uint64_t open_call_ = kNoCall;
+  CallId open_call_ = kNoCall;
   Microseconds opened_at_ = 0;
   int open_requests_ = 0;
 };
--- a/src/checkpoint.hpp
+++ b/src/checkpoint.hpp
@@ -30,7 +30,7 @@
   // After each outcome: nearly always there is nothing to give, or it is due already.
   void schedule_after_outcome(const EndpointState& endpoint, ScopeState& scope, Microseconds now);
   // The store holds a record of the endpoint.
-  void mark_stored(EndpointState& endpoint, ScopeState& scope);
+  static void mark_stored(EndpointState& endpoint, ScopeState& scope);
 
   // Dispatcher::take_changed_state.
   std::vector<LearnedState> take_changed(Microseconds now, std::size_t most, EndpointRegistry& registry);
@@ -52,6 +52,7 @@
     DestinationId destination = 0;
     EndpointId endpoint;
 
+    // NOLINTNEXTLINE(modernize-use-nullptr): false positive on a defaulted comparison
     auto operator<=>(const Due&) const = default;
   };
 
--- a/src/endpoint_calls.cpp
+++ b/src/endpoint_calls.cpp
@@ -4,7 +4,7 @@
 
 namespace heronvane::dispatch {
 
-void EndpointCalls::end(std::uint64_t call) {
+void EndpointCalls::end(CallId call) {
   std::erase_if(in_flight_, [call](const Call& other) { return other.id == call; });
 }
 
--- a/src/endpoint_calls.hpp
+++ b/src/endpoint_calls.hpp
@@ -2,9 +2,9 @@
 #pragma once
 
 #include <cstddef>
-#include <cstdint>
 #include <vector>
 
+#include "call_id.hpp"
 #include "heronvane/dispatch/dispatcher.hpp"
 
 namespace heronvane::dispatch {
@@ -15,8 +15,8 @@
   bool empty() const { return in_flight_.empty(); }
 
   // Calls begin in the order of time.
-  void begin(std::uint64_t call, Microseconds now) { in_flight_.push_back({call, now}); }
-  void end(std::uint64_t call);
+  void begin(CallId call, Microseconds now) { in_flight_.push_back({call, now}); }
+  void end(CallId call);
   // A call that was sent at `sent_at` was served.
   void record_served(Microseconds now, Microseconds sent_at);
 
@@ -30,7 +30,7 @@
 
  private:
   struct Call {
-    std::uint64_t id;
+    CallId id;
     Microseconds sent_at;
   };
 
--- a/src/endpoint_registry.cpp
+++ b/src/endpoint_registry.cpp
@@ -31,10 +31,11 @@
   EndpointState& endpoint = entry->second;
   const DestinationId previous = is_new ? listed.destination : endpoint.info.destination;
   endpoint.info = listed;
-  if (listed.listing == Listing::gone)
+  if (listed.listing == Listing::gone) {
     gone_.insert(listed.id);
-  else
+  } else {
     gone_.erase(listed.id);
+  }
   configure(endpoint);
   std::vector<EndpointState*>& siblings = destinations_.at(listed.destination).endpoints;
   if (previous != listed.destination) {
--- a/src/endpoint_tracker.cpp
+++ b/src/endpoint_tracker.cpp
@@ -87,7 +87,7 @@
                          endpoint->evidence.consecutive_failures() > 0;
   if (is_known && !has_newer) restore_health(*endpoint, state, written, pass);
   update_health_check_slots(*endpoint);
-  checkpoint_.mark_stored(*endpoint, scope);
+  Checkpoint::mark_stored(*endpoint, scope);
   checkpoint_.schedule(*endpoint, scope, pass.now);
   return endpoint;
 }
@@ -140,12 +140,13 @@
                                      const EndedAttempt& result, DecisionPass& pass) {
   endpoint.has_attempt_ended = true;
   limits_of(endpoint).note_attempt_ended();
-  if (ended.outcome == Outcome::served)
+  if (ended.outcome == Outcome::served) {
     record_served(endpoint, result.sent_at, ended.latency, pass);
-  else if (ended.outcome == Outcome::rejected)
+  } else if (ended.outcome == Outcome::rejected) {
     record_rejected(endpoint, pass);
-  else
+  } else {
     record_failed(endpoint, ended.outcome, ended.latency, result.batch_size, pass);
+  }
 }
 
 void EndpointTracker::record_served(EndpointState& endpoint, Microseconds sent_at, Microseconds latency,
--- a/src/endpoint_tracker.hpp
+++ b/src/endpoint_tracker.hpp
@@ -9,6 +9,7 @@
 #include <set>
 #include <vector>
 
+#include "call_id.hpp"
 #include "checkpoint.hpp"
 #include "concurrency.hpp"
 #include "decision_pass.hpp"
@@ -18,7 +19,6 @@
 #include "latency.hpp"
 #include "outlier_detection.hpp"
 #include "rate_limit_scope.hpp"
-#include "request.hpp"
 #include "slow_start.hpp"
 
 namespace heronvane::dispatch {
@@ -87,7 +87,7 @@
   void record_rejected(EndpointState& endpoint, DecisionPass& pass);
   void record_failed(EndpointState& endpoint, Outcome outcome, Microseconds elapsed, int batch_size,
                      DecisionPass& pass);
-  void note_connections_exhausted(EndpointState& endpoint, Outcome outcome, Microseconds now);
+  static void note_connections_exhausted(EndpointState& endpoint, Outcome outcome, Microseconds now);
   void eject(EndpointState& endpoint, HealthChange why, DecisionPass& pass);
   void restore_health(EndpointState& endpoint, const LearnedState& state, Microseconds written,
                       DecisionPass& pass);
--- a/src/request.hpp
+++ b/src/request.hpp
@@ -8,6 +8,7 @@
 #include <optional>
 #include <string>
 
+#include "call_id.hpp"
 #include "heronvane/dispatch/dispatcher.hpp"
 #include "priority.hpp"
 #include "send_queue.hpp"
@@ -15,8 +16,6 @@
 
 namespace heronvane::dispatch {
 
-using CallId = std::uint64_t;
-
 // The first attempt that a destination may have executed without our knowing its outcome.
 struct PossibleExecution {
   int zone = 0;  // of the endpoint
--- a/src/slow_start.cpp
+++ b/src/slow_start.cpp
@@ -16,10 +16,11 @@
 
 BudgetGrowth::BudgetGrowth(double full, double most, double warmth, double rise)
     : full_(full), most_(most), warmth_(warmth), rise_(rise) {
-  if (full * warmth >= most)
+  if (full * warmth >= most) {
     capped_after_s_ = 0;
-  else if (rise > 0)
+  } else if (rise > 0) {
     capped_after_s_ = (most / full - warmth) / rise;  // unbounded where `most` is
+  }
 }
 
 double BudgetGrowth::calls_after(double elapsed_s) const {
