--- a/relay/standalone_log.hpp
+++ b/relay/standalone_log.hpp
@@ -11,7 +11,7 @@
 
 namespace heronvane {
 
-// The null implementation of LogCopies.
+// The null implementation of LogReplication.
 class StandaloneLog : public LogReplication {
  public:
   // `store` outlives this. `ready`: what the log holds may be acted on.
