--- a/src/checkpoint.cpp
+++ b/src/checkpoint.cpp
@@ -105,22 +105,22 @@
     if (due.is_endpoint) {
       EndpointState& endpoint = registry.at(due.endpoint);
       endpoint.own_scope.checkpoint.due_at_ = kNever;
-      if (endpoint.has_own_limits) give_scope(endpoint.own_scope, {&endpoint}, most, now, registry, given);
+      if (endpoint.has_own_limits) give_scope(endpoint.own_scope, {&endpoint}, most, now, given);
     } else {
       DestinationState& destination = registry.at(due.destination);
       destination.scope.checkpoint.due_at_ = kNever;
-      give_scope(destination.scope, destination.endpoints, most, now, registry, given);
+      give_scope(destination.scope, destination.endpoints, most, now, given);
     }
   }
   return given;
 }
 
 void Checkpoint::give_scope(ScopeState& scope, const std::vector<EndpointState*>& endpoints, std::size_t most,
-                            Microseconds now, EndpointRegistry& registry, std::vector<LearnedState>& given) {
+                            Microseconds now, std::vector<LearnedState>& given) {
   scope.checkpoint.may_be_stored_ = false;
   scope.checkpoint.examined_at_ = now;
   for (EndpointState* const endpoint : endpoints) {
-    if (&registry.scope_of(*endpoint) != &scope) continue;  // it has its own limits
+    if (&endpoint->scope() != &scope) continue;  // it has its own limits
     EndpointMark& mark = endpoint->checkpoint;
     LearnedState state = state_of(*endpoint, scope, now);
     Microseconds next = give_at(*endpoint, scope, state, now);
--- a/src/checkpoint.hpp
+++ b/src/checkpoint.hpp
@@ -58,7 +58,7 @@
 
   LearnedState state_of(const EndpointState& endpoint, const ScopeState& scope, Microseconds now) const;
   void give_scope(ScopeState& scope, const std::vector<EndpointState*>& endpoints, std::size_t most,
-                  Microseconds now, EndpointRegistry& registry, std::vector<LearnedState>& given);
+                  Microseconds now, std::vector<LearnedState>& given);
   // When `state` may be given: now, later, or kNever where it tells nothing new.
   static Microseconds give_at(const EndpointState& endpoint, const ScopeState& scope,
                               const LearnedState& state, Microseconds now);
--- a/src/dispatcher.cpp
+++ b/src/dispatcher.cpp
@@ -138,7 +138,7 @@
   if (is_last) requests_.calls.finish(*call_id);
   requests_.send_queue.unblock(endpoint.info.destination);
   const double backoff_delay_s =
-      std::max(endpoints_.limits_of(endpoint).backoff_delay(pass.now), endpoints_.backoff_scale().least());
+      std::max(endpoint.limits().backoff_delay(pass.now), endpoints_.backoff_scale().least());
   lifecycle_.record_result(
       *request, {ended.outcome, ended.request_completed, endpoint.info.zone, sent_at, backoff_delay_s}, pass);
 }
--- a/src/endpoint_registry.cpp
+++ b/src/endpoint_registry.cpp
@@ -21,10 +21,6 @@
   return destination->second;
 }
 
-ScopeState& EndpointRegistry::scope_of(EndpointState& endpoint) {
-  return endpoint.has_own_limits ? endpoint.own_scope : find_or_add(endpoint.info.destination).scope;
-}
-
 EndpointRegistry::Applied EndpointRegistry::apply(const Endpoint& listed, Microseconds now) {
   has_changed_ = true;
   const auto [entry, is_new] = endpoints_.try_emplace(listed.id, scale_);
@@ -58,7 +54,8 @@
   const std::size_t position = std::min(listed_kind, kinds);
   const KindSettings kind = position < kinds ? settings_.kinds[position] : KindSettings{};
   endpoint.own_scope.limits.set_kind(position);
-  find_or_add(endpoint.info.destination).scope.limits.set_kind(position);
+  endpoint.destination_scope = &find_or_add(endpoint.info.destination).scope;
+  endpoint.destination_scope->limits.set_kind(position);
   endpoint.has_own_limits = kind.per_endpoint_limits;
   endpoint.batching.set_most(kind.max_batch_size);
 }
--- a/src/endpoint_registry.hpp
+++ b/src/endpoint_registry.hpp
@@ -34,8 +34,6 @@
   DestinationState& at(DestinationId id) { return destinations_.at(id); }
   // Ordered by id.
   const std::map<DestinationId, DestinationState>& destinations() const { return destinations_; }
-  // What the endpoint shares its limits with.
-  ScopeState& scope_of(EndpointState& endpoint);
 
   // An endpoint that the list names.
   struct Applied {
--- a/src/endpoint_selection.cpp
+++ b/src/endpoint_selection.cpp
@@ -66,13 +66,13 @@
 bool EndpointSelection::needs_admission(const Request& request, EndpointState& endpoint,
                                         const DecisionPass& pass) {
   if (endpoint.batching.has_room(pass.now) || !endpoint.health.is_healthy()) return false;
-  return !goes_at_own_time(request, endpoints_.limits_of(endpoint), pass.settings);
+  return !goes_at_own_time(request, endpoint.limits(), pass.settings);
 }
 
 bool EndpointSelection::is_eligible(Request& request, EndpointState& endpoint, Ineligibility& reasons,
                                     DecisionPass& pass) {
   if (!may_serve(endpoint, request)) return false;
-  const RateLimitScope& limits = endpoints_.limits_of(endpoint);
+  const RateLimitScope& limits = endpoint.limits();
   const Microseconds held_until =
       goes_at_own_time(request, limits, pass.settings) ? limits.retry_after_until() : limits.held_until();
   if (held_until > pass.now) {
@@ -85,7 +85,7 @@
 
 bool EndpointSelection::may_start_call(Request& request, EndpointState& endpoint, Ineligibility& reasons,
                                        DecisionPass& pass) {
-  const RateLimitScope& limits = endpoints_.limits_of(endpoint);
+  const RateLimitScope& limits = endpoint.limits();
   endpoints_.advance_health(endpoint, pass);
   const Microseconds ready_at =
       std::max(endpoints_.budget_ready_at(endpoint, pass.now), limits.send_rate_ready_at());
--- a/src/endpoint_state.hpp
+++ b/src/endpoint_state.hpp
@@ -33,7 +33,8 @@
   Endpoint info;                // as listed last
   bool has_own_limits = false;  // own_scope counts, not the destination's
   ScopeState own_scope;
-  EndpointCalls calls;  // in flight
+  ScopeState* destination_scope = nullptr;  // set by EndpointRegistry; outlives the endpoint
+  EndpointCalls calls;                      // in flight
   HealthCheckSlots::Share health_check_slots;
   ConcurrencyLimit concurrency;
   Batching batching;
@@ -48,6 +49,9 @@
   bool is_restored = false;        // a record of an earlier incarnation was taken
   EndpointMark checkpoint;
 
+  // What it shares its limits with. Kept as a pointer because each call needs it several times.
+  ScopeState& scope() { return has_own_limits ? own_scope : *destination_scope; }
+  RateLimitScope& limits() { return scope().limits; }
   // Ejected or recovering, and nothing served since the last failure: its calls are health checks.
   bool is_on_trial() const { return !health.is_healthy() && evidence.consecutive_failures() > 0; }
   RecoveryPhase recovery_phase() const { return {health.state(), health.since(), is_on_trial()}; }
--- a/src/endpoint_tracker.cpp
+++ b/src/endpoint_tracker.cpp
@@ -68,7 +68,7 @@
   const std::optional<EndpointId> rejecting = RejectionGossip::parse(gossip.body);
   EndpointState* const endpoint = rejecting ? registry_.find(*rejecting) : nullptr;
   if (endpoint == nullptr) return;
-  ScopeState& scope = registry_.scope_of(*endpoint);
+  ScopeState& scope = endpoint->scope();
   scope.limits.slow_down_by_gossip(pass.now, shared_limits_);
   checkpoint_.schedule_after_outcome(*endpoint, scope, pass.now);
 }
@@ -79,7 +79,7 @@
   if (endpoint == nullptr || endpoint->info.listing == Listing::gone || endpoint->is_restored) return nullptr;
   endpoint->is_restored = true;
   const Microseconds written = pass.now - bounded_duration(record.age);
-  ScopeState& scope = registry_.scope_of(*endpoint);
+  ScopeState& scope = endpoint->scope();
   if (endpoint->has_own_limits || state.destination == endpoint->info.destination)
     scope.limits.restore(pass.now, written, state);
   const bool is_known = state.health == Health::ejected || state.health == Health::slow_start;
@@ -115,7 +115,7 @@
 bool EndpointTracker::record_attempt(EndpointState& endpoint, const event::AttemptEnded& ended,
                                      const EndedAttempt& result, DecisionPass& pass) {
   if (ended.retry_after > 0) {
-    limits_of(endpoint).extend_retry_after(pass.now + ended.retry_after);
+    endpoint.limits().extend_retry_after(pass.now + ended.retry_after);
     checkpoint_by(endpoint, pass.now);
   }
   if (result.is_last_of_call) endpoint.calls.end(result.call);
@@ -125,7 +125,7 @@
   const bool counts = !result.is_call_judged && ended.outcome != Outcome::not_sent && !was_overtaken;
   if (counts) {
     record_outcome(endpoint, ended, result, pass);
-    checkpoint_.schedule_after_outcome(endpoint, registry_.scope_of(endpoint), pass.now);
+    checkpoint_.schedule_after_outcome(endpoint, endpoint.scope(), pass.now);
   }
   if (result.is_last_of_call) {
     endpoint.batching.end_call(result.call);
@@ -139,7 +139,7 @@
 void EndpointTracker::record_outcome(EndpointState& endpoint, const event::AttemptEnded& ended,
                                      const EndedAttempt& result, DecisionPass& pass) {
   endpoint.has_attempt_ended = true;
-  limits_of(endpoint).note_attempt_ended();
+  endpoint.limits().note_attempt_ended();
   if (ended.outcome == Outcome::served) {
     record_served(endpoint, result.sent_at, ended.latency, pass);
   } else if (ended.outcome == Outcome::rejected) {
@@ -153,7 +153,7 @@
                                     DecisionPass& pass) {
   settle_budget(endpoint, pass.now);
   endpoint.calls.record_served(pass.now, sent_at);
-  limits_of(endpoint).record_served(pass.now, shared_limits_);
+  endpoint.limits().record_served(pass.now, shared_limits_);
   endpoint.served.record(pass.now);
   endpoint.latency.record_served(latency, slowness_);
   const bool was_only_slow = endpoint.evidence.record_served(background_failures_);
@@ -168,7 +168,7 @@
 }
 
 void EndpointTracker::record_rejected(EndpointState& endpoint, DecisionPass& pass) {
-  RateLimitScope& limits = limits_of(endpoint);
+  RateLimitScope& limits = endpoint.limits();
   settle_budget(endpoint, pass.now);
   limits.record_rejected(pass.now, shared_limits_);
   if (!endpoint.health.is_ejected()) limits.slow_down(pass, endpoint.info.id, shared_limits_);
@@ -190,7 +190,7 @@
 
 void EndpointTracker::record_failed(EndpointState& endpoint, Outcome outcome, Microseconds elapsed,
                                     int batch_size, DecisionPass& pass) {
-  limits_of(endpoint).record_failed(pass.now);
+  endpoint.limits().record_failed(pass.now);
   settle_budget(endpoint, pass.now);
   note_connections_exhausted(endpoint, outcome, pass.now);
   endpoint.evidence.record_failed(outcome);
@@ -254,7 +254,7 @@
   update_health_check_slots(endpoint);
   if (endpoint.health.is_healthy() && is_first_attempt) endpoint.demand.record(pass.now);
   endpoint.connections.record_call_began(pass.now);
-  limits_of(endpoint).consume(pass.now);
+  endpoint.limits().consume(pass.now);
   if (!endpoint.health.is_healthy()) {
     settle_budget(endpoint, pass.now);
     endpoint.slow_start.consume();
@@ -275,7 +275,7 @@
 }
 
 Microseconds EndpointTracker::draw_health_check_gap(EndpointState& endpoint, DecisionPass& pass) {
-  const double least = std::max(limits_of(endpoint).backoff_delay(pass.now), backoff_scale_.initial());
+  const double least = std::max(endpoint.limits().backoff_delay(pass.now), backoff_scale_.initial());
   return microseconds(pass.random.jittered(least));
 }
 
@@ -288,7 +288,7 @@
 }
 
 void EndpointTracker::checkpoint_by(EndpointState& endpoint, Microseconds moment) {
-  checkpoint_.schedule(endpoint, registry_.scope_of(endpoint), moment);
+  checkpoint_.schedule(endpoint, endpoint.scope(), moment);
 }
 
 }  // namespace heronvane::dispatch
--- a/src/endpoint_tracker.hpp
+++ b/src/endpoint_tracker.hpp
@@ -37,7 +37,6 @@
   const BackoffScale& backoff_scale() const { return backoff_scale_; }
   const HealthCheckSlots& health_check_slots() const { return health_check_slots_; }
   double slowness() const { return slowness_.value(); }  // Slowness::value()
-  RateLimitScope& limits_of(EndpointState& endpoint) { return registry_.scope_of(endpoint).limits; }
   // When time alone ends the health of an endpoint that is not healthy.
   Microseconds health_ends_at(const EndpointState& endpoint) const;
   // When its slow-start budget lets a call go; `now` where it is healthy.
--- a/tests/policy/endpoint_registry_test.cpp
+++ b/tests/policy/endpoint_registry_test.cpp
@@ -49,10 +49,10 @@
   EndpointState& b = *list("b", 1).endpoint;
   EndpointState& c = *list("c", 2, kSeparate).endpoint;
   EndpointState& d = *list("d", 2, kSeparate).endpoint;
-  EXPECT_EQ(&registry_.scope_of(a), &registry_.scope_of(b));
-  EXPECT_EQ(&registry_.scope_of(a), &registry_.find(DestinationId{1})->scope);
-  EXPECT_EQ(&registry_.scope_of(c), &c.own_scope);
-  EXPECT_NE(&registry_.scope_of(c), &registry_.scope_of(d));
+  EXPECT_EQ(&a.scope(), &b.scope());
+  EXPECT_EQ(&a.scope(), &registry_.find(DestinationId{1})->scope);
+  EXPECT_EQ(&c.scope(), &c.own_scope);
+  EXPECT_NE(&c.scope(), &d.scope());
   EXPECT_EQ(a.batching.trusted(), 4);
   EXPECT_EQ(c.batching.trusted(), 2);
 }
@@ -126,7 +126,7 @@
 
 TEST_F(EndpointRegistryTest, KeepsAnEmptyDestinationUntilItsRetryAfterEnds) {
   EndpointState& endpoint = *list("a", 1).endpoint;
-  registry_.scope_of(endpoint).limits.extend_retry_after(5 * kSecond);
+  endpoint.scope().limits.extend_retry_after(5 * kSecond);
   list("a", 1, kShared, Listing::gone);
   forget(0);
   EXPECT_EQ(registry_.find("a"), nullptr);
--- a/tests/policy/endpoint_selection_test.cpp
+++ b/tests/policy/endpoint_selection_test.cpp
@@ -40,7 +40,7 @@
 TEST_F(EndpointSelectionTest, ARetryAfterHoldsTheWholeDestinationUntilItEnds) {
   list("a");
   list("b");
-  endpoints_.limits_of(endpoint("a")).extend_retry_after(7 * kSecond);
+  endpoint("a").limits().extend_retry_after(7 * kSecond);
   const auto choice = choose(arrive(1));
   EXPECT_EQ(choice.endpoint, nullptr);
   EXPECT_EQ(choice.ineligibility.kind(), SendResult::Kind::subqueue_blocked);
--- a/tests/policy/endpoint_tracker_test.cpp
+++ b/tests/policy/endpoint_tracker_test.cpp
@@ -95,7 +95,7 @@
 
 TEST_F(EndpointTrackerTest, KeepsRetryAfterOfAnyOutcome) {
   call("a", 0, kSecond, Outcome::served, 3 * kSecond);
-  EXPECT_EQ(tracker_.limits_of(at("b")).retry_after_until(), 4 * kSecond);
+  EXPECT_EQ(at("b").limits().retry_after_until(), 4 * kSecond);
 }
 
 TEST_F(EndpointTrackerTest, GivesANewEndpointTheHealthOfItsEjectedSiblings) {
@@ -166,7 +166,7 @@
     tracker_.apply(event::GossipReceived{2, "1runknown"}, pass);
     tracker_.apply(event::GossipReceived{2, "other"}, pass);
   });
-  EXPECT_LT(tracker_.limits_of(at("b")).admission().probability(kSecond), 1);
+  EXPECT_LT(at("b").limits().admission().probability(kSecond), 1);
   EXPECT_TRUE(at("a").health.is_healthy());
 }
 
