--- a/include/heronvane/dispatch/dispatcher.hpp
+++ b/include/heronvane/dispatch/dispatcher.hpp
@@ -269,8 +269,10 @@
   // Throws std::invalid_argument where the settings make no sense.
   Dispatcher(const Settings& settings, std::uint64_t seed);
   ~Dispatcher();
-  Dispatcher(Dispatcher&&) noexcept;
-  Dispatcher& operator=(Dispatcher&&) noexcept;
+  Dispatcher(const Dispatcher&) = delete;
+  Dispatcher& operator=(const Dispatcher&) = delete;
+  Dispatcher(Dispatcher&& other) noexcept;
+  Dispatcher& operator=(Dispatcher&& other) noexcept;
 
   // One round: all events happen at `now` (which never goes back); the actions take effect at `now`,
   // in order. `actions` is appended to.
--- a/src/dispatcher.cpp
+++ b/src/dispatcher.cpp
@@ -24,8 +24,8 @@
 
 class Dispatcher::State {
  public:
-  State(const Settings& settings, std::uint64_t seed, const SchedulerFactory& make_scheduler)
-      : settings_(settings),
+  State(Settings settings, std::uint64_t seed, const SchedulerFactory& make_scheduler)
+      : settings_(std::move(settings)),
         random_(seed),
         requests_(settings_),
         endpoints_(settings_, requests_.priority.shortest_objective_s()),
--- a/src/send_queue.cpp
+++ b/src/send_queue.cpp
@@ -18,7 +18,7 @@
 SendQueue::~SendQueue() = default;
 
 SendQueue::Key SendQueue::key_of(Entry& entry) const {
-  switch (phase_queues_[entry.phase_].phase.order) {
+  switch (phase_queues_[entry.place.phase_].phase.order) {
     case OrderPhase::Order::by_id:
       return {0, entry.id, &entry};
     case OrderPhase::Order::earlier_objective:
@@ -31,26 +31,26 @@
 
 // Goes on from the entry's present phase to the one that holds at `at`, and notes when that ends.
 void SendQueue::enter_phase(Entry& entry, Microseconds at) {
-  while (phase_queues_[entry.phase_].until <= at - entry.objective_at) entry.phase_++;
-  const Microseconds until = phase_queues_[entry.phase_].until;
-  entry.phase_ends_at_ = until < kNever ? entry.objective_at + until : kNever;
-  if (entry.phase_ends_at_ < kNever) phase_changes_.insert({entry.phase_ends_at_, &entry});
+  while (phase_queues_[entry.place.phase_].until <= at - entry.objective_at) entry.place.phase_++;
+  const Microseconds until = phase_queues_[entry.place.phase_].until;
+  entry.place.phase_ends_at_ = until < kNever ? entry.objective_at + until : kNever;
+  if (entry.place.phase_ends_at_ < kNever) phase_changes_.insert({entry.place.phase_ends_at_, &entry});
 }
 
 void SendQueue::add(Entry& entry, Microseconds at) {
-  entry.added_ = true;
-  entry.phase_ = first_phase_[entry.group];
+  entry.place.added_ = true;
+  entry.place.phase_ = first_phase_[entry.group];
   enter_phase(entry, at);
-  phase_queues_[entry.phase_].all.insert(key_of(entry));
+  phase_queues_[entry.place.phase_].all.insert(key_of(entry));
   size_++;
 }
 
 void SendQueue::remove(Entry& entry) {
-  if (!entry.added_) return;
-  if (entry.subqueue_ != nullptr) dequeue(entry);
-  if (entry.phase_ends_at_ < kNever) phase_changes_.erase({entry.phase_ends_at_, &entry});
-  phase_queues_[entry.phase_].all.erase(key_of(entry));
-  entry.added_ = false;
+  if (!entry.place.added_) return;
+  if (entry.place.subqueue_ != nullptr) dequeue(entry);
+  if (entry.place.phase_ends_at_ < kNever) phase_changes_.erase({entry.place.phase_ends_at_, &entry});
+  phase_queues_[entry.place.phase_].all.erase(key_of(entry));
+  entry.place.added_ = false;
   size_--;
 }
 
@@ -62,19 +62,19 @@
     found = subqueues.insert(subqueues.end(), std::make_unique<Subqueue>(key));
     subqueue_count_++;
   }
-  entry.subqueue_ = found->get();
+  entry.place.subqueue_ = found->get();
   insert(**found, entry);
 }
 
 void SendQueue::dequeue(Entry& entry) {
-  Subqueue& subqueue = *entry.subqueue_;
-  if (entry.deferred_) {
-    subqueue.deferred_.erase({entry.deferred_until_, &entry});
+  Subqueue& subqueue = *entry.place.subqueue_;
+  if (entry.place.deferred_) {
+    subqueue.deferred_.erase({entry.place.deferred_until_, &entry});
   } else {
     erase(subqueue, entry);
   }
-  entry.subqueue_ = nullptr;
-  entry.deferred_ = false;
+  entry.place.subqueue_ = nullptr;
+  entry.place.deferred_ = false;
   drop_if_empty(subqueue);
 }
 
@@ -91,12 +91,12 @@
   while (!phase_changes_.empty() && phase_changes_.begin()->at <= at) {
     Entry& entry = *phase_changes_.begin()->item;
     phase_changes_.erase(phase_changes_.begin());
-    const bool in_subqueue = entry.subqueue_ != nullptr && !entry.deferred_;
-    if (in_subqueue) erase(*entry.subqueue_, entry);
-    phase_queues_[entry.phase_].all.erase(key_of(entry));
+    const bool in_subqueue = entry.place.subqueue_ != nullptr && !entry.place.deferred_;
+    if (in_subqueue) erase(*entry.place.subqueue_, entry);
+    phase_queues_[entry.place.phase_].all.erase(key_of(entry));
     enter_phase(entry, at);
-    phase_queues_[entry.phase_].all.insert(key_of(entry));
-    if (in_subqueue) insert(*entry.subqueue_, entry);
+    phase_queues_[entry.place.phase_].all.insert(key_of(entry));
+    if (in_subqueue) insert(*entry.place.subqueue_, entry);
   }
 }
 
@@ -116,10 +116,10 @@
 void SendQueue::insert(Subqueue& subqueue, Entry& entry) {
   auto& phases = subqueue.phases_;
   auto phase = std::find_if(phases.begin(), phases.end(),
-                            [&](const auto& candidate) { return candidate.phase == entry.phase_; });
-  if (phase == phases.end()) phase = phases.insert(phase, {entry.phase_, {}});
+                            [&](const auto& candidate) { return candidate.phase == entry.place.phase_; });
+  if (phase == phases.end()) phase = phases.insert(phase, {entry.place.phase_, {}});
   const Key key = key_of(entry);
-  Keys* const heads = heads_of(subqueue, entry.phase_);
+  Keys* const heads = heads_of(subqueue, entry.place.phase_);
   if (heads != nullptr && (phase->keys.empty() || key < *phase->keys.begin())) {
     if (!phase->keys.empty()) heads->erase(*phase->keys.begin());
     heads->insert(key);
@@ -129,11 +129,12 @@
 
 void SendQueue::erase(Subqueue& subqueue, Entry& entry) {
   auto& phases = subqueue.phases_;
-  const auto phase = std::find_if(phases.begin(), phases.end(),
-                                  [&](const auto& candidate) { return candidate.phase == entry.phase_; });
+  const auto phase = std::find_if(phases.begin(), phases.end(), [&](const auto& candidate) {
+    return candidate.phase == entry.place.phase_;
+  });
   const auto position = phase->keys.find(key_of(entry));
   const bool was_head = position == phase->keys.begin();
-  Keys* const heads = heads_of(subqueue, entry.phase_);
+  Keys* const heads = heads_of(subqueue, entry.place.phase_);
   if (was_head && heads != nullptr) heads->erase(*position);
   phase->keys.erase(position);
   if (phase->keys.empty()) {
@@ -181,10 +182,10 @@
 }
 
 void SendQueue::defer(Entry& entry, Microseconds until) {
-  Subqueue& subqueue = *entry.subqueue_;
+  Subqueue& subqueue = *entry.place.subqueue_;
   erase(subqueue, entry);
-  entry.deferred_ = true;
-  entry.deferred_until_ = until;
+  entry.place.deferred_ = true;
+  entry.place.deferred_until_ = until;
   subqueue.deferred_.insert({until, &entry});
   if (until < subqueue.recheck_at_) set_recheck(subqueue, until);
 }
@@ -207,7 +208,7 @@
 // Puts a deferred entry back among the others of its subqueue; returns the next deferred one.
 SendQueue::Deferred::iterator SendQueue::restore(Subqueue& subqueue, Deferred::iterator deferred) {
   Entry& entry = *deferred->item;
-  entry.deferred_ = false;
+  entry.place.deferred_ = false;
   insert(subqueue, entry);
   return subqueue.deferred_.erase(deferred);
 }
--- a/src/send_queue.hpp
+++ b/src/send_queue.hpp
@@ -14,6 +14,7 @@
 
 #include <algorithm>
 #include <cstddef>
+#include <functional>
 #include <iterator>
 #include <memory>
 #include <set>
@@ -30,19 +31,12 @@
 class SendQueue {
  public:
   class Subqueue;
+  struct Entry;
 
-  // A request's place in the queue.
-  struct Entry {
-    MessageId id = 0;
-    Microseconds objective_at = 0;  // the moment of its latency objective
-    std::size_t group = 0;          // order group
-
-    bool added() const { return added_; }
-    // The subqueue that it is in or was deferred from; null where it is in none.
-    Subqueue* subqueue() const { return subqueue_; }
-
-   private:
+  // Where an entry stands in the queue; read and written by the queue alone.
+  class Place {
     friend class SendQueue;
+    friend struct Entry;
     bool added_ = false;
     bool deferred_ = false;
     Subqueue* subqueue_ = nullptr;
@@ -51,6 +45,18 @@
     Microseconds deferred_until_ = kNever;
   };
 
+  // A request as the queue sees it.
+  struct Entry {
+    MessageId id = 0;
+    Microseconds objective_at = 0;  // the moment of its latency objective
+    std::size_t group = 0;          // order group
+    Place place;
+
+    bool added() const { return place.added_; }
+    // The subqueue that it is in or was deferred from; null where it is in none.
+    Subqueue* subqueue() const { return place.subqueue_; }
+  };
+
   // What requests of one destination must have in common to be eligible or blocked alike.
   struct SubqueueKey {
     static constexpr int kAnyZone = -1;
@@ -142,7 +148,9 @@
   struct Timed {
     Microseconds at = 0;
     Item* item = nullptr;
-    auto operator<=>(const Timed&) const = default;
+    bool operator<(const Timed& other) const {
+      return at != other.at ? at < other.at : std::less<>()(item, other.item);
+    }
   };
   using Deferred = std::set<Timed<Entry>>;
 
