--- a/relay/core/directory.cpp
+++ b/relay/core/directory.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-constexpr std::size_t kMostUnlisted = 10'000;  // destinations without endpoints that are remembered
+constexpr std::size_t kMaxDestinationsWithoutEndpoints = 10'000;
 
-// Whether the module need not hear of it.
-bool same(const Endpoint& a, const Endpoint& b) {
+// Whether the decision module would see no difference.
+bool is_same(const Endpoint& a, const Endpoint& b) {
   return a.destination == b.destination && a.zone == b.zone && a.kind == b.kind && a.listing == b.listing &&
          a.weight == b.weight && a.since == b.since;
 }
@@ -29,16 +29,15 @@
 }
 
 void Directory::put(const Endpoint& endpoint, Changes& changes) {
-  const auto [it, fresh] = endpoints_.try_emplace(endpoint.id);
+  const auto [it, is_new] = endpoints_.try_emplace(endpoint.id);
   Entry& entry = it->second;
-  entry.named = snapshot_;
-  if (!fresh && same(entry.endpoint, endpoint)) return;
-  if (!fresh && entry.endpoint.destination != endpoint.destination)
-    unlink(entry.endpoint.destination, endpoint.id);
-  if (fresh || entry.endpoint.destination != endpoint.destination)
-    by_destination_[endpoint.destination].push_back(endpoint.id);
-  active_ -= !fresh && entry.endpoint.listing == Listing::active;
-  active_ += endpoint.listing == Listing::active;
+  entry.snapshot = snapshot_;
+  if (!is_new && is_same(entry.endpoint, endpoint)) return;
+  const bool moves = !is_new && entry.endpoint.destination != endpoint.destination;
+  if (moves) unlink(entry.endpoint.destination, endpoint.id);
+  if (is_new || moves) by_destination_[endpoint.destination].push_back(endpoint.id);
+  if (!is_new && entry.endpoint.listing == Listing::active) active_--;
+  if (endpoint.listing == Listing::active) active_++;
   entry.endpoint = endpoint;
   destinations_.insert(endpoint.destination);
   changes.endpoints.push_back(endpoint);
@@ -46,47 +45,56 @@
 }
 
 Directory::Entries::iterator Directory::remove(Entries::iterator it, Changes& changes) {
-  const Endpoint& e = it->second.endpoint;
-  active_ -= e.listing == Listing::active;
-  unlink(e.destination, it->first);
-  changes.endpoints.push_back(e);
+  const Endpoint& endpoint = it->second.endpoint;
+  if (endpoint.listing == Listing::active) active_--;
+  unlink(endpoint.destination, it->first);
+  changes.endpoints.push_back(endpoint);
   changes.endpoints.back().listing = Listing::gone;
   changes.inactive.push_back(it->first);
   return endpoints_.erase(it);
 }
 
-Directory::Changes Directory::apply(const EndpointList& list, const Left& left, const Located& located) {
-  Changes changes;
-  if (list.snapshot && list.first_part) snapshot_ = list.serial;
-  for (const ListedEndpoint& m : list.endpoints) {
-    located(m);
-    if (m.endpoint.listing != Listing::gone) {
-      put(m.endpoint, changes);
+void Directory::apply_entry(const ListedEndpoint& listed, Changes& changes) {
+  const Endpoint& endpoint = listed.endpoint;
+  if (endpoint.listing != Listing::gone) return put(endpoint, changes);
+  destinations_.insert(endpoint.destination);
+  const auto it = endpoints_.find(endpoint.id);
+  if (it != endpoints_.end()) {
+    remove(it, changes);
+    return;
+  }
+  // The decision module may still know it.
+  changes.endpoints.push_back(endpoint);
+  changes.inactive.push_back(endpoint.id);
+}
+
+void Directory::remove_unnamed(const Removed& removed, Changes& changes) {
+  for (auto it = endpoints_.begin(); it != endpoints_.end();) {
+    if (it->second.snapshot == snapshot_) {
+      ++it;
       continue;
     }
-    destinations_.insert(m.endpoint.destination);
-    const auto it = endpoints_.find(m.endpoint.id);
-    if (it != endpoints_.end()) {
-      remove(it, changes);
-    } else {
-      // The module may know it yet.
-      changes.endpoints.push_back(m.endpoint);
-      changes.inactive.push_back(m.endpoint.id);
-    }
+    removed(it->first);
+    it = remove(it, changes);
   }
-  if (list.snapshot && list.last_part && list.serial == snapshot_)
-    for (auto it = endpoints_.begin(); it != endpoints_.end();) {
-      if (it->second.named == snapshot_) {
-        ++it;
-        continue;
-      }
-      left(it->first);
-      it = remove(it, changes);
-    }
-  if (destinations_.size() > kMostUnlisted + endpoints_.size()) {
-    destinations_.clear();
-    for (const auto& [destination, ids] : by_destination_) destinations_.insert(destination);
+}
+
+// Keeps the set from growing for ever.
+void Directory::limit_destinations() {
+  if (destinations_.size() <= kMaxDestinationsWithoutEndpoints + endpoints_.size()) return;
+  destinations_.clear();
+  for (const auto& [destination, ids] : by_destination_) destinations_.insert(destination);
+}
+
+Directory::Changes Directory::apply(const EndpointList& list, const Removed& removed, const Named& named) {
+  Changes changes;
+  if (list.snapshot && list.first_part) snapshot_ = list.serial;
+  for (const ListedEndpoint& listed : list.endpoints) {
+    named(listed);
+    apply_entry(listed, changes);
   }
+  if (list.snapshot && list.last_part && list.serial == snapshot_) remove_unnamed(removed, changes);
+  limit_destinations();
   return changes;
 }
 
@@ -96,9 +104,9 @@
 }
 
 const std::vector<EndpointId>& Directory::endpoints_of(DestinationId destination) const {
-  static const std::vector<EndpointId> none;
+  static const std::vector<EndpointId> kNone;
   const auto it = by_destination_.find(destination);
-  return it == by_destination_.end() ? none : it->second;
+  return it == by_destination_.end() ? kNone : it->second;
 }
 
 std::vector<Endpoint> Directory::all() const {
--- a/relay/core/learned_state_store.cpp
+++ b/relay/core/learned_state_store.cpp
@@ -1,9 +1,9 @@
 #include "core/learned_state_store.hpp"
 
 #include <algorithm>
-#include <cmath>
 #include <locale>
 #include <sstream>
+#include <utility>
 
 namespace heronvane {
 
@@ -14,54 +14,68 @@
 
 namespace {
 
-const std::string kPrefix = "target/";
-constexpr int kForm = 1;  // of the text
-constexpr Microseconds kLongest = Microseconds{7} * 86'400'000'000;
+const std::string kKeyPrefix = "target/";  // of the keys in the store
+constexpr int kFormatVersion = 1;
+constexpr int kPrecision = 9;                                       // digits of fractional numbers
+constexpr Microseconds kMaxAge = Microseconds{7} * 86'400'000'000;  // a week
+
+// The wait by Retry-After alone.
+LearnedState without_health(const LearnedState& state) {
+  LearnedState rest;
+  rest.endpoint = state.endpoint;
+  rest.destination = state.destination;
+  rest.retry_after_left = state.retry_after_left;
+  return rest;
+}
 
 }  // namespace
 
-std::string learned_state_key(const EndpointId& endpoint) { return kPrefix + endpoint; }
+std::string learned_state_key(const EndpointId& endpoint) { return kKeyPrefix + endpoint; }
 
-std::string write_target(const LearnedState& m, Microseconds learned) {
+std::string encode(const LearnedStateRecord& record) {
+  const LearnedState& s = record.state;
   std::ostringstream out;
   out.imbue(std::locale::classic());
-  out.precision(9);
-  out << kForm << ' ' << learned << ' ' << m.destination << ' ' << static_cast<int>(m.health) << ' '
-      << m.time_in_health << ' ' << m.baseline_rate << ' ' << m.slow_start_budget << ' '
-      << m.consecutive_failures << ' ' << m.failure_rate << ' ' << m.last_failure_possibly_executed << ' '
-      << m.batch_size << ' ' << m.retry_after_left << ' ' << m.backoff_delay << ' ' << m.send_rate << ' '
-      << m.consecutive_rejections << ' ' << m.first_rejection_age << ' ' << m.admission_probability;
+  out.precision(kPrecision);
+  out << kFormatVersion << ' ' << record.learned_at << ' ' << s.destination << ' '
+      << static_cast<int>(s.health) << ' ' << s.time_in_health << ' ' << s.baseline_rate << ' '
+      << s.slow_start_budget << ' ' << s.consecutive_failures << ' ' << s.failure_rate << ' '
+      << s.last_failure_possibly_executed << ' ' << s.batch_size << ' ' << s.retry_after_left << ' '
+      << s.backoff_delay << ' ' << s.send_rate << ' ' << s.consecutive_rejections << ' '
+      << s.first_rejection_age << ' ' << s.admission_probability;
   return out.str();
 }
 
 std::optional<LearnedStateRecord> decode_learned_state(const EndpointId& endpoint, const std::string& text) {
   std::istringstream in(text);
   in.imbue(std::locale::classic());
-  LearnedStateRecord t;
-  LearnedState& m = t.memory;
-  int form = 0, health = 0;
-  in >> form >> t.learned >> m.destination >> health >> m.time_in_health >> m.baseline_rate >>
-      m.slow_start_budget >> m.consecutive_failures >> m.failure_rate >> m.last_failure_possibly_executed >>
-      m.batch_size >> m.retry_after_left >> m.backoff_delay >> m.send_rate >> m.consecutive_rejections >>
-      m.first_rejection_age >> m.admission_probability;
-  if (!in || form != kForm || health < 0 || health > static_cast<int>(Health::slow_start))
-    return std::nullopt;
-  m.endpoint = endpoint;
-  m.health = static_cast<Health>(health);
-  return t;
+  LearnedStateRecord record;
+  LearnedState& s = record.state;
+  int version = 0;
+  int health = 0;
+  in >> version >> record.learned_at >> s.destination >> health >> s.time_in_health >> s.baseline_rate >>
+      s.slow_start_budget >> s.consecutive_failures >> s.failure_rate >> s.last_failure_possibly_executed >>
+      s.batch_size >> s.retry_after_left >> s.backoff_delay >> s.send_rate >> s.consecutive_rejections >>
+      s.first_rejection_age >> s.admission_probability;
+  const bool is_health = health >= 0 && health <= static_cast<int>(Health::slow_start);
+  if (!in || version != kFormatVersion || !is_health) return std::nullopt;
+  s.endpoint = endpoint;
+  s.health = static_cast<Health>(health);
+  return record;
 }
 
-RestoredStates::RestoredStates(const std::map<std::string, std::string>& facts, Filter which,
+RestoredStates::RestoredStates(const std::map<std::string, std::string>& facts, Filter filter,
                                Microseconds now)
-    : filter_(which) {
-  for (auto it = facts.lower_bound(kPrefix);
-       it != facts.end() && it->first.compare(0, kPrefix.size(), kPrefix) == 0; ++it) {
-    const EndpointId id = it->first.substr(kPrefix.size());
-    const auto t = decode_learned_state(id, it->second);
-    if (!t || t->learned < now - kLongest)
+    : filter_(filter) {
+  for (auto it = facts.lower_bound(kKeyPrefix); it != facts.end() && it->first.starts_with(kKeyPrefix);
+       ++it) {
+    const EndpointId endpoint = it->first.substr(kKeyPrefix.size());
+    const auto record = decode_learned_state(endpoint, it->second);
+    if (!record || record->learned_at < now - kMaxAge) {
       outdated_keys_.push_back(it->first);
-    else if (which.health || which.waits)
-      records_.emplace(id, *t);
+    } else if (filter.health || filter.waits) {
+      records_.emplace(endpoint, *record);
+    }
   }
 }
 
@@ -69,19 +83,14 @@
     const EndpointId& endpoint, Microseconds now, Microseconds gap) {
   const auto it = records_.find(endpoint);
   if (it == records_.end()) return std::nullopt;
-  LearnedStateRecord t = std::move(it->second);
+  const LearnedStateRecord record = std::move(it->second);
   records_.erase(it);
-  if (!filter_.health) {
-    const Microseconds wait = t.memory.retry_after_left;
-    const auto destination = t.memory.destination;
-    t.memory = {};
-    t.memory.endpoint = endpoint, t.memory.destination = destination, t.memory.retry_after_left = wait;
-  }
-  if (!filter_.waits) t.memory.retry_after_left = 0;
-  if (t.memory.retry_after_left > 0) t.memory.retry_after_left += gap;
-  if (t.memory.blank()) return std::nullopt;
-  return heronvane::dispatch::event::LearnedStateRestored{t.memory,
-                                                          std::max<Microseconds>(now - t.learned, 0)};
+  LearnedState state = filter_.health ? record.state : without_health(record.state);
+  if (!filter_.waits) state.retry_after_left = 0;
+  if (state.retry_after_left > 0) state.retry_after_left += gap;
+  if (state.blank()) return std::nullopt;
+  return heronvane::dispatch::event::LearnedStateRestored{state,
+                                                          std::max<Microseconds>(now - record.learned_at, 0)};
 }
 
 }  // namespace heronvane
--- a/relay/core/learned_state_store.hpp
+++ b/relay/core/learned_state_store.hpp
@@ -1,6 +1,8 @@
-// What the module learned of its targets, as the store keeps it. No input or output here.
+// What the decision module learned of endpoints, as the durable store keeps it over restarts. No input or
+// output here.
 #pragma once
 
+#include <cstddef>
 #include <map>
 #include <optional>
 #include <string>
@@ -10,38 +12,45 @@
 
 namespace heronvane {
 
-// The key under which the store keeps what was learned of that endpoint.
-std::string learned_state_key(const heronvane::dispatch::EndpointId& endpoint);
-
-// With the moment when it was learned, in lasting time; nothing where the text is no such thing.
-std::string write_target(const heronvane::dispatch::LearnedState& memory,
-                         heronvane::dispatch::Microseconds learned);
+// What was learned of an endpoint, and when, by the persistent clock.
 struct LearnedStateRecord {
-  heronvane::dispatch::LearnedState memory;
-  heronvane::dispatch::Microseconds learned = 0;
+  heronvane::dispatch::LearnedState state;
+  heronvane::dispatch::Microseconds learned_at = 0;
 };
+
+// The key under which the store keeps the record of an endpoint.
+std::string learned_state_key(const heronvane::dispatch::EndpointId& endpoint);
+
+// The text that the store keeps; the endpoint is not in it.
+std::string encode(const LearnedStateRecord& record);
+// Nothing where the text is malformed or of another format version.
 std::optional<LearnedStateRecord> decode_learned_state(const heronvane::dispatch::EndpointId& endpoint,
                                                        const std::string& text);
 
-// What earlier lives learned and this one has not given back to the module yet.
+// What earlier incarnations learned of endpoints that this one has not seen listed yet. Not thread-safe.
 class RestoredStates {
  public:
+  // What is restored; all else is as if it had never been learned.
   struct Filter {
-    bool health = true;  // health, ramp, delay and pace
-    bool waits = true;   // told waits
+    bool health = true;  // health, slow start, backoff and send rate
+    bool waits = true;   // waits by Retry-After
   };
-  RestoredStates(const std::map<std::string, std::string>& facts, Filter which,
+
+  // `now` is a time of the persistent clock, here and below.
+  RestoredStates(const std::map<std::string, std::string>& facts, Filter filter,
                  heronvane::dispatch::Microseconds now);
 
-  // Keys of `facts` that tell nothing any more: of endpoints that were not seen for a week, mostly since they
-  // went while no relay ran, or that can't be read.
+  // Keys of `facts` to drop: malformed records, and those of endpoints that were not seen for a week.
   const std::vector<std::string>& outdated_keys() const { return outdated_keys_; }
 
-  // What was learned of an endpoint that is listed now, as an event at `now`; once. `gap`: of the time since
-  // then, what only the wall clock vouches for; no wait is shortened by it.
+  // Takes out what was learned of an endpoint, as an event at `now`. Nothing where there is none, or it was
+  // taken before. `gap` is the part of the time since then that only the wall clock shows: it shortens no
+  // wait.
   std::optional<heronvane::dispatch::event::LearnedStateRestored> take(
       const heronvane::dispatch::EndpointId& endpoint, heronvane::dispatch::Microseconds now,
       heronvane::dispatch::Microseconds gap);
+
+  // The number of endpoints that were not taken yet.
   std::size_t size() const { return records_.size(); }
 
  private:
--- a/relay/core/list_reader.cpp
+++ b/relay/core/list_reader.cpp
@@ -2,6 +2,7 @@
 
 #include <rapidjson/document.h>
 
+#include <algorithm>
 #include <iterator>
 #include <utility>
 
@@ -11,88 +12,107 @@
 
 namespace {
 
-const std::string kPath = "members";
+const std::string kPath = "members";            // of the list in error texts
+const std::string kEndpointsKey = "endpoints";  // the member of the list that holds its entries
+constexpr const char* kWhitespace = " \t\r\n";
+constexpr int kEntryDepth = 2;  // open brackets around an entry
 
-// Not by recursion, which thousands of open brackets would take past the stack's end.
-void parse(rapidjson::Document& v, const char* text, std::size_t size) {
-  v.Parse<rapidjson::kParseIterativeFlag>(text, size);
-  if (v.HasParseError()) throw_malformed(kPath, "is no JSON");
+// Parses without recursion: thousands of open brackets would overflow the stack.
+rapidjson::Document parse(const std::string& text) {
+  rapidjson::Document document;
+  document.Parse<rapidjson::kParseIterativeFlag>(text.data(), text.size());
+  if (document.HasParseError()) throw_malformed(kPath, "is no JSON");
+  return document;
 }
 
 }  // namespace
 
 ListReader::ListReader(std::string text, const NameTables& names) : text_(std::move(text)), names_(names) {}
 
-// One entry of the list, as a list of its own.
-void ListReader::element() {
-  const std::size_t size = at_ - begin_;
-  const std::size_t content = text_.find_first_not_of(" \t\r\n", begin_);
+// The entry is read as a list of its own.
+void ListReader::read_entry() {
+  const std::size_t content = text_.find_first_not_of(kWhitespace, entry_begin_);
   if (content >= at_) throw_malformed(kPath + ".endpoints", "holds an empty entry");
-  static const std::string head = R"({"index":0,"snapshot":false,"endpoints":[)";
-  const std::string one = head + text_.substr(begin_, size) + "]}";
-  rapidjson::Document v;
-  parse(v, one.data(), one.size());
-  auto read = read_endpoint_list(v, kPath, names_);
+  const std::string entry = text_.substr(entry_begin_, at_ - entry_begin_);
+  const auto document = parse(R"({"index":0,"snapshot":false,"endpoints":[)" + entry + "]}");
+  auto read = read_endpoint_list(document, kPath, names_);
   std::move(read.endpoints.begin(), read.endpoints.end(), std::back_inserter(list_.endpoints));
 }
 
 void ListReader::finish() {
   frame_.append(text_, copied_);
-  rapidjson::Document v;
-  parse(v, frame_.data(), frame_.size());
-  auto frame = read_endpoint_list(v, kPath, names_);
-  list_.index = frame.index, list_.snapshot = frame.snapshot;
-  // Not cut out of it.
+  auto frame = read_endpoint_list(parse(frame_), kPath, names_);
+  list_.index = frame.index;
+  list_.snapshot = frame.snapshot;
+  // Entries that were not cut out.
   if (!frame.endpoints.empty()) list_.endpoints = std::move(frame.endpoints);
   done_ = true;
 }
 
+void ListReader::scan_string(char c) {
+  if (c == '\\') {
+    // An escaped name may be the array's: then all is read with the frame.
+    if (depth_ == 1) position_ = Position::behind_array;
+    at_++;
+    return;
+  }
+  if (c != '"') return;
+  in_string_ = false;
+  if (depth_ == 1) last_string_ = text_.substr(string_begin_, at_ - string_begin_);
+}
+
+void ListReader::open_bracket(char c) {
+  depth_++;
+  const bool is_array = depth_ == kEntryDepth && c == '[' && last_string_ == kEndpointsKey;
+  if (!is_array || position_ != Position::before_array) return;
+  position_ = Position::in_array;
+  frame_.append(text_, copied_, at_ + 1 - copied_);
+  entry_begin_ = at_ + 1;
+}
+
+void ListReader::close_bracket() {
+  if (position_ == Position::in_array && depth_ == kEntryDepth) {
+    const std::size_t content = text_.find_first_not_of(kWhitespace, entry_begin_);
+    // An array without any entry is no error; an empty entry behind a comma is one.
+    if (content < at_ || text_[entry_begin_ - 1] == ',') read_entry();
+    position_ = Position::behind_array;
+    copied_ = at_;
+  }
+  depth_--;
+  if (depth_ <= 0) position_ = Position::behind_array;
+}
+
+void ListReader::scan(char c) {
+  switch (c) {
+    case '"':
+      in_string_ = true;
+      string_begin_ = at_ + 1;
+      break;
+    case '{':
+    case '[':
+      open_bracket(c);
+      break;
+    case '}':
+    case ']':
+      close_bracket();
+      break;
+    case ',':
+      if (position_ != Position::in_array || depth_ != kEntryDepth) break;
+      read_entry();
+      entry_begin_ = at_ + 1;
+      break;
+    default:
+      break;
+  }
+}
+
 bool ListReader::step(std::size_t bytes) {
   const std::size_t until = std::min(text_.size(), at_ + std::min(bytes, text_.size()));
   for (; at_ < until; at_++) {
-    const char c = text_[at_];
     if (in_string_) {
-      if (c == '\\') {
-        // A name may be written in more than one way: then it is all read as the frame.
-        if (depth_ == 1) cut_ = false;
-        at_++;
-      } else if (c == '"') {
-        in_string_ = false;
-        if (depth_ == 1) last_ = text_.substr(string_, at_ - string_);
-      }
-      continue;
-    }
-    switch (c) {
-      case '"':
-        in_string_ = true, string_ = at_ + 1;
-        break;
-      case '{':
-      case '[':
-        // The array behind "endpoints" in the outermost object; its entries are cut out of the frame.
-        if (++depth_ == 2 && c == '[' && cut_ && last_ == "endpoints") {
-          in_list_ = true, cut_ = false;  // the first of that name counts
-          frame_.append(text_, copied_, at_ + 1 - copied_);
-          begin_ = at_ + 1;
-        }
-        break;
-      case '}':
-      case ']':
-        if (in_list_ && depth_ == 2) {
-          const std::size_t content = text_.find_first_not_of(" \t\r\n", begin_);
-          // Nothing but a comma may stand before an empty entry.
-          const bool some = content < at_ || text_[begin_ - 1] == ',';
-          if (some) element();
-          in_list_ = false, copied_ = at_;
-        }
-        if (--depth_ <= 0) cut_ = false;
-        break;
-      case ',':
-        if (!in_list_ || depth_ != 2) break;
-        element();
-        begin_ = at_ + 1;
-        break;
-      default:
-        break;
+      scan_string(text_[at_]);
+    } else {
+      scan(text_[at_]);
     }
   }
   if (at_ < text_.size()) return false;
--- a/relay/core/log_replication.hpp
+++ b/relay/core/log_replication.hpp
@@ -1,4 +1,4 @@
-// What the relay asks of the copies of its log at further relays (relay/copies), where there are any.
+// What the relay asks of the replication of its log at other relays (relay/copies), where that is on.
 #pragma once
 
 #include <string>
@@ -9,23 +9,29 @@
 
 namespace heronvane {
 
+// Used from the loop's thread only.
 class LogReplication {
  public:
+  LogReplication() = default;
   virtual ~LogReplication() = default;
-  // Begins to speak to other relays. Until the log is known to be this relay's nothing that it holds may be
-  // acted on.
+  LogReplication(const LogReplication&) = delete;
+  LogReplication& operator=(const LogReplication&) = delete;
+
+  // Begins to speak to other relays. Until ready() nothing that the log holds may be acted on.
   virtual void start() = 0;
+  // The log is known to be this relay's.
   virtual bool ready() const = 0;
-  // Too few holders have what was written a while ago: nothing more is to be taken on.
+  // Too few replicas have what was written a while ago: nothing more is to be admitted.
   virtual bool is_short() const = 0;
-  // Something waits for what was written: it goes at once, not within a few milliseconds.
+  // Something waits for what was written: it is sent at once, not within a few milliseconds.
   virtual void hurry() = 0;
-  // Of a log whose take-over is not decided: not to be touched.
+  // The message is of a log whose failover is not decided, and must not be touched.
   virtual bool parked(MessageId number) const = 0;
-  // Takes that relay's log over, without waiting. Empty, or why not.
+  // Begins the failover of that relay's log. Returns at once: the reason where it is refused, else empty.
   virtual std::string take_over(const std::string& name) = 0;
+  // A JSON object for the status.
   virtual std::string status_json() const = 0;
-  // Who may hold copies from now on, and where they are found.
+  // Who may hold replicas from now on, and their addresses.
   virtual void members(std::vector<copies::Settings::Member> members) = 0;
 };
 
--- a/relay/core/object_splitter.cpp
+++ b/relay/core/object_splitter.cpp
@@ -4,61 +4,80 @@
 
 std::string ObjectSplitter::cut(std::size_t end) {
   std::string one = text_.substr(begin_, end - begin_);
-  begin_ = at_ = end;
-  // What was cut out goes once it is most of the text, so that each byte is moved only so often.
+  begin_ = end;
+  at_ = end;
+  // The text is moved once most of it is cut out, so that each byte moves a bounded number of times.
   if (begin_ > text_.size() / 2) {
     text_.erase(0, begin_);
-    begin_ = at_ = 0;
+    begin_ = 0;
+    at_ = 0;
   }
   return one;
 }
 
 std::optional<std::string> ObjectSplitter::next() {
   for (; at_ < text_.size(); at_++) {
-    const char c = text_[at_];
-    if (stray_) {
-      if (c != '\n') continue;
-      stray_ = false, line_ends_++;
-      return cut(at_ + 1);
-    }
-    if (in_string_) {
-      if (escaped_)
-        escaped_ = false;
-      else if (c == '\\')
-        escaped_ = true;
-      else if (c == '"')
-        in_string_ = false;
-      continue;
-    }
-    if (depth_ == 0) {
-      if (c == '\n') line_ends_++;
-      if (c == ' ' || c == '\t' || c == '\r' || c == '\n') {
-        begin_ = at_ + 1;
-        continue;
-      }
-      if (c != '{') {
-        stray_ = true;
-        continue;
-      }
-    }
-    switch (c) {
-      case '"':
-        in_string_ = true;
-        break;
-      case '{':
-      case '[':
-        depth_++;
-        break;
-      case '}':
-      case ']':
-        if (--depth_ == 0) return cut(at_ + 1);
-        break;
-      default:
-        break;
-    }
+    if (take(text_[at_])) return cut(at_ + 1);
   }
-  if (depth_ == 0 && !stray_) cut(at_);
+  if (state_ == State::between_objects) cut(at_);
   return std::nullopt;
 }
 
+bool ObjectSplitter::take(char c) {
+  switch (state_) {
+    case State::between_objects:
+      take_between_objects(c);
+      return false;
+    case State::in_object:
+      return take_in_object(c);
+    case State::in_string:
+      if (c == '\\') state_ = State::in_escape;
+      if (c == '"') state_ = State::in_object;
+      return false;
+    case State::in_escape:
+      state_ = State::in_string;
+      return false;
+    case State::in_stray_line:
+      if (c != '\n') return false;
+      state_ = State::between_objects;
+      line_ends_++;
+      return true;
+  }
+  return false;
+}
+
+void ObjectSplitter::take_between_objects(char c) {
+  if (c == '\n') line_ends_++;
+  if (c == ' ' || c == '\t' || c == '\r' || c == '\n') {
+    begin_ = at_ + 1;
+    return;
+  }
+  if (c != '{') {
+    state_ = State::in_stray_line;
+    return;
+  }
+  state_ = State::in_object;
+  depth_ = 1;
+}
+
+bool ObjectSplitter::take_in_object(char c) {
+  switch (c) {
+    case '"':
+      state_ = State::in_string;
+      return false;
+    case '{':
+    case '[':
+      depth_++;
+      return false;
+    case '}':
+    case ']':
+      depth_--;
+      if (depth_ > 0) return false;
+      state_ = State::between_objects;
+      return true;
+    default:
+      return false;
+  }
+}
+
 }  // namespace heronvane
--- a/relay/core/object_splitter.hpp
+++ b/relay/core/object_splitter.hpp
@@ -1,5 +1,5 @@
-// Cuts a stream of JSON objects into one text an object, however they are laid out: one a line, or over
-// several. No input or output here; each byte is looked at once.
+// Cuts a stream of JSON objects into one text an object, whether they stand one a line or over several. No
+// input or output here; each byte is looked at once.
 #pragma once
 
 #include <cstddef>
@@ -9,29 +9,45 @@
 
 namespace heronvane {
 
+// Not thread-safe.
 class ObjectSplitter {
  public:
-  // What has come next.
+  // Appends the next bytes of the stream.
   void put(std::string_view bytes) { text_ += bytes; }
-  // The next whole object; nothing while none is whole. What can't be part of one comes back as it stands, to
-  // the end of its line: whoever reads it finds it no object.
+
+  // The next complete object; nothing while there is none. Bytes that can't begin an object come back up to
+  // the end of their line, for whoever parses them to reject.
   std::optional<std::string> next();
 
-  // An object has begun and is not whole.
-  bool inside() const { return depth_ > 0 || in_string_; }
-  // Lines that ended outside of an object, empty or not, since the start: a sign of life each.
+  // An object has begun and is not complete.
+  bool inside() const { return depth_ > 0; }
+  // Lines that ended outside of an object, empty or not, since the start: each is a heartbeat.
   std::size_t line_ends() const { return line_ends_; }
   // Bytes that are not cut out yet.
   std::size_t size() const { return text_.size() - begin_; }
 
  private:
+  enum class State {
+    between_objects,
+    in_object,
+    in_string,
+    in_escape,     // behind a backslash in a string
+    in_stray_line  // begun by what can't begin an object
+  };
+
+  // Takes the byte at `at_`; true where it completes what next() returns.
+  bool take(char c);
+  void take_between_objects(char c);
+  bool take_in_object(char c);
+  // The text from `begin_` to `end`, which goes out of this.
   std::string cut(std::size_t end);
 
   std::string text_;
-  std::size_t begin_ = 0, at_ = 0;  // of what is being looked for, and what was looked at last
+  std::size_t begin_ = 0;  // of the object or line that is being read
+  std::size_t at_ = 0;     // the byte that is looked at next
   std::size_t line_ends_ = 0;
-  int depth_ = 0;
-  bool in_string_ = false, escaped_ = false, stray_ = false;
+  int depth_ = 0;  // open brackets
+  State state_ = State::between_objects;
 };
 
 }  // namespace heronvane
--- a/relay/core/retry_read.hpp
+++ b/relay/core/retry_read.hpp
@@ -1,4 +1,4 @@
-// Reading on after the system had no memory for a read.
+// Goes on reading after the system had no memory for a read.
 #pragma once
 
 #include <boost/system/error_code.hpp>
@@ -9,13 +9,16 @@
 
 namespace heronvane {
 
-// Calls `then` after kShortageRetryDelay, once `socket` is readable, or its wait has failed. `then` keeps
-// both alive and looks whether reading still makes sense. It is waited for readability since Asio, after a
-// read that failed, tries the next one only at another edge of it; a wait asks for the state.
-template <class Socket, class Then>
-void retry_read(Socket& socket, Timer& pause, Then then) {
-  pause.set(kShortageRetryDelay, [&socket, then = std::move(then)]() mutable {
-    socket.async_wait(Socket::wait_read, [then = std::move(then)](boost::system::error_code) { then(); });
+// Calls `retry` from the loop after kShortageRetryDelay, once `socket` is readable or the wait for that has
+// failed. `retry` keeps socket and timer alive, and checks whether reading still makes sense.
+//
+// After a read that failed Asio attempts the next one only at another edge of readability; a wait asks for
+// the state.
+template <class Socket, class Retry>
+void retry_read(Socket& socket, Timer& timer, Retry retry) {
+  timer.set(kShortageRetryDelay, [&socket, retry = std::move(retry)]() mutable {
+    socket.async_wait(Socket::wait_read,
+                      [retry = std::move(retry)](boost::system::error_code /*error*/) { retry(); });
   });
 }
 
--- a/relay/core/status.hpp
+++ b/relay/core/status.hpp
@@ -1,4 +1,5 @@
-// What a relay tells of itself, as JSON (docs/design/fleet.md). No input or output here.
+// The status of a relay, as JSON for its operator (docs/design/fleet.md). The names on the wire stand in
+// status.cpp alone. No input or output here.
 #pragma once
 
 #include <cstdint>
@@ -13,36 +14,53 @@
 
 namespace heronvane {
 
+// A relay at one moment. Times are microseconds of the wall clock.
 struct Status {
+  // An endpoint, and what the decision module knows of it.
   struct Target {
     heronvane::dispatch::LearnedState known;
     heronvane::dispatch::Listing listing = heronvane::dispatch::Listing::active;
   };
-  std::string name, run, version, trouble;
-  std::int64_t pid = 0, generation = 0;
-  Microseconds started = 0, uptime = 0;  // wall time
-  Microseconds start_waited = 0;         // how long the start was waiting for something that passed
-  std::string start_waited_for;          // what for, the last of it; empty: it was not waiting
-  bool ready = false, draining = false, stopping = false;
-  Fence fence = 0;
-  std::size_t held = 0, given_up = 0;
+  std::string name;
+  std::string run;
+  std::string version;
+  std::string trouble;  // a fault that keeps it from admitting requests; empty: none
+  std::int64_t pid = 0;
+  std::int64_t generation = 0;  // of the agent's desired state; 0: none
+  Microseconds started = 0;
+  Microseconds uptime = 0;        // a duration
+  Microseconds start_waited = 0;  // a duration: how long the start waited for something transient
+  std::string start_waited_for;   // the last reason; empty: it did not wait
+  bool ready = false;
+  bool draining = false;
+  bool stopping = false;
+  Fence fence = 0;           // the fencing token of the last drain
+  std::size_t held = 0;      // messages in flight
+  std::size_t given_up = 0;  // those of them whose outcome notification is owed
   InFlightGauge::Counts counts;
-  std::size_t calls = 0, slots = 0, clients = 0;
+  std::size_t calls = 0;    // in flight
+  std::size_t slots = 0;    // calls that may be in flight at once
+  std::size_t clients = 0;  // connections
   std::vector<Target> targets;
-  std::uint64_t store_bytes = 0, store_limit = 0;
-  std::size_t segments = 0;
-  std::uint64_t memory_kb = 0, descriptors = 0;
-  bool list_told = false;
+  std::uint64_t store_bytes = 0;
+  std::uint64_t store_limit = 0;  // bytes
+  std::size_t segments = 0;       // of the store
+  std::uint64_t memory_kb = 0;
+  std::uint64_t descriptors = 0;
+  bool list_told = false;  // discovery has sent an endpoint list
   std::int64_t list_index = 0;
   std::size_t endpoints = 0;
-  std::string copies;  // as JSON; empty: none are kept
+  std::string copies;  // the replication's status as JSON; empty: it is off
 };
+
+// The status as a JSON object.
 std::string status_json(const Status& status);
 
-// A message that is held, or was given up and its notice is owed; one that is over, of which no more is
-// known.
+// A held message as a JSON object; `zones` names the zones of its attempts.
 std::string message_json(MessageId number, const Held& held,
                          const heronvane::dispatch::adapter::NameIndex& zones);
+
+// A completed message as a JSON object: only its id is known.
 std::string over_json(const std::string& id);
 
 }  // namespace heronvane
--- a/relay/core/stream_writer.hpp
+++ b/relay/core/stream_writer.hpp
@@ -1,7 +1,7 @@
 // Writes whole texts to non-blocking stream sockets, whatever part of them the system takes at a time.
 //
 // Asio's own async_write waits for the next edge of "writable" after each write that was cut short. The
-// system owes that edge only where the socket's buffer was full; a write that was cut short for another
+// system reports that edge only where the socket's buffer was full; a write that was cut short for another
 // reason (a signal, a shortage of memory) would wait for ever.
 #pragma once
 
@@ -41,46 +41,57 @@
   return text;
 }
 
+// One write_all(). Lives until `done` is called.
 template <class Socket, class Done>
 class StreamWrite : public std::enable_shared_from_this<StreamWrite<Socket, Done>> {
  public:
   StreamWrite(Socket& socket, std::string text, Done done)
-      : socket_(socket), text_(std::move(text)), done_(std::move(done)), pause_(socket.get_executor()) {}
+      : socket_(socket),
+        text_(std::move(text)),
+        done_(std::move(done)),
+        retry_timer_(socket.get_executor()) {}
 
-  void go_on() {
-    boost::system::error_code bad;
-    while (!bad && written_ < text_.size())
+  // Writes as much as the system takes, and waits where something is left.
+  void write_more() {
+    boost::system::error_code error;
+    while (!error && written_ < text_.size()) {
       written_ +=
-          socket_.write_some(boost::asio::buffer(text_.data() + written_, text_.size() - written_), bad);
-    if (would_block(bad)) return wait_for_room();
-    if (is_memory_shortage(bad)) return pause();
-    boost::asio::post(socket_.get_executor(), [self = this->shared_from_this(), bad] { self->done_(bad); });
+          socket_.write_some(boost::asio::buffer(text_.data() + written_, text_.size() - written_), error);
+    }
+    if (would_block(error)) return wait_until_writable();
+    if (is_memory_shortage(error)) return retry_later();
+    boost::asio::post(socket_.get_executor(),
+                      [self = this->shared_from_this(), error] { self->done_(error); });
   }
 
  private:
-  void wait_for_room() {
-    socket_.async_wait(Socket::wait_write, [self = this->shared_from_this()](boost::system::error_code bad) {
-      bad ? self->done_(bad) : self->go_on();
-    });
+  void wait_until_writable() {
+    socket_.async_wait(Socket::wait_write,
+                       [self = this->shared_from_this()](boost::system::error_code error) {
+                         if (error) return self->done_(error);
+                         self->write_more();
+                       });
   }
-  // The system has no memory for it now. Ends, as any write, once the socket is closed.
-  void pause() {
-    pause_.expires_after(kShortageRetryDelay);
-    pause_.async_wait([self = this->shared_from_this()](boost::system::error_code) { self->go_on(); });
+
+  // Ends, as any write, once the socket is closed.
+  void retry_later() {
+    retry_timer_.expires_after(kShortageRetryDelay);
+    retry_timer_.async_wait(
+        [self = this->shared_from_this()](boost::system::error_code /*error*/) { self->write_more(); });
   }
 
   Socket& socket_;
   std::string text_;
-  std::size_t written_ = 0;
+  std::size_t written_ = 0;  // bytes of `text_`
   Done done_;
-  boost::asio::steady_timer pause_;
+  boost::asio::steady_timer retry_timer_;
 };
 
 // Writes all of `text`, then calls `done` with the error, or none, from the loop, never from within. `socket`
-// is non-blocking, no other write to it is under way, and `done` keeps it alive. Closing it ends the write.
+// is non-blocking, no other write to it is in progress, and `done` keeps it alive. Closing it ends the write.
 template <class Socket, class Done>
 void write_all(Socket& socket, std::string text, Done done) {
-  std::make_shared<StreamWrite<Socket, Done>>(socket, std::move(text), std::move(done))->go_on();
+  std::make_shared<StreamWrite<Socket, Done>>(socket, std::move(text), std::move(done))->write_more();
 }
 
 }  // namespace heronvane
--- a/relay/core/timer.hpp
+++ b/relay/core/timer.hpp
@@ -1,8 +1,8 @@
-// One timer whose stale completions are deaf.
+// A timer that can be set again and cancelled safely.
 //
-// Cancelling or setting an Asio timer anew does not recall a handler that is already queued with success: it
+// Setting an Asio timer again, or cancelling it, does not recall a handler that is queued with success: it
 // would act for a time that does not count any more. Here a handler acts only for the setting that it was
-// made for. All timers of the relay that may be set anew or cancelled are of this class.
+// made for. All timers of the relay that may be set again or cancelled are of this class.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,22 +13,24 @@
 
 namespace heronvane {
 
+// Used from the loop's thread only.
 class Timer {
  public:
-  // A loop, or an executor of one.
+  // `loop` is an io_context or an executor of one, and outlives the timer.
   template <class Loop>
   explicit Timer(Loop&& loop) : timer_(std::forward<Loop>(loop)) {}
 
-  // Calls `then` once, after so long, unless the timer is set again or cancelled before `then` is called.
-  // While it is set `then` keeps this timer's owner alive, or the owner outlives the loop.
+  // Calls `then` once from the loop, after `delay`, unless the timer is set again or cancelled before. Until
+  // then `then` keeps this timer's owner alive, or the owner outlives the loop.
   template <class Duration, class Then>
-  void set(Duration after, Then then) {
-    timer_.expires_after(std::chrono::duration_cast<std::chrono::microseconds>(after));
+  void set(Duration delay, Then then) {
+    timer_.expires_after(std::chrono::duration_cast<std::chrono::microseconds>(delay));
     timer_.async_wait(
-        [this, setting = ++setting_, then = std::move(then)](boost::system::error_code stopped) mutable {
-          if (!stopped && setting == setting_) then();
+        [this, setting = ++setting_, then = std::move(then)](boost::system::error_code error) mutable {
+          if (!error && setting == setting_) then();
         });
   }
+
   void cancel() {
     ++setting_;
     timer_.cancel();
@@ -36,7 +38,7 @@
 
  private:
   boost::asio::steady_timer timer_;
-  std::uint64_t setting_ = 0;  // the present one; a cancelled one is none
+  std::uint64_t setting_ = 0;  // grows with each set() and cancel()
 };
 
 }  // namespace heronvane
--- a/relay/core/unavailable_endpoints.cpp
+++ b/relay/core/unavailable_endpoints.cpp
@@ -2,7 +2,9 @@
 
 #include <algorithm>
 #include <sstream>
+#include <tuple>
 #include <utility>
+#include <vector>
 
 namespace heronvane {
 
@@ -12,53 +14,64 @@
 
 namespace {
 
-const std::string kPrefix = "endpoint/";
-// Long past the lists that a restart may bring back. Lists that are older after that come from a discovery
+const std::string kKeyPrefix = "endpoint/";  // of the keys in the store
+const std::string kGone = "gone";
+const std::string kDraining = "draining";
+// Longer than a restart may bring old lists back. A list with a lower index after that comes from a discovery
 // that counts anew.
-constexpr Microseconds kLongest = 3'600'000'000;
-constexpr std::size_t kMost = 4096;  // the oldest that `known` does not name make room
+constexpr Microseconds kMaxAge = 3'600'000'000;
+constexpr std::size_t kMaxEndpoints = 4096;
+
+// Whether what is known of an endpoint holds against a list with that index.
+bool overrules(const Unavailability& known, std::int64_t index, const std::string& discovery,
+               Microseconds now) {
+  return known.discovery == discovery && index < known.index && now - known.since <= kMaxAge;
+}
 
 }  // namespace
 
 // "draining 41 1700000000000000 127.0.0.1:8500"
-std::string encode(const Unavailability& u) {
-  return std::string(u.listing == Listing::gone ? "gone " : "draining ") + std::to_string(u.index) + " " +
-         std::to_string(u.told) + " " + u.discovery;
+std::string encode(const Unavailability& unavailability) {
+  const std::string& listing = unavailability.listing == Listing::gone ? kGone : kDraining;
+  return listing + " " + std::to_string(unavailability.index) + " " + std::to_string(unavailability.since) +
+         " " + unavailability.discovery;
 }
 
 std::optional<Unavailability> decode_unavailability(const std::string& text) {
   std::istringstream in(text);
-  std::string word;
-  Unavailability u;
-  if (!(in >> word >> u.index >> u.told >> u.discovery) || (word != "gone" && word != "draining"))
-    return std::nullopt;
-  u.listing = word == "gone" ? Listing::gone : Listing::draining;
-  return u;
+  std::string listing;
+  Unavailability read;
+  if (!(in >> listing >> read.index >> read.since >> read.discovery)) return std::nullopt;
+  if (listing != kGone && listing != kDraining) return std::nullopt;
+  read.listing = listing == kGone ? Listing::gone : Listing::draining;
+  return read;
 }
 
 UnavailableEndpoints::UnavailableEndpoints(const std::map<std::string, std::string>& facts,
-                                           const EndpointList& known, Microseconds now, Keep keep)
+                                           const EndpointList& configured, Microseconds now, Keep keep)
     : keep_(std::move(keep)) {
-  for (const auto& m : known.endpoints) known_.insert(m.endpoint.id);
+  for (const auto& listed : configured.endpoints) configured_.insert(listed.endpoint.id);
   std::vector<std::string> dropped;
-  for (auto it = facts.lower_bound(kPrefix);
-       it != facts.end() && it->first.compare(0, kPrefix.size(), kPrefix) == 0; ++it) {
-    const EndpointId id = it->first.substr(kPrefix.size());
-    const auto unfit = decode_unavailability(it->second);
-    const bool old = unfit && now - unfit->told > kLongest && known_.count(id) == 0;
-    if (unfit && !old)
-      endpoints_.emplace(id, *unfit);
-    else
+  for (auto it = facts.lower_bound(kKeyPrefix); it != facts.end() && it->first.starts_with(kKeyPrefix);
+       ++it) {
+    const EndpointId id = it->first.substr(kKeyPrefix.size());
+    const auto read = decode_unavailability(it->second);
+    const bool is_outdated = read && now - read->since > kMaxAge && !configured_.contains(id);
+    if (read && !is_outdated) {
+      endpoints_.emplace(id, *read);
+    } else {
       dropped.push_back(it->first);
+    }
   }
+  // `facts` may be what `keep_` changes.
   for (const auto& key : dropped) keep_(key, "");
 }
 
 EndpointList UnavailableEndpoints::restrict_configured(EndpointList list) const {
-  std::erase_if(list.endpoints, [this](ListedEndpoint& m) {
-    const auto it = endpoints_.find(m.endpoint.id);
+  std::erase_if(list.endpoints, [this](ListedEndpoint& listed) {
+    const auto it = endpoints_.find(listed.endpoint.id);
     if (it == endpoints_.end()) return false;
-    m.endpoint.listing = it->second.listing;
+    listed.endpoint.listing = it->second.listing;
     return it->second.listing == Listing::gone;
   });
   return list;
@@ -66,18 +79,18 @@
 
 EndpointList UnavailableEndpoints::reconcile(EndpointList list, const std::string& discovery,
                                              Microseconds now) {
-  std::erase_if(list.endpoints, [&](ListedEndpoint& m) {
-    const auto it = endpoints_.find(m.endpoint.id);
-    const bool older = it != endpoints_.end() && it->second.discovery == discovery &&
-                       list.index < it->second.index && now - it->second.told <= kLongest;
-    if (older) {
-      m.endpoint.listing = it->second.listing;
-      return list.snapshot && m.endpoint.listing == Listing::gone;
+  std::erase_if(list.endpoints, [&](ListedEndpoint& listed) {
+    auto& endpoint = listed.endpoint;
+    const auto it = endpoints_.find(endpoint.id);
+    if (it != endpoints_.end() && overrules(it->second, list.index, discovery, now)) {
+      endpoint.listing = it->second.listing;
+      return list.snapshot && endpoint.listing == Listing::gone;
+    }
+    if (endpoint.listing == Listing::active) {
+      forget(endpoint.id);
+    } else {
+      remember(endpoint.id, {endpoint.listing, list.index, now, discovery});
     }
-    if (m.endpoint.listing == Listing::active)
-      forget(m.endpoint.id);
-    else
-      remember(m.endpoint.id, {m.endpoint.listing, list.index, now, discovery});
     return false;
   });
   return list;
@@ -88,30 +101,32 @@
   remember(endpoint, {Listing::gone, index, now, discovery});
 }
 
-void UnavailableEndpoints::remember(const EndpointId& endpoint, Unavailability unfit) {
+void UnavailableEndpoints::remember(const EndpointId& endpoint, Unavailability unavailability) {
   const auto it = endpoints_.find(endpoint);
-  // Told again: what it was first told by is as good.
-  if (it != endpoints_.end() && it->second.listing == unfit.listing &&
-      it->second.discovery == unfit.discovery)
+  // The first list that said so is as good.
+  if (it != endpoints_.end() && it->second.listing == unavailability.listing &&
+      it->second.discovery == unavailability.discovery) {
     return;
-  while (endpoints_.size() >= kMost) make_room();
-  const std::string text = encode(unfit);
-  endpoints_[endpoint] = std::move(unfit);
-  // It may be the one that makes room.
-  while (endpoints_.count(endpoint) > 0 && !keep_(kPrefix + endpoint, text) && endpoints_.size() > 1)
+  }
+  while (endpoints_.size() >= kMaxEndpoints) make_room();
+  const std::string text = encode(unavailability);
+  endpoints_[endpoint] = std::move(unavailability);
+  // The endpoint itself may be the one that is forgotten.
+  while (endpoints_.contains(endpoint) && !keep_(kKeyPrefix + endpoint, text) && endpoints_.size() > 1) {
     make_room();
+  }
 }
 
 void UnavailableEndpoints::forget(const EndpointId& endpoint) {
-  if (endpoints_.erase(endpoint) > 0) keep_(kPrefix + endpoint, "");
+  if (endpoints_.erase(endpoint) > 0) keep_(kKeyPrefix + endpoint, "");
 }
 
 void UnavailableEndpoints::make_room() {
-  const auto oldest =
-      std::min_element(endpoints_.begin(), endpoints_.end(), [this](const auto& a, const auto& b) {
-        return std::pair(known_.count(a.first), a.second.told) <
-               std::pair(known_.count(b.first), b.second.told);
-      });
+  const auto rank = [this](const auto& entry) {
+    return std::tuple(configured_.contains(entry.first), entry.second.since);
+  };
+  const auto oldest = std::min_element(endpoints_.begin(), endpoints_.end(),
+                                       [&](const auto& a, const auto& b) { return rank(a) < rank(b); });
   if (oldest != endpoints_.end()) forget(EndpointId(oldest->first));
 }
 
--- a/relay/core/unavailable_endpoints.hpp
+++ b/relay/core/unavailable_endpoints.hpp
@@ -1,11 +1,11 @@
-// What discovery told of endpoints that drain or are gone, as it outlasts the process. No input or output
-// here.
+// The endpoints that discovery listed as draining or gone, kept over restarts. No input or output here.
 //
-// After a restart the configuration's `known` list, or a list from a discovery that lags, may name such an
-// endpoint as ready. What was told holds until a list of the same discovery that is not older says otherwise,
-// or another discovery's does, or an hour is over: never until `known` does.
+// After a restart the configuration's list, or one from a discovery that lags, may name such an endpoint as
+// ready. What discovery said holds until a list of the same discovery that is not older says otherwise, or a
+// list of another discovery does, or an hour is over. The configuration's list never overrules it.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <functional>
 #include <map>
@@ -18,45 +18,51 @@
 
 namespace heronvane {
 
-// Of an endpoint that drains or is gone.
+// Why an endpoint is not to be used.
 struct Unavailability {
   heronvane::dispatch::Listing listing = heronvane::dispatch::Listing::draining;  // or gone
-  std::int64_t index = 0;                                                         // of the list that told it
-  heronvane::dispatch::Microseconds told = 0;                                     // lasting time
-  std::string discovery;                                                          // the address that told it
+  std::int64_t index = 0;                                                         // of the list that said so
+  heronvane::dispatch::Microseconds since = 0;  // time of the persistent clock
+  std::string discovery;                        // the address of the discovery that said so
 };
-// As kept in the store; nothing where the text is no such thing.
-std::string encode(const Unavailability& unfit);
+
+// The text that the durable store keeps.
+std::string encode(const Unavailability& unavailability);
+// Nothing where the text is malformed.
 std::optional<Unavailability> decode_unavailability(const std::string& text);
 
+// Times are those of the persistent clock. Not thread-safe.
 class UnavailableEndpoints {
  public:
-  // Keeps a value by its key over restarts, an empty one drops it; false where there is no room.
+  // Keeps a value by its key over restarts; an empty value drops the key. False where there is no room.
   using Keep = std::function<bool(const std::string& key, const std::string& value)>;
 
-  // Takes back from `facts` what earlier lives kept; what is older than an hour and not named by `known` is
-  // dropped. `now` is lasting time, here and below.
-  UnavailableEndpoints(const std::map<std::string, std::string>& facts, const EndpointList& known,
+  // Restores from `facts` what earlier incarnations kept. Drops what is malformed, or older than an hour and
+  // not named by `configured`, the configuration's list. `keep` is called while this lives.
+  UnavailableEndpoints(const std::map<std::string, std::string>& facts, const EndpointList& configured,
                        heronvane::dispatch::Microseconds now, Keep keep);
 
-  // The configuration's list as it holds: without those that are gone, with those that drain.
+  // The configuration's list as it holds: without endpoints that are gone, with others as draining.
   EndpointList restrict_configured(EndpointList list) const;
-  // A list or changes as told by `discovery`, as they hold; what they tell is remembered.
+
+  // A list of `discovery` as it holds, with stale entries overruled or left out. What it says is remembered.
   EndpointList reconcile(EndpointList list, const std::string& discovery,
                          heronvane::dispatch::Microseconds now);
-  // A whole list with that index does not name the endpoint any more.
+
+  // A snapshot with that index does not name the endpoint any more.
   void mark_gone(const heronvane::dispatch::EndpointId& endpoint, std::int64_t index,
                  const std::string& discovery, heronvane::dispatch::Microseconds now);
 
   std::size_t size() const { return endpoints_.size(); }
 
  private:
-  void remember(const heronvane::dispatch::EndpointId& endpoint, Unavailability unfit);
+  void remember(const heronvane::dispatch::EndpointId& endpoint, Unavailability unavailability);
   void forget(const heronvane::dispatch::EndpointId& endpoint);
+  // Forgets the oldest, first of those that the configuration does not name.
   void make_room();
 
   Keep keep_;
-  std::set<heronvane::dispatch::EndpointId> known_;
+  std::set<heronvane::dispatch::EndpointId> configured_;  // that the configuration names
   std::map<heronvane::dispatch::EndpointId, Unavailability> endpoints_;
 };
 
--- a/relay/endpoint_view.cpp
+++ b/relay/endpoint_view.cpp
@@ -99,7 +99,7 @@
   const Microseconds now = store.clock().now();
   for (const auto& state : cycle_.take_changed_state(kMostStates)) {
     const std::string key = learned_state_key(state.endpoint);
-    const std::string value = state.blank() ? std::string() : write_target(state, now);
+    const std::string value = state.blank() ? std::string() : encode(LearnedStateRecord{state, now});
     // Better nothing than a state that does not hold any more.
     if (!store.keep(key, value, kFactsPercent)) store.keep(key, {});
   }
--- a/relay/endpoint_view.hpp
+++ b/relay/endpoint_view.hpp
@@ -22,7 +22,7 @@
  public:
   struct Hooks {
     // Where an endpoint of a list is found.
-    Directory::Located located;
+    Directory::Named located;
     // An endpoint drains or is gone: nothing that has not begun is sent there.
     std::function<void(const EndpointId&)> inactive;
   };
--- a/tests/kept_test.cpp
+++ b/tests/kept_test.cpp
@@ -135,11 +135,11 @@
   m.last_failure_possibly_executed = true, m.batch_size = 4, m.retry_after_left = 1'000'000;
   m.backoff_delay = 0.75, m.send_rate = 12.5, m.consecutive_rejections = 2, m.first_rejection_age = 9,
   m.admission_probability = 0.5;
-  const auto text = write_target(m, kNow);
+  const auto text = encode(LearnedStateRecord{m, kNow});
   const auto read = decode_learned_state("s 1", text);
   ASSERT_TRUE(read.has_value());
-  EXPECT_EQ(read->learned, kNow);
-  EXPECT_EQ(write_target(read->memory, read->learned), text);
+  EXPECT_EQ(read->learned_at, kNow);
+  EXPECT_EQ(encode(*read), text);
   EXPECT_FALSE(decode_learned_state("s 1", text.substr(0, text.size() / 2)).has_value());
   EXPECT_FALSE(decode_learned_state("s 1", "2" + text.substr(1)).has_value()) << "of another form";
 }
@@ -147,7 +147,8 @@
 TEST(LearnedState, WaitsAreNotShortenedByAReboot) {
   heronvane::dispatch::LearnedState m;
   m.endpoint = "a", m.retry_after_left = 10'000'000;
-  const std::map<std::string, std::string> facts = {{learned_state_key("a"), write_target(m, kNow)}};
+  const std::map<std::string, std::string> facts = {
+      {learned_state_key("a"), encode(LearnedStateRecord{m, kNow})}};
   const Microseconds later = kNow + 8'000'000;
   const auto wait = [&](Microseconds gap, RestoredStates::Filter which) -> Microseconds {
     const auto r = RestoredStates(facts, which, later).take("a", later, gap);
@@ -163,7 +164,7 @@
 TEST(LearnedState, WhatWasNotSeenForAWeekIsOutdated) {
   heronvane::dispatch::LearnedState m;
   m.health = Health::ejected;
-  const auto text = write_target(m, kNow);
+  const auto text = encode(LearnedStateRecord{m, kNow});
   const std::map<std::string, std::string> facts = {{learned_state_key("a"), text},
                                                     {learned_state_key("b"), "what"}};
   const RestoredStates soon(facts, {true, true}, kNow + 7 * 24 * kHour);
