--- a/include/heronvane/dispatch/dispatcher.hpp
+++ b/include/heronvane/dispatch/dispatcher.hpp
@@ -26,27 +26,27 @@
 // What a repeated delivery of a request may do: `keyed` is idempotent by its idempotency key.
 enum class Idempotency { idempotent, keyed, non_idempotent };
 enum class KeyScope { all, zone, cell };         // which endpoints of a destination drop repeats
-enum class WeightDecay { linear, half_life };    // how worth falls after the aim
+enum class WeightDecay { linear, half_life };    // how a request's weight falls after the latency objective
 enum class WeightKind { none, nominal, rough };  // what Endpoint::weight holds
 
 struct ClassSettings {
-  double priority_weight = 1;                  // full worth of a message
+  double priority_weight = 1;                  // full weight of a request
   double weight_at_deadline = 0;               // share of it that is left at the deadline
-  Microseconds latency_objective = 1'000'000;  // delivered within this time, it earns the full worth
+  Microseconds latency_objective = 1'000'000;  // delivered within this time, it earns the full weight
   Microseconds deadline = 5'000'000;           // how long it may be delivered at all
   Idempotency idempotency = Idempotency::idempotent;
   KeyScope key_scope = KeyScope::all;
   Microseconds key_window = 0;  // keyed: how long a destination remembers the key
-  bool ordered = false;         // messages with the same order key go one at a time
+  bool ordered = false;         // requests with the same order key go one at a time
 };
 
 struct KindSettings {                // a kind of destination
-  bool per_endpoint_limits = false;  // each endpoint has its own limit, pace and outages
-  int max_batch_size = 1;            // messages in one call at most
+  bool per_endpoint_limits = false;  // each endpoint has its own limit, send rate and outages
+  int max_batch_size = 1;            // requests in one call at most
 };
 
 struct TenantSettings {
-  double quota_per_s = 0;  // messages a second within the share, over all relays
+  double quota_per_s = 0;  // requests a second, over all relays
 };
 
 struct Settings {
@@ -56,14 +56,14 @@
   std::vector<double> zone_costs;       // price of a route apart, by zone; may be empty
   WeightDecay decay = WeightDecay::linear;
   WeightKind weights = WeightKind::none;
-  double over_quota_weight = 1;  // worth beyond a tenant's share, as a fraction
+  double over_quota_weight = 1;  // weight beyond a tenant's quota, as a fraction
   int relays = 1;                // how many relays share the destinations
   int relay_index = 0;           // which of them this is
   int zone = 0;                  // where this relay stands
-  int max_concurrent_calls = 1;  // calls out at once
-  int max_in_flight = 1;         // messages held at once
-  int max_attempts = 1;          // attempts for one message
-  bool hedging = false;          // two attempts of a message may be out together
+  int max_concurrent_calls = 1;  // calls in flight at once
+  int max_in_flight = 1;         // requests held at once
+  int max_attempts = 1;          // attempts for one request
+  bool hedging = false;          // two attempts of a request may be in flight together
   bool cancellation = false;
   bool health_checks = false;
   bool gossip = false;
@@ -120,15 +120,15 @@
   // The endpoint. What follows its health is meant only where it is not open.
   Health health = Health::healthy;
   Microseconds time_in_health = 0;              // in it, or closed anew, for so long
-  double baseline_rate = 0;                     // calls a second of this relay before the trouble
+  double baseline_rate = 0;                     // calls a second of this relay before the outage
   double slow_start_budget = 0;                 // calls allowed at once, 0 to 1
   int consecutive_failures = 0;                 // failed calls since the last serve
   double failure_rate = 0;                      // share of failing calls, 0 to 1
   bool last_failure_possibly_executed = false;  // the last failed call may have run
   int batch_size = 0;                           // messages trusted to one call; 0: unknown
   // The target.
-  Microseconds retry_after_left = 0;     // of a told wait
-  double backoff_delay = 0;              // the LIMD delay in seconds, as aged; 0: none worth keeping
+  Microseconds retry_after_left = 0;     // of a Retry-After
+  double backoff_delay = 0;              // in seconds, as aged; 0: none worth keeping
   double send_rate = 0;                  // calls a second of this relay; 0: unbounded
   int consecutive_rejections = 0;        // since the last serve
   Microseconds first_rejection_age = 0;  // how long ago the first of them was
@@ -159,9 +159,9 @@
   std::string order_key;  // empty: none
   bool repeat = false;    // the client hands it in again
 };
-// A message that this relay had taken on in an earlier life, with what is known of its attempts. One that was
-// not tried yet goes before what comes in now, and is tried in its time where a wait, an outage or a pace
-// does not keep it back all along.
+// A request that a previous incarnation of this relay had taken on, with what is known of its attempts. One
+// that was not tried yet goes before what comes in now, and is tried in its time where a wait, an outage or a
+// pace does not keep it back all along.
 struct RequestRecovered {
   RequestArrived message;  // time_left may be below 0
   int attempts = 0;        // made so far; further ones count on from there
@@ -170,13 +170,13 @@
   std::optional<int> possibly_executed_zone;
   Microseconds possibly_executed_age = 0;
 };
-// What an earlier life of this relay had learned (Dispatcher::take_changed_state), `age` ago (at least 0).
-// Comes after the list that names its endpoint, best in the same round; ignored where the endpoint is not
+// What a previous incarnation of this relay had learned (Dispatcher::take_changed_state), `age` ago (at least
+// 0). Comes after the list that names its endpoint, best in the same round; ignored where the endpoint is not
 // listed. Where endpoints share a target and the destination is another now, its part is ignored. Values out
 // of range are brought into it.
 // - Of the records of a target's endpoints the latest counts for the target, in whatever order they come.
 // - Nothing overwrites what is newer: only the first record of an endpoint counts, its part only until a call
-//   there has ended, the target's until one at the target has. But a told wait holds in any case.
+//   there has ended, the target's until one at the target has. But a Retry-After holds in any case.
 // - In the time that passed waits run off, the delay ages and a ramp goes on. A closed endpoint stays as it
 //   was, for nobody looked after it; its next trial comes after a whole jittered delay.
 struct LearnedStateRestored {
@@ -280,7 +280,7 @@
 
   // What is worth keeping over a restart and has changed since it was last given, one entry an endpoint, at
   // most `most` entries; the rest come with the next call. `now` never goes back, here and in handle().
-  // Changes of health and told waits come at once, all others of an endpoint once a second at most, and
+  // Changes of health and Retry-Afters come at once, all others of an endpoint once a second at most, and
   // only when they are large. What is blank again, or left the list, is given once as blank; that the time
   // of a wait, a delay or a ramp is up comes so too. A change of a target is given for each of its
   // endpoints. Costs what has changed, not what is listed. Changes no decision.
--- a/src/call_cancellation.cpp
+++ b/src/call_cancellation.cpp
@@ -36,7 +36,7 @@
   pass.actions.add(action::Cancel{request.id, attempt});
 }
 
-bool CallCancellation::is_overdue(const Call& call, bool slots_short) const {
+bool CallCancellation::is_overdue(const Call& call, bool slots_short) {
   const EndpointCalls& at_endpoint = call.endpoint->calls;
   return at_endpoint.is_overtaken(call.sent_at) || (slots_short && at_endpoint.is_silent_since(call.sent_at));
 }
--- a/src/call_cancellation.hpp
+++ b/src/call_cancellation.hpp
@@ -30,7 +30,7 @@
   void cancel_if_overdue(Request& request, bool slots_short, DecisionPass& pass) const;
 
  private:
-  bool is_overdue(const Call& call, bool slots_short) const;
+  static bool is_overdue(const Call& call, bool slots_short);
   Microseconds cancel_at(const Request& request, const Call& call, bool slots_short) const;
 
   const RequestState& state_;
