--- a/src/checkpoint.cpp
+++ b/src/checkpoint.cpp
@@ -17,8 +17,8 @@
 
 }  // namespace
 
-void Checkpoint::schedule(const EndpointState& endpoint, ScopeState& scope, Microseconds moment) {
-  Microseconds& due_at = scope.checkpoint.due_at_;
+void Checkpoint::schedule(EndpointState& endpoint, Microseconds moment) {
+  Microseconds& due_at = endpoint.scope().checkpoint.due_at_;
   if (due_at <= moment) return;
   const bool own = endpoint.has_own_limits;
   Due due{due_at, own, own ? 0 : endpoint.info.destination, own ? endpoint.info.id : EndpointId()};
@@ -28,16 +28,16 @@
   due_.insert(std::move(due));
 }
 
-void Checkpoint::schedule_after_outcome(const EndpointState& endpoint, ScopeState& scope, Microseconds now) {
+void Checkpoint::schedule_after_outcome(EndpointState& endpoint, Microseconds now) {
+  const ScopeState& scope = endpoint.scope();
   const bool has_learned = scope.limits.has_learned(settings_) || !endpoint.health.is_healthy();
   if (!has_learned && !scope.checkpoint.may_be_stored_) return;
-  schedule(endpoint, scope,
-           std::max(now, scope.checkpoint.examined_at_ + microseconds(kCheckpointGapSeconds)));
+  schedule(endpoint, std::max(now, scope.checkpoint.examined_at_ + microseconds(kCheckpointGapSeconds)));
 }
 
-void Checkpoint::mark_stored(EndpointState& endpoint, ScopeState& scope) {
+void Checkpoint::mark_stored(EndpointState& endpoint) {
   endpoint.checkpoint.is_stored_ = true;
-  scope.checkpoint.may_be_stored_ = true;
+  endpoint.scope().checkpoint.may_be_stored_ = true;
 }
 
 LearnedState Checkpoint::state_of(const EndpointState& endpoint, const ScopeState& scope,
@@ -135,7 +135,7 @@
     }
     scope.checkpoint.may_be_stored_ |= mark.is_stored_;
     if (next == kNever) next = blank_at(*endpoint, scope, now);
-    if (next < kNever) schedule(*endpoint, scope, next);
+    if (next < kNever) schedule(*endpoint, next);
   }
 }
 
--- a/src/checkpoint.hpp
+++ b/src/checkpoint.hpp
@@ -25,12 +25,12 @@
   Checkpoint(const Settings& settings, const SlowStartPolicy& slow_start)
       : settings_(settings), slow_start_(slow_start) {}
 
-  // `scope` is the endpoint's, here and below. Its changes are given out at `moment` at the latest.
-  void schedule(const EndpointState& endpoint, ScopeState& scope, Microseconds moment);
+  // Changes of the endpoint and of its scope are given out at `moment` at the latest.
+  void schedule(EndpointState& endpoint, Microseconds moment);
   // After each outcome: nearly always there is nothing to give, or it is due already.
-  void schedule_after_outcome(const EndpointState& endpoint, ScopeState& scope, Microseconds now);
+  void schedule_after_outcome(EndpointState& endpoint, Microseconds now);
   // The store holds a record of the endpoint.
-  static void mark_stored(EndpointState& endpoint, ScopeState& scope);
+  static void mark_stored(EndpointState& endpoint);
 
   // Dispatcher::take_changed_state.
   std::vector<LearnedState> take_changed(Microseconds now, std::size_t most, EndpointRegistry& registry);
--- a/src/endpoint_tracker.cpp
+++ b/src/endpoint_tracker.cpp
@@ -68,9 +68,8 @@
   const std::optional<EndpointId> rejecting = RejectionGossip::parse(gossip.body);
   EndpointState* const endpoint = rejecting ? registry_.find(*rejecting) : nullptr;
   if (endpoint == nullptr) return;
-  ScopeState& scope = endpoint->scope();
-  scope.limits.slow_down_by_gossip(pass.now, shared_limits_);
-  checkpoint_.schedule_after_outcome(*endpoint, scope, pass.now);
+  endpoint->limits().slow_down_by_gossip(pass.now, shared_limits_);
+  checkpoint_.schedule_after_outcome(*endpoint, pass.now);
 }
 
 EndpointState* EndpointTracker::apply(const event::LearnedStateRestored& record, DecisionPass& pass) {
@@ -79,16 +78,15 @@
   if (endpoint == nullptr || endpoint->info.listing == Listing::gone || endpoint->is_restored) return nullptr;
   endpoint->is_restored = true;
   const Microseconds written = pass.now - bounded_duration(record.age);
-  ScopeState& scope = endpoint->scope();
   if (endpoint->has_own_limits || state.destination == endpoint->info.destination)
-    scope.limits.restore(pass.now, written, state);
+    endpoint->limits().restore(pass.now, written, state);
   const bool is_known = state.health == Health::ejected || state.health == Health::slow_start;
   const bool has_newer = endpoint->has_attempt_ended || !endpoint->health.is_healthy() ||
                          endpoint->evidence.consecutive_failures() > 0;
   if (is_known && !has_newer) restore_health(*endpoint, state, written, pass);
   update_health_check_slots(*endpoint);
-  Checkpoint::mark_stored(*endpoint, scope);
-  checkpoint_.schedule(*endpoint, scope, pass.now);
+  Checkpoint::mark_stored(*endpoint);
+  checkpoint_.schedule(*endpoint, pass.now);
   return endpoint;
 }
 
@@ -125,7 +123,7 @@
   const bool counts = !result.is_call_judged && ended.outcome != Outcome::not_sent && !was_overtaken;
   if (counts) {
     record_outcome(endpoint, ended, result, pass);
-    checkpoint_.schedule_after_outcome(endpoint, endpoint.scope(), pass.now);
+    checkpoint_.schedule_after_outcome(endpoint, pass.now);
   }
   if (result.is_last_of_call) {
     endpoint.batching.end_call(result.call);
@@ -288,7 +286,7 @@
 }
 
 void EndpointTracker::checkpoint_by(EndpointState& endpoint, Microseconds moment) {
-  checkpoint_.schedule(endpoint, endpoint.scope(), moment);
+  checkpoint_.schedule(endpoint, moment);
 }
 
 }  // namespace heronvane::dispatch
