--- a/relay/committer.cpp
+++ b/relay/committer.cpp
@@ -105,10 +105,11 @@
 
 bool Committer::keep(const std::string& key, const std::string& value) {
   if (writable_) return store_.keep(key, value);
-  if (value.empty() && store_.facts().count(key) == 0)
+  if (value.empty() && !store_.facts().contains(key)) {
     kept_meanwhile_.erase(key);
-  else
+  } else {
     kept_meanwhile_[key] = value;
+  }
   return true;
 }
 
--- a/relay/committer.hpp
+++ b/relay/committer.hpp
@@ -48,6 +48,8 @@
   Committer(boost::asio::io_context& io, store::Disk& folder, store::Options options, Hooks hooks);
   // Waits for syncs that are under way.
   ~Committer();
+  Committer(const Committer&) = delete;
+  Committer& operator=(const Committer&) = delete;
 
   // From here on the store's syncs are heard.
   void listen();
--- a/relay/core/in_flight_gauge.cpp
+++ b/relay/core/in_flight_gauge.cpp
@@ -36,12 +36,13 @@
   for (auto it = by_start_.rbegin(); it != by_start_.rend(); ++it) {
     const Microseconds age = now - it->first * kResolution;
     if (age > 30 * kSecond) break;
-    if (age <= 1 * kSecond)
+    if (age <= 1 * kSecond) {
       counts.up_to_1s += it->second;
-    else if (age <= 5 * kSecond)
+    } else if (age <= 5 * kSecond) {
       counts.up_to_5s += it->second;
-    else
+    } else {
       counts.up_to_30s += it->second;
+    }
     seen += it->second;
   }
   counts.more = in_flight_.size() - seen;
--- a/relay/endpoint_view.cpp
+++ b/relay/endpoint_view.cpp
@@ -43,10 +43,11 @@
   list_received_ = list_received_ || list.ends;
   for (const auto& id : changes.unfit) hooks_.unfit(id);
   // One complete list later, rather than all changes, while the module can't be asked.
-  if (committer_.is_writable())
+  if (committer_.is_writable()) {
     notify(changes.endpoints);
-  else
+  } else {
     resync_due_ = true;
+  }
 }
 
 // In parts: a module that is told of thousands at once would hold up clients.
--- a/relay/executor.cpp
+++ b/relay/executor.cpp
@@ -84,9 +84,10 @@
     return true;
   });
   if (messages.empty()) return;
-  if (HERONVANE_DEFECT_NOW("wrong-destination"))
+  if (HERONVANE_DEFECT_NOW("wrong-destination")) {
     for (const auto& other : endpoints_.all())
       if (other.destination != listed->destination) return calls_.send(other.id, std::move(messages));
+  }
   if (HERONVANE_DEFECT_NOW("send-twice")) calls_.send(endpoint, std::vector<Outgoing>(messages));
   calls_.send(endpoint, std::move(messages));
 }
@@ -103,10 +104,11 @@
   ended.endpoint = endpoint;
   ended.outcome = Outcome::not_sent;
   store::Store& store = committer_.store();
-  if (store.find(ended.id) != nullptr)
+  if (store.find(ended.id) != nullptr) {
     store.outcome(ended.id, ended.attempt, ended.outcome);
-  else
+  } else {
     ended.request_completed = true;
+  }
   hooks_.withdrawn(ended);
 }
 
--- a/relay/relay_requests.cpp
+++ b/relay/relay_requests.cpp
@@ -172,10 +172,11 @@
       [&](const action::SetTimer& timer) { cycle_.set_timer(timer.after, timer.token); },
       [&](const action::PollEndpointList&) { platform_.fetch(); },
       [&](const action::Subscribe& subscribe) {
-        if (subscribe.on)
+        if (subscribe.on) {
           platform_.watch();
-        else
+        } else {
           platform_.unwatch();
+        }
       },
       [](const action::CheckHealth&) {},  // the settings of a relay ask for none
       [&](const action::SendGossip& gossip) {
@@ -196,10 +197,11 @@
   if (ended.request_completed && HERONVANE_DEFECT_NOW("end-after-delivery")) notify_late(ended.id, {});
 #endif
   HERONVANE_POINT("outcome.came");
-  if (ended.request_completed)
+  if (ended.request_completed) {
     completed(ended.id);
-  else if (store_.find(ended.id) != nullptr)
+  } else if (store_.find(ended.id) != nullptr) {
     store_.outcome(ended.id, ended.attempt, ended.outcome);
+  }
   committer_.commit_soon();
   cycle_.notify(ended);
   if (cycle_.dispatcher().queued_requests() > 0) cycle_.schedule(DecisionCycle::Urgency::urgent);
--- a/relay/status_reporter.cpp
+++ b/relay/status_reporter.cpp
@@ -56,6 +56,7 @@
   DIR* const all = ::opendir("/proc/self/fd");
   if (all == nullptr) return 0;
   std::uint64_t count = 0;
+  // NOLINTNEXTLINE(concurrency-mt-unsafe): the directory stream is this call's own
   while (const dirent* one = ::readdir(all)) count += one->d_name[0] != '.';
   ::closedir(all);
   return count - 1;  // the one that looks
