--- a/relay/relay_requests.cpp
+++ b/relay/relay_requests.cpp
@@ -190,8 +190,10 @@
 // ---- Outcomes. ----
 void RelayServer::on_attempt_ended(const event::AttemptEnded& outcome) {
   event::AttemptEnded ended = outcome;
-  const bool may_have_run = ended.outcome == Outcome::error || ended.outcome == Outcome::reset;
-  if (HERONVANE_DEFECT("resend-in-doubt") && may_have_run) ended.outcome = Outcome::rejected;
+  if (HERONVANE_DEFECT("resend-in-doubt") &&
+      (ended.outcome == Outcome::error || ended.outcome == Outcome::reset)) {
+    ended.outcome = Outcome::rejected;
+  }
   if (HERONVANE_DEFECT("ignore-wait")) ended.retry_after = 0;
 #ifdef HERONVANE_FAIL_POINTS
   if (ended.request_completed && HERONVANE_DEFECT_NOW("end-after-delivery")) notify_late(ended.id, {});
@@ -228,9 +230,10 @@
   }
 }
 
-void RelayServer::reject_uncommitted(std::vector<WriteAheadPlan::PendingReply> replies, CommitFailure why) {
+void RelayServer::reject_uncommitted(const std::vector<WriteAheadPlan::PendingReply>& replies,
+                                     CommitFailure why) {
   const ClientReply reply = why == CommitFailure::not_written ? kUnavailable : kOutcomeUnknown;
-  for (auto& pending : replies) {
+  for (const auto& pending : replies) {
     HERONVANE_POINT("turn-away.before");
     pending.callback(reply);
     if (pending.id == 0) continue;
--- a/relay/relay_server.cpp
+++ b/relay/relay_server.cpp
@@ -60,7 +60,7 @@
 // Bound and listening: who connects from now on waits until the intake accepts.
 net::ip::tcp::acceptor listening(net::io_context& io, const net::ip::tcp::endpoint& address) {
   try {
-    return net::ip::tcp::acceptor(io, address);
+    return {io, address};
   } catch (const boost::system::system_error& e) {
     throw startup::StartError(startup::Step::listener, startup::persistence_of(e.code()),
                               "listen: " + text_of(address) + ": " + e.code().message());
@@ -156,8 +156,8 @@
 Committer::Hooks RelayServer::commit_hooks() {
   Committer::Hooks hooks;
   hooks.execute = [this](WriteAheadPlan plan) { execute(std::move(plan)); };
-  hooks.reject = [this](std::vector<WriteAheadPlan::PendingReply> replies, CommitFailure why) {
-    reject_uncommitted(std::move(replies), why);
+  hooks.reject = [this](const std::vector<WriteAheadPlan::PendingReply>& replies, CommitFailure why) {
+    reject_uncommitted(replies, why);
   };
   hooks.withdrawn = [this](const EndpointId& endpoint, const Outgoing& message) {
     executor_.take_back(endpoint, message);
--- a/relay/relay_server.hpp
+++ b/relay/relay_server.hpp
@@ -83,20 +83,20 @@
   bool is_known(const std::string& client_id) const;
   void reject(const ReplyCallback& reply, RejectReason reason);
   void completed(MessageId id, bool was_acknowledged = true);
-  void end_request(WriteAheadPlan& plan, MessageId id, const Ending& ending);
+  void end_request(WriteAheadPlan& plan, MessageId id, const Ending& decided);
   void expire_overdue();
 
   // The decision cycle.
   void run_cycle();
   void admit_queued();
   void decide(WriteAheadPlan& plan);
-  void apply(WriteAheadPlan& plan, const heronvane::dispatch::Action& action);
+  void apply(WriteAheadPlan& plan, const heronvane::dispatch::Action& decided);
   heronvane::dispatch::event::RequestArrived arrival(MessageId id, const Message& message) const;
 
   // Outcomes.
   void on_attempt_ended(const heronvane::dispatch::event::AttemptEnded& outcome);
   void execute(WriteAheadPlan plan);
-  void reject_uncommitted(std::vector<WriteAheadPlan::PendingReply> replies, CommitFailure why);
+  void reject_uncommitted(const std::vector<WriteAheadPlan::PendingReply>& replies, CommitFailure why);
 #ifdef HERONVANE_FAIL_POINTS
   void notify_late(MessageId id, const Ending& ending);
 #endif
