--- a/src/call_sender.cpp
+++ b/src/call_sender.cpp
@@ -25,7 +25,7 @@
   const Microseconds retry_at = choice.ineligibility.retry_at;
   if (choice.endpoint == nullptr) return {choice.ineligibility.kind(), retry_at};
   EndpointState& endpoint = *choice.endpoint;
-  if (selection_.needs_admission(request, endpoint, pass) && !endpoint.limits().admit(pass)) {
+  if (EndpointSelection::needs_admission(request, endpoint, pass) && !endpoint.limits().admit(pass)) {
     // Another endpoint may take it in the next pass.
     if (destination->endpoints.size() > 1) pass.wake_up.no_later_than(pass.now);
     return {SendResult::Kind::retry_next_pass, retry_at};
--- a/src/endpoint_selection.hpp
+++ b/src/endpoint_selection.hpp
@@ -43,7 +43,7 @@
   Choice choose(Request& request, const DestinationState& destination, DecisionPass& pass);
 
   // Whether the destination's admission probability has to let a call to the endpoint pass.
-  bool needs_admission(const Request& request, EndpointState& endpoint, const DecisionPass& pass);
+  static bool needs_admission(const Request& request, EndpointState& endpoint, const DecisionPass& pass);
 
  private:
   bool is_eligible(Request& request, EndpointState& endpoint, Ineligibility& reasons, DecisionPass& pass);
