--- a/fleet/fleet_file.cpp
+++ b/fleet/fleet_file.cpp
@@ -6,9 +6,9 @@
 
 #include "config.hpp"
 #include "default_settings.hpp"
+#include "endpoint_list.hpp"
 #include "fields.hpp"
 #include "json.hpp"
-#include "endpoint_list.hpp"
 #include "operator_settings.hpp"
 #include "partners.hpp"
 
--- a/fleet/main.cpp
+++ b/fleet/main.cpp
@@ -18,8 +18,8 @@
 
 #include "agent.hpp"
 #include "api_server.hpp"
-#include "log.hpp"
 #include "endpoint_list.hpp"
+#include "log.hpp"
 
 namespace {
 
--- a/fleet/platform_host.cpp
+++ b/fleet/platform_host.cpp
@@ -3,8 +3,8 @@
 #include <chrono>
 #include <stdexcept>
 
-#include "log.hpp"
 #include "endpoint_list.hpp"
+#include "log.hpp"
 #include "partners.hpp"
 
 namespace heronvane::fleet {
