--- a/tools/lint/run.sh
+++ b/tools/lint/run.sh
@@ -62,14 +62,14 @@
 }
 
 configure() {
-  cmake -S . -B "$build" -DCMAKE_BUILD_TYPE=Release -DCMAKE_EXPORT_COMPILE_COMMANDS=ON -DHERONVANE_TESTS=ON \
-    >/dev/null 2>"$build.log" || { cat "$build.log"; return 1; }
-  rm -f "$build.log"
+  local log
+  log=$(cmake -S . -B "$build" -DCMAKE_BUILD_TYPE=Release -DCMAKE_EXPORT_COMPILE_COMMANDS=ON -DHERONVANE_TESTS=ON 2>&1) ||
+    { printf '%s\n' "$log" >&2; return 1; }
 }
 
 check_tidy() {
   (($#)) || return 0
-  configure
+  configure || return 1
   python3 tools/lint/tidy.py --build "$build" --cache "${LINT_CACHE:-$(default_cache)}" --jobs "$jobs" "$@"
 }
 
