--- a/tools/lint/tidy.py
+++ b/tools/lint/tidy.py
@@ -48,7 +48,7 @@
     def __init__(self, match):
         self.file = os.path.normpath(match["file"])
         self.check = match["checks"].split(",")[0]
-        self.lines = [match[0]]
+        self.lines = [self.file + match[0][len(match["file"]):]]
 
 
 class ContentHashes:
