--- a/tools/lint/tidy.py
+++ b/tools/lint/tidy.py
@@ -22,8 +22,6 @@
 import threading
 
 ROOT = pathlib.Path(__file__).resolve().parents[2]
-# A file that is in no target and near none is compiled with the flags of this one.
-FALLBACK_SOURCE = "relay/relay.cpp"
 EXTRA_ARGUMENTS = [
     "-Wno-unknown-warning-option",  # the compile commands carry GCC's
     "-Wno-pragma-once-outside-header",  # a header may be the main file
@@ -83,7 +81,10 @@
 
 
 def command_near(file, commands):
-    """The command of the source beside a header, of another file in its folder, or of one in a folder above."""
+    """The command of the source beside a header, of another file in its folder, or of one in a folder above.
+
+    Where there is none, the command with the most include folders.
+    """
     twin = str(pathlib.PurePath(file).with_suffix(".cpp"))
     if twin in commands:
         return commands[twin]
@@ -93,7 +94,7 @@
             if path.startswith(folder + "/"):
                 return commands[path]
         folder = os.path.dirname(folder)
-    return commands[FALLBACK_SOURCE]
+    return max(commands.values(), key=lambda command: sum(word.startswith("-I") for word in command[0]))
 
 
 def source_units(paths, commands):
