--- a/relay/admin_port.cpp
+++ b/relay/admin_port.cpp
@@ -22,7 +22,9 @@
   RequestHandler(const AdminContext& relay, const Admin::Reply& reply) : relay_(relay), reply_(reply) {}
 
   void operator()(const AdminAnswer& rejection) const { reply_(rejection); }
-  void operator()(const admin::GetStatus&) const { reply_({200, status_json(relay_.status.status())}); }
+  void operator()(const admin::GetStatus& /*asked*/) const {
+    reply_({200, status_json(relay_.status.status())});
+  }
 
   void operator()(const admin::GetMessage& asked) const {
     const auto id = relay_.requests.find(asked.id);
@@ -35,28 +37,30 @@
   }
 
   void operator()(const admin::Drain& asked) const {
-    if (!relay_.config.own.admin.drain)
+    if (!relay_.config.own.admin.drain) {
       return reply_(admin_error(403, "off", "this relay takes no drains",
                                 "set drain = true under [admin] in its settings and start it anew"));
+    }
     change_drain({asked.fence, asked.fence}, [&store = relay_.store, &requests = relay_.requests] {
       const std::size_t held = store.held().size() + requests.queued();
-      return "{\"draining\":true,\"held\":" + std::to_string(held) + "}";
+      return R"({"draining":true,"held":)" + std::to_string(held) + "}";
     });
   }
 
   void operator()(const admin::Undrain& asked) const {
-    change_drain({asked.fence, std::nullopt}, [] { return std::string("{\"draining\":false}"); });
+    change_drain({asked.fence, std::nullopt}, [] { return std::string(R"({"draining":false})"); });
   }
 
   void operator()(const admin::RaiseFence& asked) const {
     change_drain({asked.fence, relay_.drain.drain_fence()},
-                 [fence = asked.fence] { return "{\"fence\":" + std::to_string(fence) + "}"; });
+                 [fence = asked.fence] { return R"({"fence":)" + std::to_string(fence) + "}"; });
   }
 
   void operator()(const admin::TakeOver& asked) const {
-    if (!relay_.config.own.copies.on)
+    if (!relay_.config.own.copies.on) {
       return reply_(admin_error(409, "off", "this relay keeps no copies of others' logs",
                                 "[copies] in its settings; docs/operate/copies.md"));
+    }
     const std::string why_not =
         relay_.copies.ready() ? relay_.copies.take_over(asked.name) : "its own log is not known to stand yet";
     if (!why_not.empty())
--- a/relay/admin_port_disabled.cpp
+++ b/relay/admin_port_disabled.cpp
@@ -5,6 +5,7 @@
 
 namespace heronvane {
 
+// NOLINTNEXTLINE(performance-unnecessary-value-param): the build with the socket keeps the context
 std::unique_ptr<Front> open_admin_front(boost::asio::io_context& /*io*/, const Config& config,
                                         AdminContextSource /*context*/) {
   if (!config.own.admin.socket) return std::make_unique<NoAdminFront>();
--- a/relay/core/drain.cpp
+++ b/relay/core/drain.cpp
@@ -37,7 +37,7 @@
   folder.remove(kUnfinished);
   store::FileId file = -1;
   if (const auto bad = folder.open(kUnfinished, store::Disk::Access::create, file)) return bad;
-  const std::string text = "{\"fence\":" + std::to_string(fence) + ",\"run\":\"" + run + "\"}\n";
+  const std::string text = R"({"fence":)" + std::to_string(fence) + R"(,"run":")" + run + "\"}\n";
   std::size_t done = 0;
   auto bad = folder.write(file, 0, text, done);
   if (!bad) bad = folder.sync(file);
--- a/relay/core/in_flight_gauge.cpp
+++ b/relay/core/in_flight_gauge.cpp
@@ -1,6 +1,7 @@
 #include "core/in_flight_gauge.hpp"
 
 #include <algorithm>
+#include <ranges>
 
 namespace heronvane {
 namespace {
@@ -33,17 +34,17 @@
   counts.oldest = std::max<Microseconds>(0, now - by_start_.begin()->first * kResolution);
   // The newest first: what is older than the last bound is the rest, and is not looked at.
   std::size_t seen = 0;
-  for (auto it = by_start_.rbegin(); it != by_start_.rend(); ++it) {
-    const Microseconds age = now - it->first * kResolution;
+  for (const auto& [started, count] : std::views::reverse(by_start_)) {
+    const Microseconds age = now - started * kResolution;
     if (age > 30 * kSecond) break;
     if (age <= 1 * kSecond) {
-      counts.up_to_1s += it->second;
+      counts.up_to_1s += count;
     } else if (age <= 5 * kSecond) {
-      counts.up_to_5s += it->second;
+      counts.up_to_5s += count;
     } else {
-      counts.up_to_30s += it->second;
+      counts.up_to_30s += count;
     }
-    seen += it->second;
+    seen += count;
   }
   counts.more = in_flight_.size() - seen;
   return counts;
--- a/relay/core/timer.hpp
+++ b/relay/core/timer.hpp
@@ -5,6 +5,7 @@
 // made for. All timers of the relay that may be set again or cancelled are of this class.
 #pragma once
 
+#include <boost/asio/any_io_executor.hpp>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <chrono>
@@ -16,9 +17,9 @@
 // Used from the loop's thread only.
 class Timer {
  public:
-  // `loop` is an io_context or an executor of one, and outlives the timer.
-  template <class Loop>
-  explicit Timer(Loop&& loop) : timer_(std::forward<Loop>(loop)) {}
+  // The loop outlives the timer.
+  explicit Timer(boost::asio::io_context& loop) : timer_(loop) {}
+  explicit Timer(const boost::asio::any_io_executor& executor) : timer_(executor) {}
 
   // Calls `then` once from the loop, after `delay`, unless the timer is set again or cancelled before. Until
   // then `then` keeps this timer's owner alive, or the owner outlives the loop.
--- a/relay/drain_controller.cpp
+++ b/relay/drain_controller.cpp
@@ -22,16 +22,18 @@
     : folder_(folder), run_(std::move(run)), hooks_(std::move(hooks)), state_(restored), timer_(io) {}
 
 void DrainController::end_at_start(Fence fence, store::Store& store) {
-  if (fence < state_.fence)
+  if (fence < state_.fence) {
     throw std::runtime_error("--undrain: fence " + std::to_string(fence) + " is lower than " +
                              std::to_string(state_.fence) +
                              ", the highest seen: a later operation has this relay");
+  }
   const DrainState ended{fence, std::nullopt};
   const bool kept =
       keep_drain(ended, [&store](const auto& key, const auto& value) { return store.keep(key, value); });
-  if (!kept || !store.commit())
+  if (!kept || !store.commit()) {
     throw startup::StartError(startup::Step::recovery, startup::Persistence::transient,
                               "--undrain: can't be kept: " + store.trouble());
+  }
   state_ = ended;
 }
 
--- a/relay/standalone_log.cpp
+++ b/relay/standalone_log.cpp
@@ -20,11 +20,12 @@
   for (auto it = facts.lower_bound(prefix); it != facts.end(); ++it)
     if (it->first.starts_with(prefix)) keys.push_back(it->first);
   if (keys.empty()) return;
-  if (!store_.held().empty() && !force_own_)
+  if (!store_.held().empty() && !force_own_) {
     throw std::runtime_error(
         "settings: without [copies], but others hold copies of what this folder holds and may have taken it "
         "over: start it with them, and drain it first; --force-own goes on all the same, and what was taken "
         "over may run twice");
+  }
   for (const auto& key : keys) store_.put(store::record::Fact{key, {}});
 }
 
