--- a/adapter/fields.hpp
+++ b/adapter/fields.hpp
@@ -21,12 +21,15 @@
   WireError(const std::string& path, const std::string& reason) : std::runtime_error(path + ": " + reason) {}
 };
 
+// A JSON value of a document that outlives its readers.
 using Value = rapidjson::Value;
 
+// Throws WireError: what is wrong with the value at `path`.
 [[noreturn]] inline void throw_malformed(const std::string& path, const std::string& reason) {
   throw WireError(path, reason);
 }
 
+// The readers below return the value as their type, or throw WireError where it is of another one.
 inline const Value& as_object(const Value& value, const std::string& path) {
   if (!value.IsObject()) throw_malformed(path, "must be an object");
   return value;
@@ -73,6 +76,7 @@
 // from overflowing.
 constexpr std::int64_t kMaxDuration = 10'000'000'000'000;        // 115 days
 constexpr std::int64_t kMaxTimestamp = 100'000'000'000'000'000;  // 3170 years
+// Converts fields whose names end in Ms.
 constexpr std::int64_t kMicrosecondsPerMillisecond = 1000;
 
 // Microseconds.
--- a/adapter/settings.hpp
+++ b/adapter/settings.hpp
@@ -27,6 +27,7 @@
 // The index of a name, or kUnknownIndex.
 int index_of(const NameIndex& names, const std::string& name);
 
+// The settings, and the names that they number.
 struct ParsedSettings {
   Settings settings;
   NameTables names;
--- a/relay/admin_port.hpp
+++ b/relay/admin_port.hpp
@@ -33,6 +33,7 @@
 std::unique_ptr<Front> open_admin_front(boost::asio::io_context& io, const Config& config,
                                         AdminContextSource context);
 
+// The front that nobody enters.
 class NoAdminFront : public Front {
  public:
   void start() override {}
--- a/relay/config.hpp
+++ b/relay/config.hpp
@@ -17,6 +17,7 @@
 
 namespace heronvane {
 
+// The relay's configuration as read from its file and the operator's settings; checked.
 struct Config {
   std::string name;
   boost::asio::ip::tcp::endpoint listen;     // of the listener for clients
--- a/relay/core/cycle_pacing.hpp
+++ b/relay/core/cycle_pacing.hpp
@@ -11,6 +11,7 @@
 
 namespace heronvane {
 
+// Says how soon the next decision cycle may run.
 class CyclePacing {
  public:
   using Microseconds = heronvane::dispatch::Microseconds;
--- a/relay/core/drain.hpp
+++ b/relay/core/drain.hpp
@@ -17,6 +17,7 @@
 
 namespace heronvane {
 
+// The fencing token of an operator's operation: one that is lower than the highest seen is refused.
 using Fence = std::int64_t;
 // Operations' ids go on from the highest fence seen: a slip of the hand must not leave them no room, nor a
 // number that JSON's readers can't tell from the next.
--- a/relay/core/suspend_detector.hpp
+++ b/relay/core/suspend_detector.hpp
@@ -15,6 +15,7 @@
   return static_cast<Microseconds>(t.tv_sec) * 1'000'000 + t.tv_nsec / 1'000;
 }
 
+// Finds gaps between its calls that are longer than a heartbeat explains.
 class SuspendDetector {
  public:
   static constexpr Microseconds kHeartbeatInterval = 500'000;   // the loop turns at least so often
--- a/relay/endpoint_list.hpp
+++ b/relay/endpoint_list.hpp
@@ -11,6 +11,7 @@
 
 namespace heronvane {
 
+// An entry of the list, and where it is found.
 struct ListedEndpoint {
   heronvane::dispatch::Endpoint endpoint;
   boost::asio::ip::tcp::endpoint address;
--- a/src/admission.hpp
+++ b/src/admission.hpp
@@ -7,6 +7,7 @@
 
 namespace heronvane::dispatch {
 
+// The admission probability of one rate-limit scope.
 class Admission {
  public:
   // The share of attempts admitted at `now`, in (0, 1]; recovers with time.
--- a/src/backoff.hpp
+++ b/src/backoff.hpp
@@ -35,6 +35,7 @@
   double unit_;  // seconds
 };
 
+// The backoff delay of one rate-limit scope.
 class Backoff {
  public:
   explicit Backoff(const BackoffScale& scale) : scale_(scale) {}
--- a/src/batching.hpp
+++ b/src/batching.hpp
@@ -6,6 +6,7 @@
 
 namespace heronvane::dispatch {
 
+// The batch size that one endpoint is trusted with, and its call that still has room.
 class Batching {
  public:
   // `most`: requests in one call, by the settings of the destination's kind.
--- a/src/call_cancellation.hpp
+++ b/src/call_cancellation.hpp
@@ -16,6 +16,7 @@
 
 namespace heronvane::dispatch {
 
+// Finds overdue attempts and cancels them. Refers to its owners, keeps nothing.
 class CallCancellation {
  public:
   // Both must outlive it.
--- a/src/call_sender.hpp
+++ b/src/call_sender.hpp
@@ -15,6 +15,7 @@
 
 namespace heronvane::dispatch {
 
+// Sends requests: starts calls, or adds to those of the same pass.
 class CallSender final : public RequestSender {
  public:
   CallSender(RequestState& state, RequestLifecycle& lifecycle, EndpointTracker& endpoints);
--- a/src/call_table.hpp
+++ b/src/call_table.hpp
@@ -14,6 +14,7 @@
 
 struct EndpointState;
 
+// A call in flight.
 struct Call {
   EndpointState* endpoint = nullptr;  // which outlives the call
   Microseconds sent_at = 0;
@@ -24,6 +25,7 @@
   int batch_size() const { return static_cast<int>(requests.size()); }
 };
 
+// All calls in flight.
 class CallTable {
  public:
   // `max_concurrent_calls`: calls in flight at once at most.
--- a/src/checkpoint.hpp
+++ b/src/checkpoint.hpp
@@ -19,6 +19,7 @@
 // Between two records of one endpoint that tell nothing urgent, in seconds.
 constexpr double kCheckpointGapSeconds = 1;
 
+// Collects what changed since it was last given out to be stored.
 class Checkpoint : public ForgottenListener {
  public:
   // Both must outlive it.
--- a/src/checkpoint_marks.hpp
+++ b/src/checkpoint_marks.hpp
@@ -6,6 +6,7 @@
 
 namespace heronvane::dispatch {
 
+// When a scope is to be looked at again for changes worth storing.
 class ScopeMark {
   friend class Checkpoint;
 
--- a/src/concurrency.hpp
+++ b/src/concurrency.hpp
@@ -29,6 +29,7 @@
   std::size_t in_use_ = 0;
 };
 
+// The call limit of one endpoint.
 class ConcurrencyLimit {
  public:
   // What the limit follows from, of the endpoint.
--- a/src/connection_reuse.hpp
+++ b/src/connection_reuse.hpp
@@ -6,6 +6,7 @@
 
 namespace heronvane::dispatch {
 
+// How often one endpoint is called, and so whether its idle connections are worth keeping.
 class ConnectionReuse {
  public:
   // A new endpoint: until calls tell more, the fleet is taken to make one call a second.
--- a/src/dispatcher_factory.hpp
+++ b/src/dispatcher_factory.hpp
@@ -8,6 +8,7 @@
 
 namespace heronvane::dispatch {
 
+// Makes dispatchers with a scheduler of the caller.
 class DispatcherFactory {
  public:
   // Throws std::invalid_argument where the settings make no sense. `make_scheduler` is called once, here.
--- a/src/endpoint_calls.hpp
+++ b/src/endpoint_calls.hpp
@@ -9,6 +9,7 @@
 
 namespace heronvane::dispatch {
 
+// The calls in flight to one endpoint.
 class EndpointCalls {
  public:
   std::size_t size() const { return in_flight_.size(); }
--- a/src/endpoint_health.hpp
+++ b/src/endpoint_health.hpp
@@ -20,6 +20,7 @@
   warmed_up,              // slow_start -> healthy
 };
 
+// The health of one endpoint: a state machine.
 class EndpointHealth {
  public:
   Health state() const { return state_; }
--- a/src/endpoint_registry.hpp
+++ b/src/endpoint_registry.hpp
@@ -22,6 +22,7 @@
   virtual void destination_forgotten(DestinationId id, const DestinationState& destination) = 0;
 };
 
+// All endpoints and destinations.
 class EndpointRegistry {
  public:
   // `settings` must outlive it.
--- a/src/endpoint_selection.hpp
+++ b/src/endpoint_selection.hpp
@@ -30,6 +30,7 @@
   SendResult::Kind kind() const;
 };
 
+// Chooses an endpoint for a request. Refers to its owners, keeps nothing.
 class EndpointSelection {
  public:
   EndpointSelection(const RequestState& state, EndpointTracker& endpoints);
--- a/src/endpoint_state.hpp
+++ b/src/endpoint_state.hpp
@@ -61,6 +61,7 @@
   static constexpr double kDemandMemorySeconds = 30;  // long: a relay may make few calls a minute
 };
 
+// A destination: its scope, and its endpoints in the order of their arrival.
 struct DestinationState {
   explicit DestinationState(const BackoffScale& scale) : scope(scale) {}
 
--- a/src/endpoint_tracker.hpp
+++ b/src/endpoint_tracker.hpp
@@ -23,6 +23,7 @@
 
 namespace heronvane::dispatch {
 
+// Coordinates the owners of what is known of endpoints.
 class EndpointTracker {
  public:
   // `settings` must outlive it.
--- a/src/latency.hpp
+++ b/src/latency.hpp
@@ -19,6 +19,7 @@
   double value_ = 1;
 };
 
+// The latency of one endpoint, recent and in the long run.
 class LatencyEstimate {
  public:
   // In seconds; stretched by calls that timed out.
--- a/src/list_polling.hpp
+++ b/src/list_polling.hpp
@@ -6,6 +6,7 @@
 
 namespace heronvane::dispatch {
 
+// When to poll for the endpoint list.
 class ListPolling {
  public:
   // A list or a change of it came. It does not put off a poll that is due: it may be one of several parts, or
--- a/src/load_shedding.hpp
+++ b/src/load_shedding.hpp
@@ -11,6 +11,7 @@
 
 namespace heronvane::dispatch {
 
+// How many requests are too many, and which of them may be rejected for that.
 class LoadShedding {
  public:
   explicit LoadShedding(const Settings& settings) : settings_(settings) {}
--- a/src/order_keys.hpp
+++ b/src/order_keys.hpp
@@ -14,6 +14,7 @@
 
 namespace heronvane::dispatch {
 
+// The lines of all order keys.
 class OrderKeys {
  public:
   // Puts the request at the end of its key's line.
--- a/src/rate_limit_scope.hpp
+++ b/src/rate_limit_scope.hpp
@@ -27,6 +27,7 @@
   RejectionGossip gossip;
 };
 
+// The limits of one scope.
 class RateLimitScope {
  public:
   explicit RateLimitScope(const BackoffScale& scale) : backoff_(scale) {}
--- a/src/reevaluation_queue.hpp
+++ b/src/reevaluation_queue.hpp
@@ -15,6 +15,7 @@
 
 namespace heronvane::dispatch {
 
+// The requests to look at in this pass, and the moments at which to look at others.
 class ReevaluationQueue {
  public:
   // Something happened to the request: it is looked at in this pass.
--- a/src/rejection_gossip.hpp
+++ b/src/rejection_gossip.hpp
@@ -10,6 +10,7 @@
 
 namespace heronvane::dispatch {
 
+// Hints to peers, spaced over the whole fleet.
 class RejectionGossip {
  public:
   explicit RejectionGossip(double shortest_latency_objective_s)
--- a/src/request_lifecycle.hpp
+++ b/src/request_lifecycle.hpp
@@ -23,6 +23,7 @@
   double backoff_delay_s = 0;  // before a retry, not jittered
 };
 
+// Moves requests from arrival to their end.
 class RequestLifecycle {
  public:
   // `state` must outlive it. `rejected_retry_after`: what a client of a rejected request is told to wait.
--- a/src/request_scheduler.hpp
+++ b/src/request_scheduler.hpp
@@ -12,6 +12,7 @@
 
 namespace heronvane::dispatch {
 
+// Decides in which order requests are sent, cancelled, failed and shed.
 class RequestScheduler {
  public:
   RequestScheduler() = default;
--- a/src/request_sender.hpp
+++ b/src/request_sender.hpp
@@ -32,6 +32,7 @@
   bool is_sent() const { return kind == Kind::sent; }
 };
 
+// What a scheduler needs of the sending side.
 class RequestSender {
  public:
   RequestSender() = default;
--- a/src/request_state.hpp
+++ b/src/request_state.hpp
@@ -17,6 +17,7 @@
 
 namespace heronvane::dispatch {
 
+// The owners of the request side, in the order in which they are made.
 struct RequestState {
   explicit RequestState(const Settings& settings)
       : priority(settings),
--- a/src/request_table.hpp
+++ b/src/request_table.hpp
@@ -12,6 +12,7 @@
 
 namespace heronvane::dispatch {
 
+// All requests, by id.
 class RequestTable {
  public:
   // The request with this id, which is made where there is none.
--- a/src/retry_policy.hpp
+++ b/src/retry_policy.hpp
@@ -9,6 +9,7 @@
 
 namespace heronvane::dispatch {
 
+// The rules on attempts, for one dispatcher's settings.
 class RetryPolicy {
  public:
   // `shortest_objective_s`: the shortest latency objective of all classes, in seconds.
--- a/src/send_queue.hpp
+++ b/src/send_queue.hpp
@@ -28,6 +28,7 @@
 
 namespace heronvane::dispatch {
 
+// The requests that are ready to be sent.
 class SendQueue {
  public:
   class Subqueue;
--- a/src/send_rate.hpp
+++ b/src/send_rate.hpp
@@ -7,6 +7,7 @@
 
 namespace heronvane::dispatch {
 
+// The send rate of one rate-limit scope.
 class SendRate {
  public:
   // Calls a second; kUnbounded where nothing limits them.
--- a/src/slow_start.hpp
+++ b/src/slow_start.hpp
@@ -48,6 +48,7 @@
   Microseconds window_;
 };
 
+// The budget of one endpoint that is ejected or warming up.
 class SlowStart {
  public:
   // Calls a second of this relay before the outage.
--- a/src/tenant_quota.hpp
+++ b/src/tenant_quota.hpp
@@ -10,6 +10,7 @@
 
 namespace heronvane::dispatch {
 
+// The token buckets of all tenants.
 class TenantQuota {
  public:
   // `settings` must outlive it. Each bucket begins full.
--- a/src/time_units.hpp
+++ b/src/time_units.hpp
@@ -13,6 +13,7 @@
 // A rate or a number of calls without a bound.
 constexpr double kUnbounded = std::numeric_limits<double>::infinity();
 
+// A duration in seconds.
 inline double seconds(Microseconds duration) { return static_cast<double>(duration) * 1e-6; }
 
 // Truncates toward zero; kNever for what is longer than 1e9 s.
--- a/src/wake_up_timer.hpp
+++ b/src/wake_up_timer.hpp
@@ -7,6 +7,7 @@
 
 namespace heronvane::dispatch {
 
+// The one timer that the module keeps running.
 class WakeUpTimer {
  public:
   // A timer of the relay has expired. One that was replaced by an earlier one is ignored.
