--- a/relay/core/in_flight_gauge.cpp
+++ b/relay/core/in_flight_gauge.cpp
@@ -1,7 +1,6 @@
 #include "core/in_flight_gauge.hpp"
 
 #include <algorithm>
-#include <ranges>
 
 namespace heronvane {
 namespace {
@@ -34,7 +33,9 @@
   counts.oldest = std::max<Microseconds>(0, now - by_start_.begin()->first * kResolution);
   // The newest first: what is older than the last bound is the rest, and is not looked at.
   std::size_t seen = 0;
-  for (const auto& [started, count] : std::views::reverse(by_start_)) {
+  // NOLINTNEXTLINE(modernize-loop-convert): clang 14 can't compile std::views::reverse of this library
+  for (auto entry = by_start_.rbegin(); entry != by_start_.rend(); ++entry) {
+    const auto& [started, count] = *entry;
     const Microseconds age = now - started * kResolution;
     if (age > 30 * kSecond) break;
     if (age <= 1 * kSecond) {
