--- a/tests/demo/examples_test.cpp
+++ b/tests/demo/examples_test.cpp
@@ -34,7 +34,7 @@
 TEST(ExamplesTest, TheConfigurationOfOneRelayIsTaken) {
   const Config c = read_config(read("relay.example.json"));
   EXPECT_EQ(c.name, "n0");
-  ASSERT_EQ(c.known.members.size(), 1u);
+  ASSERT_EQ(c.known.endpoints.size(), 1u);
   EXPECT_EQ(c.settings.classes.size(), 2u);
 }
 
