--- a/tests/policy/endpoint_tracker_test.cpp
+++ b/tests/policy/endpoint_tracker_test.cpp
@@ -11,15 +11,19 @@
 class EndpointTrackerTest : public ::testing::Test {
  protected:
   EndpointTrackerTest() {
-    harness_.settings.classes.emplace_back();
-    harness_.settings.kinds = {{false, 4}, {true, 1}};
-    harness_.settings.max_concurrent_calls = 8;
     harness_.at(0, [&](DecisionPass& pass) {
       tracker_.apply(event::EndpointListUpdate{{listed("a", 1, 0), listed("b", 1, 0), listed("c", 2, 1),
                                                 listed("d", 2, 1)}},
                      pass);
     });
   }
+  // The tracker counts by kind: its settings are complete before it is made.
+  static const Settings& with_two_kinds(Settings& settings) {
+    settings.classes.emplace_back();
+    settings.kinds = {{false, 4}, {true, 1}};
+    settings.max_concurrent_calls = 8;
+    return settings;
+  }
   static Endpoint listed(const EndpointId& id, DestinationId destination, int kind) {
     Endpoint endpoint;
     endpoint.id = id;
@@ -52,7 +56,7 @@
   Microseconds window() const { return harness_.settings.slow_start_window; }
 
   PassHarness harness_;
-  EndpointTracker tracker_{harness_.settings, 1};
+  EndpointTracker tracker_{with_two_kinds(harness_.settings), 1};
   CallId last_call_ = 0;
 };
 
