--- a/fuzz/packet_checks.hpp
+++ b/fuzz/packet_checks.hpp
@@ -10,18 +10,19 @@
 
 // True: the frame was read; then what is written again says the same.
 inline bool check_packet(const std::string& frame) {
-  if (frame.size() < kFrameHead) return false;
-  const auto l = read_lengths(frame);
-  if (l.head > frame.size() - kFrameHead || l.body != frame.size() - kFrameHead - l.head) return false;
-  const auto head = std::string_view(frame).substr(kFrameHead, l.head);
+  if (frame.size() < kFrameHeaderBytes) return false;
+  const auto l = read_frame_lengths(frame);
+  if (l.head > frame.size() - kFrameHeaderBytes || l.body != frame.size() - kFrameHeaderBytes - l.head)
+    return false;
+  const auto head = std::string_view(frame).substr(kFrameHeaderBytes, l.head);
   read_hello(head), read_state(head), read_import(head);
-  const auto p = read_packet(head, frame.substr(kFrameHead + l.head));
+  const auto p = read_packet(head, frame.substr(kFrameHeaderBytes + l.head));
   if (!p) return false;
   const std::string once = write_packet(*p);
-  const auto m = read_lengths(once);
-  const auto again =
-      read_packet(std::string_view(once).substr(kFrameHead, m.head), once.substr(kFrameHead + m.head));
-  if (!again || write_packet(*again) != once) std::abort();
+  const auto m = read_frame_lengths(once);
+  const auto mark_lost = read_packet(std::string_view(once).substr(kFrameHeaderBytes, m.head),
+                                     once.substr(kFrameHeaderBytes + m.head));
+  if (!mark_lost || write_packet(*mark_lost) != once) std::abort();
   return true;
 }
 
--- a/relay/copies/claim.hpp
+++ b/relay/copies/claim.hpp
@@ -19,7 +19,7 @@
 class Claim {
  public:
   enum class Purpose {
-    go_on,     // the owner: under the new epoch, with the same log
+    resume,    // the owner: under the new epoch, with the same log
     take_over  // a holder: its messages become those of `self`'s own log
   };
   // won, to go on: last(), last_epoch() and config() tell where the log goes on. Another claim may have won
@@ -27,14 +27,14 @@
   // to take over: the messages are this one's to act on, for good; where imports() is false an earlier claim
   // of this one had moved the log, and they are those that it imported then.
   enum class State {
-    asking,     // for promises
-    reading,    // the state of the log, from the holder that has most
+    awaiting_promises,  // for promises
+    reading,            // the state of the log, from the holder that has most
     importing,  // the caller puts that state in the place of its own (to go on), or writes it into its own
                 // log (to take over), and calls imported() when that is durable
     moving,     // where the log goes is being accepted
     won,        // see above
     moved,      // the log is another one's: into()
-    beaten,     // a higher epoch is about: try again later, under one above beaten_by()
+    preempted,  // a higher epoch is about: try again later, under one above beaten_by()
   };
 
   // `config`: as far as `self` knows it. `last`: what the owner's own disk has of the log; a holder's copy is
@@ -44,22 +44,22 @@
 
   State state() const { return state_; }
   const Epoch& epoch() const { return epoch_; }
-  const Epoch& beaten_by() const { return beaten_by_; }
+  const Epoch& preempted_by() const { return preempted_by_; }
   Position last() const { return last_; }
   const Epoch& last_epoch() const { return last_epoch_; }
-  bool imports() const { return imports_; }  // the state was read
+  bool state_was_read() const { return state_was_read_; }  // the state was read
   const Member& source() const { return source_; }
   const Config& config() const { return config_; }
   const LogId& into() const { return into_; }
 
   // What is to be said now. Each may be said again as often as answers stay away: call it again.
-  std::vector<Letter> words() const;
-  void hear(const Member& from, const Saying& saying);
+  std::vector<Envelope> requests() const;
+  void handle(const Member& from, const ProtocolMessage& message);
   std::string describe() const;  // all of its state, for logs and the checker
-  void imported();               // what was read stands where it belongs
+  void state_imported();         // what was read stands where it belongs
 
  private:
-  void promised(const Member& from, const say::Promised& p);
+  void handle_promise(const Member& from, const protocol::Promised& promise);
   std::vector<Member> members() const;
 
   Member self_;
@@ -69,11 +69,11 @@
   LogId own_log_, into_;
   Position last_;
   Epoch last_epoch_;
-  bool imports_ = false;
+  bool state_was_read_ = false;
   ClaimOptions options_;
-  State state_ = State::asking;
-  Epoch beaten_by_;
-  std::map<Member, say::Promised> promises_;
+  State state_ = State::awaiting_promises;
+  Epoch preempted_by_;
+  std::map<Member, protocol::Promised> promises_;
   Member source_;
   std::set<Member> accepted_;
 };
--- a/relay/copies/defects.hpp
+++ b/relay/copies/defects.hpp
@@ -4,9 +4,9 @@
 #ifdef HERONVANE_COPIES_DEFECTS
 #include <string_view>
 namespace heronvane::copies {
-extern std::string_view planted_defect;
+extern std::string_view injected_defect;
 }
-#define HERONVANE_COPIES_DEFECT(name) (::heronvane::copies::planted_defect == (name))
+#define HERONVANE_COPIES_DEFECT(name) (::heronvane::copies::injected_defect == (name))
 #else
 #define HERONVANE_COPIES_DEFECT(name) false
 #endif
--- a/relay/copies/group.cpp
+++ b/relay/copies/group.cpp
@@ -6,71 +6,76 @@
 
 namespace heronvane::copies {
 
-Quorum quorum(std::size_t holders, Acks acks) {
-  if (holders == 0) return {0, 0};
+Quorum quorum(std::size_t replicas, Acks acks) {
+  if (replicas == 0) return {0, 0};
   // The owner is one of the group's majority.
-  const std::size_t majority = (holders + 1) / 2 + 1;
-  Quorum q;
-  q.acks = acks == Acks::all ? holders : std::max<std::size_t>(1, majority - 1);
-  q.claims = std::max(holders - q.acks + 1, holders / 2 + 1);
-  return q;
+  const std::size_t majority = (replicas + 1) / 2 + 1;
+  Quorum quorum_sizes;
+  quorum_sizes.acks = acks == Acks::all ? replicas : std::max<std::size_t>(1, majority - 1);
+  quorum_sizes.claims = std::max(replicas - quorum_sizes.acks + 1, replicas / 2 + 1);
+  return quorum_sizes;
 }
 
 namespace {
 
-std::size_t count_of(const std::vector<Member>& holders, const std::set<Member>& have) {
-  return static_cast<std::size_t>(
-      std::count_if(holders.begin(), holders.end(), [&](const Member& m) { return have.count(m) > 0; }));
+std::size_t count_members(const std::vector<Member>& replicas, const std::set<Member>& subset) {
+  return static_cast<std::size_t>(std::count_if(
+      replicas.begin(), replicas.end(), [&](const Member& member) { return subset.count(member) > 0; }));
 }
 
 }  // namespace
 
-bool enough_acks(const Config& config, const std::set<Member>& have, Acks acks) {
-  if (count_of(config.holders, have) < quorum(config.holders.size(), acks).acks) return false;
-  return config.next.empty() || count_of(config.next, have) >= quorum(config.next.size(), acks).acks;
+bool enough_acks(const Config& config, const std::set<Member>& acknowledged, Acks acks) {
+  if (count_members(config.replicas, acknowledged) < quorum(config.replicas.size(), acks).acks) return false;
+  return config.next.empty() ||
+         count_members(config.next, acknowledged) >= quorum(config.next.size(), acks).acks;
 }
 
-bool enough_claims(const Config& config, const std::set<Member>& have, Acks acks) {
-  if (count_of(config.holders, have) < quorum(config.holders.size(), acks).claims) return false;
-  return config.next.empty() || count_of(config.next, have) >= quorum(config.next.size(), acks).claims;
+bool enough_claims(const Config& config, const std::set<Member>& promised, Acks acks) {
+  if (count_members(config.replicas, promised) < quorum(config.replicas.size(), acks).claims) return false;
+  return config.next.empty() ||
+         count_members(config.next, promised) >= quorum(config.next.size(), acks).claims;
 }
 
-bool claims_meet(const Config& config, const std::set<Member>& know, Acks acks) {
-  const auto meet = [&](const std::vector<Member>& holders) {
-    return holders.size() - count_of(holders, know) < quorum(holders.size(), acks).claims;
+bool every_claim_reaches(const Config& config, const std::set<Member>& informed, Acks acks) {
+  const auto reaches = [&](const std::vector<Member>& replicas) {
+    return replicas.size() - count_members(replicas, informed) < quorum(replicas.size(), acks).claims;
   };
-  return meet(config.holders) && (config.next.empty() || meet(config.next));
+  return reaches(config.replicas) && (config.next.empty() || reaches(config.next));
 }
 
-std::vector<Member> choose_holders(const Place& owner, const std::vector<Place>& places, std::size_t count) {
-  struct Scored {
+std::vector<Member> choose_replicas(const Placement& leader, const std::vector<Placement>& placements,
+                                    std::size_t count) {
+  struct Candidate {
     std::uint64_t score;
-    const Place* place;
+    const Placement* placement;
   };
-  std::vector<Scored> all;
-  const std::uint64_t seed = XXH3_64bits(owner.member.name.data(), owner.member.name.size());
-  for (const auto& p : places) {
-    if (p.member.name == owner.member.name) continue;
-    if (!p.machine.empty() && p.machine == owner.machine) continue;
-    all.push_back({XXH3_64bits_withSeed(p.member.name.data(), p.member.name.size(), seed), &p});
+  std::vector<Candidate> candidates;
+  const std::uint64_t seed = XXH3_64bits(leader.member.name.data(), leader.member.name.size());
+  for (const auto& placement : placements) {
+    if (placement.member.name == leader.member.name) continue;
+    if (!placement.machine.empty() && placement.machine == leader.machine) continue;
+    candidates.push_back(
+        {XXH3_64bits_withSeed(placement.member.name.data(), placement.member.name.size(), seed), &placement});
   }
-  std::sort(all.begin(), all.end(), [](const Scored& a, const Scored& b) {
-    return a.score != b.score ? a.score > b.score : a.place->member < b.place->member;
+  std::sort(candidates.begin(), candidates.end(), [](const Candidate& a, const Candidate& b) {
+    return a.score != b.score ? a.score > b.score : a.placement->member < b.placement->member;
   });
-  std::vector<const Place*> chosen;
-  const auto fits = [&](const Place& p, bool other_zone) {
-    for (const Place* const c : chosen) {
-      if (c == &p || c->member.name == p.member.name) return false;
-      if (!p.machine.empty() && p.machine == c->machine) return false;
-      if (other_zone && !p.zone.empty() && p.zone == c->zone) return false;
+  std::vector<const Placement*> chosen;
+  const auto is_eligible = [&](const Placement& placement, bool distinct_zone) {
+    for (const Placement* const other : chosen) {
+      if (other == &placement || other->member.name == placement.member.name) return false;
+      if (!placement.machine.empty() && placement.machine == other->machine) return false;
+      if (distinct_zone && !placement.zone.empty() && placement.zone == other->zone) return false;
     }
-    return !(other_zone && !p.zone.empty() && p.zone == owner.zone);
+    return !(distinct_zone && !placement.zone.empty() && placement.zone == leader.zone);
   };
-  for (const bool other_zone : {true, false})
-    for (const auto& s : all)
-      if (chosen.size() < count && fits(*s.place, other_zone)) chosen.push_back(s.place);
+  for (const bool distinct_zone : {true, false})
+    for (const auto& candidate : candidates)
+      if (chosen.size() < count && is_eligible(*candidate.placement, distinct_zone))
+        chosen.push_back(candidate.placement);
   std::vector<Member> members;
-  for (const Place* const p : chosen) members.push_back(p->member);
+  for (const Placement* const placement : chosen) members.push_back(placement->member);
   return members;
 }
 
--- a/relay/copies/group.hpp
+++ b/relay/copies/group.hpp
@@ -20,17 +20,17 @@
 struct Quorum {
   std::size_t acks = 0, claims = 0;
 };
-Quorum quorum(std::size_t holders, Acks acks);
+Quorum quorum(std::size_t replicas, Acks acks);
 
 // `have` holds a quorum of each set of the config: `acks` or `claims` of them.
-bool enough_acks(const Config& config, const std::set<Member>& have, Acks acks);
-bool enough_claims(const Config& config, const std::set<Member>& have, Acks acks);
+bool enough_acks(const Config& config, const std::set<Member>& acknowledged, Acks acks);
+bool enough_claims(const Config& config, const std::set<Member>& promised, Acks acks);
 
 // Whoever has a quorum for claims of a set of the config has asked one of `know`, of each set: those who
 // don't make none alone.
-bool claims_meet(const Config& config, const std::set<Member>& know, Acks acks);
+bool every_claim_reaches(const Config& config, const std::set<Member>& informed, Acks acks);
 
-struct Place {
+struct Placement {
   Member member;
   std::string machine, zone;  // empty: not told
 };
@@ -39,6 +39,7 @@
 // the owner's name with theirs, so that a list that changes by one changes few groups; on machines other than
 // the owner's and each other's; in zones that differ as long as there are such. Fewer where there are not
 // enough machines. Equal lists in any order give equal groups.
-std::vector<Member> choose_holders(const Place& owner, const std::vector<Place>& places, std::size_t count);
+std::vector<Member> choose_replicas(const Placement& leader, const std::vector<Placement>& placements,
+                                    std::size_t count);
 
 }  // namespace heronvane::copies
--- a/relay/copies/holder.cpp
+++ b/relay/copies/holder.cpp
@@ -6,25 +6,25 @@
 
 namespace heronvane::copies {
 
-Holder::Heard Holder::hear(const Saying& saying) {
-  Heard out;
-  if (const auto* const a = std::get_if<say::Append>(&saying))
-    append(*a, out);
-  else if (const auto* const s = std::get_if<say::Snapshot>(&saying))
-    snapshot(*s, out);
-  else if (const auto* const c = std::get_if<say::Claim>(&saying))
-    out.answer = claim(*c);
-  else if (const auto* const r = std::get_if<say::Read>(&saying))
-    out.answer = read(*r);
-  else if (const auto* const m = std::get_if<say::Move>(&saying))
-    out.answer = move(*m);
-  return out;
+Replica::Result Replica::handle(const ProtocolMessage& message) {
+  Result result;
+  if (const auto* const append_request = std::get_if<protocol::Append>(&message))
+    append(*append_request, result);
+  else if (const auto* const snapshot_request = std::get_if<protocol::Snapshot>(&message))
+    snapshot(*snapshot_request, result);
+  else if (const auto* const claim_request = std::get_if<protocol::Claim>(&message))
+    result.answer = claim(*claim_request);
+  else if (const auto* const read_request = std::get_if<protocol::Read>(&message))
+    result.answer = read(*read_request);
+  else if (const auto* const move_request = std::get_if<protocol::Move>(&message))
+    result.answer = move(*move_request);
+  return result;
 }
 
 // Whether the owner under that epoch may write here; if not, the answer says why.
-bool Holder::writes(const Epoch& epoch, const Config& config, Heard& out) {
+bool Replica::accept_writer(const Epoch& epoch, const Config& config, Result& result) {
   if (epoch < state_.promised && !HERONVANE_COPIES_DEFECT("no fence")) {
-    out.answer = say::Refused{state_.promised};
+    result.answer = protocol::Refused{state_.promised};
     return false;
   }
   // Who writes under a higher epoch than a move's has won a claim that would have carried that move out, had
@@ -32,7 +32,7 @@
   if (state_.moved && state_.moved->epoch < epoch) state_.moved.reset();
   // One that has moved takes nothing more, whoever writes.
   if (state_.moved) {
-    out.answer = say::Refused{std::max(state_.promised, epoch)};
+    result.answer = protocol::Refused{std::max(state_.promised, epoch)};
     return false;
   }
   state_.promised = epoch;
@@ -42,48 +42,49 @@
 
 // A position and the epoch of its entry name all entries up to there: one epoch has one writer, whose entries
 // follow on what its claim found.
-void Holder::append(const say::Append& a, Heard& out) {
-  if (!writes(a.epoch, a.config, out)) return;
-  const Position until = a.after + a.entries.size();
-  const bool follows = a.after == state_.last && a.after_epoch == state_.last_epoch;
-  const bool overlaps = a.after < state_.last && state_.last <= until &&
-                        a.entries[state_.last - a.after - 1].epoch == state_.last_epoch;
+void Replica::append(const protocol::Append& request, Result& result) {
+  if (!accept_writer(request.epoch, request.config, result)) return;
+  const Position until = request.after + request.entries.size();
+  const bool follows = request.after == state_.last && request.after_epoch == state_.last_epoch;
+  const bool overlaps = request.after < state_.last && state_.last <= until &&
+                        request.entries[state_.last - request.after - 1].epoch == state_.last_epoch;
   // Said again, and late: the holder has it, and more of this owner's.
-  const bool old = until < state_.last && state_.last_epoch == a.epoch;
-  if (!follows && !overlaps && !old) {
-    out.answer = say::Behind{a.epoch, state_.last, state_.last_epoch};
+  const bool is_duplicate = until < state_.last && state_.last_epoch == request.epoch;
+  if (!follows && !overlaps && !is_duplicate) {
+    result.answer = protocol::Behind{request.epoch, state_.last, state_.last_epoch};
     return;
   }
-  for (Position p = state_.last; p < until; p++) out.entries.push_back(a.entries[p - a.after]);
-  if (!out.entries.empty()) state_.last = until, state_.last_epoch = out.entries.back().epoch;
-  out.answer = appended(a.epoch);
+  for (Position position = state_.last; position < until; position++)
+    result.entries.push_back(request.entries[position - request.after]);
+  if (!result.entries.empty()) state_.last = until, state_.last_epoch = result.entries.back().epoch;
+  result.answer = appended(request.epoch);
 }
 
-void Holder::snapshot(const say::Snapshot& s, Heard& out) {
-  if (!writes(s.epoch, s.config, out)) return;
+void Replica::snapshot(const protocol::Snapshot& request, Result& result) {
+  if (!accept_writer(request.epoch, request.config, result)) return;
   // Said again, and late: what was added since under this epoch stands.
-  const bool old = s.last <= state_.last && state_.last_epoch == s.epoch;
-  if (!old || HERONVANE_COPIES_DEFECT("snapshot goes back"))
-    state_.last = s.last, state_.last_epoch = s.last_epoch, out.replaced = true;
-  out.answer = appended(s.epoch);
+  const bool is_duplicate = request.last <= state_.last && state_.last_epoch == request.epoch;
+  if (!is_duplicate || HERONVANE_COPIES_DEFECT("snapshot goes back"))
+    state_.last = request.last, state_.last_epoch = request.last_epoch, result.snapshot_installed = true;
+  result.answer = appended(request.epoch);
 }
 
-Saying Holder::claim(const say::Claim& c) {
-  if (c.epoch < state_.promised) return say::Refused{state_.promised};
-  state_.promised = c.epoch;
-  return say::Promised{c.epoch, state_.last, state_.last_epoch, state_.config, state_.moved};
+ProtocolMessage Replica::claim(const protocol::Claim& request) {
+  if (request.epoch < state_.promised) return protocol::Refused{state_.promised};
+  state_.promised = request.epoch;
+  return protocol::Promised{request.epoch, state_.last, state_.last_epoch, state_.config, state_.moved};
 }
 
-Saying Holder::read(const say::Read& r) const {
-  if (r.epoch < state_.promised) return say::Refused{state_.promised};
-  return say::State{r.epoch, state_.last, state_.last_epoch};
+ProtocolMessage Replica::read(const protocol::Read& request) const {
+  if (request.epoch < state_.promised) return protocol::Refused{state_.promised};
+  return protocol::State{request.epoch, state_.last, state_.last_epoch};
 }
 
-Saying Holder::move(const say::Move& m) {
-  if (m.epoch < state_.promised) return say::Refused{state_.promised};
-  state_.promised = m.epoch;
-  state_.moved = Moved{m.epoch, m.into};
-  return say::Accepted{m.epoch};
+ProtocolMessage Replica::move(const protocol::Move& request) {
+  if (request.epoch < state_.promised) return protocol::Refused{state_.promised};
+  state_.promised = request.epoch;
+  state_.moved = Moved{request.epoch, request.into};
+  return protocol::Accepted{request.epoch};
 }
 
 }  // namespace heronvane::copies
--- a/relay/copies/log.hpp
+++ b/relay/copies/log.hpp
@@ -57,7 +57,7 @@
 // Who holds a log. While it changes there are two sets, and what wants a quorum wants one of each.
 struct Config {
   Version version;
-  std::vector<Member> holders;
+  std::vector<Member> replicas;
   std::vector<Member> next;  // empty: it does not change
   bool operator==(const Config&) const = default;
 };
@@ -70,7 +70,7 @@
 };
 
 // ---- What members say. Each is about one log, and goes from one member to another. ----
-namespace say {
+namespace protocol {
 // The owner to a holder. `after`: the position before the first entry, written under `after_epoch`. Without
 // entries it asks how far the holder is, and tells it that the owner lives.
 struct Append {
@@ -131,16 +131,18 @@
 struct Accepted {
   Epoch epoch;
 };
-}  // namespace say
-using Saying = std::variant<say::Append, say::Appended, say::Behind, say::Snapshot, say::Refused, say::Claim,
-                            say::Promised, say::Read, say::State, say::Move, say::Accepted>;
+}  // namespace protocol
+using ProtocolMessage =
+    std::variant<protocol::Append, protocol::Appended, protocol::Behind, protocol::Snapshot,
+                 protocol::Refused, protocol::Claim, protocol::Promised, protocol::Read, protocol::State,
+                 protocol::Move, protocol::Accepted>;
 
 std::ostream& operator<<(std::ostream& out, const Config& c);
-std::ostream& operator<<(std::ostream& out, const Saying& s);
+std::ostream& operator<<(std::ostream& out, const ProtocolMessage& s);
 
-struct Letter {
+struct Envelope {
   Member to;
-  Saying saying;
+  ProtocolMessage message;
 };
 
 }  // namespace heronvane::copies
--- a/relay/copies/owner.cpp
+++ b/relay/copies/owner.cpp
@@ -7,172 +7,182 @@
 
 namespace heronvane::copies {
 
-Owner::Owner(Member self, Epoch epoch, Config config, Position last, Epoch last_epoch, OwnerOptions options)
+Leader::Leader(Member self, Epoch epoch, Config config, Position last, Epoch last_epoch,
+               LeaderOptions options)
     : self_(std::move(self)),
       epoch_(std::move(epoch)),
       config_(std::move(config)),
-      start_(last),
+      epoch_start_(last),
       base_(last),
       base_epoch_(std::move(last_epoch)),
       options_(options) {
   config_.version.epoch = epoch_;
-  for (const auto& h : holders()) progress_[h].from = base_;
-  settle();
+  for (const auto& replica : replicas()) progress_[replica].append_after = base_;
+  advance();
 }
 
-Epoch Owner::epoch_at(Position p) const { return p == base_ ? base_epoch_ : entries_[p - base_ - 1].epoch; }
+Epoch Leader::epoch_at(Position position) const {
+  return position == base_ ? base_epoch_ : entries_[position - base_ - 1].epoch;
+}
 
-std::vector<Member> Owner::holders() const {
-  std::vector<Member> all = config_.holders;
-  for (const auto& m : config_.next)
-    if (std::find(all.begin(), all.end(), m) == all.end()) all.push_back(m);
+std::vector<Member> Leader::replicas() const {
+  std::vector<Member> all = config_.replicas;
+  for (const auto& member : config_.next)
+    if (std::find(all.begin(), all.end(), member) == all.end()) all.push_back(member);
   return all;
 }
 
-void Owner::wrote(std::string bytes) {
+void Leader::append(std::string bytes) {
   bytes_ += bytes.size();
   entries_.push_back({epoch_, std::move(bytes)});
-  settle();
+  advance();
 }
 
-void Owner::trim(std::uint64_t most) {
-  Position all = last();
-  for (const auto& [m, p] : progress_) all = std::min(all, p.has);
-  while (!entries_.empty() && (base_ < all || bytes_ > most)) {
+void Leader::trim(std::uint64_t max_bytes) {
+  Position acknowledged_by_all = last();
+  for (const auto& [member, progress] : progress_)
+    acknowledged_by_all = std::min(acknowledged_by_all, progress.acknowledged);
+  while (!entries_.empty() && (base_ < acknowledged_by_all || bytes_ > max_bytes)) {
     base_++, base_epoch_ = entries_.front().epoch;
     bytes_ -= entries_.front().bytes.size();
     entries_.pop_front();
   }
 }
 
-bool Owner::needs_snapshot(const Member& holder) const {
-  const auto it = progress_.find(holder);
-  return it != progress_.end() && !fenced_ && (it->second.differs || it->second.from < base_);
+bool Leader::needs_snapshot(const Member& replica) const {
+  const auto it = progress_.find(replica);
+  return it != progress_.end() && !fenced_ && (it->second.diverged || it->second.append_after < base_);
 }
 
-std::optional<Letter> Owner::snapshot(const Member& holder) {
-  if (!needs_snapshot(holder)) return std::nullopt;
-  auto& p = progress_[holder];
-  if (p.out) return std::nullopt;
-  p.out = true;
-  return Letter{holder, say::Snapshot{epoch_, last(), epoch_at(last()), config_}};
+std::optional<Envelope> Leader::snapshot(const Member& replica) {
+  if (!needs_snapshot(replica)) return std::nullopt;
+  auto& progress = progress_[replica];
+  if (progress.in_flight) return std::nullopt;
+  progress.in_flight = true;
+  return Envelope{replica, protocol::Snapshot{epoch_, last(), epoch_at(last()), config_}};
 }
 
-std::optional<Letter> Owner::next(const Member& holder, bool ask) {
-  const auto it = progress_.find(holder);
-  if (it == progress_.end() || fenced_ || needs_snapshot(holder)) return std::nullopt;
-  auto& p = it->second;
-  const bool lacks = p.has < last() || p.config < config_.version;
-  if (p.out || (!lacks && !ask)) return std::nullopt;
-  say::Append a;
-  a.epoch = epoch_;
-  a.after = p.from;
-  a.after_epoch = epoch_at(p.from);
-  const Position until = std::min<Position>(last(), p.from + options_.most_entries);
-  a.entries.assign(entries_.begin() + static_cast<std::ptrdiff_t>(p.from - base_),
-                   entries_.begin() + static_cast<std::ptrdiff_t>(until - base_));
-  if (p.config < config_.version) a.config = config_;
-  p.out = true;
-  return Letter{holder, std::move(a)};
+std::optional<Envelope> Leader::next_append(const Member& replica, bool probe) {
+  const auto it = progress_.find(replica);
+  if (it == progress_.end() || fenced_ || needs_snapshot(replica)) return std::nullopt;
+  auto& progress = it->second;
+  const bool lacks = progress.acknowledged < last() || progress.config < config_.version;
+  if (progress.in_flight || (!lacks && !probe)) return std::nullopt;
+  protocol::Append append;
+  append.epoch = epoch_;
+  append.after = progress.append_after;
+  append.after_epoch = epoch_at(progress.append_after);
+  const Position until = std::min<Position>(last(), progress.append_after + options_.max_entries_per_append);
+  append.entries.assign(entries_.begin() + static_cast<std::ptrdiff_t>(progress.append_after - base_),
+                        entries_.begin() + static_cast<std::ptrdiff_t>(until - base_));
+  if (progress.config < config_.version) append.config = config_;
+  progress.in_flight = true;
+  return Envelope{replica, std::move(append)};
 }
 
-void Owner::again(const Member& holder) {
-  if (const auto it = progress_.find(holder); it != progress_.end()) it->second.out = false;
+void Leader::mark_lost(const Member& replica) {
+  if (const auto it = progress_.find(replica); it != progress_.end()) it->second.in_flight = false;
 }
 
-void Owner::hear(const Member& from, const Saying& saying) {
+void Leader::handle(const Member& from, const ProtocolMessage& message) {
   const auto it = progress_.find(from);
   if (it == progress_.end()) return;
-  auto& p = it->second;
-  if (const auto* const a = std::get_if<say::Appended>(&saying)) {
+  auto& progress = it->second;
+  if (const auto* const appended = std::get_if<protocol::Appended>(&message)) {
     // Of another epoch of this owner's, or beyond what it has: not about this log as it is.
-    if (a->epoch != epoch_ || a->last > last()) return;
-    p.out = p.differs = false;
-    p.has = std::max(p.has, a->last);
-    p.from = p.has;
-    p.config = std::max(p.config, a->config);
-    settle();
-  } else if (const auto* const b = std::get_if<say::Behind>(&saying)) {
-    if (b->epoch != epoch_) return;
-    p.out = false;
+    if (appended->epoch != epoch_ || appended->last > last()) return;
+    progress.in_flight = progress.diverged = false;
+    progress.acknowledged = std::max(progress.acknowledged, appended->last);
+    progress.append_after = progress.acknowledged;
+    progress.config = std::max(progress.config, appended->config);
+    advance();
+  } else if (const auto* const behind = std::get_if<protocol::Behind>(&message)) {
+    if (behind->epoch != epoch_) return;
+    progress.in_flight = false;
     // Less than it told before: a word that comes late, which costs a repeat; or its disk went back.
-    p.has = std::min(p.has, b->last);
-    p.from = std::min(b->last, last());
-    p.differs = b->last > last() || b->last < base_ || epoch_at(b->last) != b->last_epoch;
-  } else if (const auto* const r = std::get_if<say::Refused>(&saying)) {
-    if (r->promised < epoch_) return;
-    fenced_ = std::max(fenced_.value_or(r->promised), r->promised);
+    progress.acknowledged = std::min(progress.acknowledged, behind->last);
+    progress.append_after = std::min(behind->last, last());
+    progress.diverged =
+        behind->last > last() || behind->last < base_ || epoch_at(behind->last) != behind->last_epoch;
+  } else if (const auto* const refused = std::get_if<protocol::Refused>(&message)) {
+    if (refused->promised < epoch_) return;
+    fenced_ = std::max(fenced_.value_or(refused->promised), refused->promised);
   }
 }
 
-bool Owner::replace(const Member& old, const Member& fresh) {
+bool Leader::replace(const Member& replaced, const Member& replacement) {
   if (changing() || fenced_) return false;
-  const auto at = std::find(config_.holders.begin(), config_.holders.end(), old);
-  if (at == config_.holders.end() || progress_.count(fresh) > 0 || fresh == self_) return false;
+  const auto replaced_at = std::find(config_.replicas.begin(), config_.replicas.end(), replaced);
+  if (replaced_at == config_.replicas.end() || progress_.count(replacement) > 0 || replacement == self_)
+    return false;
   config_.version.number++;
-  config_.next = config_.holders;
-  config_.next[static_cast<std::size_t>(at - config_.holders.begin())] = fresh;
-  progress_[fresh];  // from the beginning
-  settle();
+  config_.next = config_.replicas;
+  config_.next[static_cast<std::size_t>(replaced_at - config_.replicas.begin())] = replacement;
+  progress_[replacement];  // from the beginning
+  advance();
   return true;
 }
 
-Position Owner::lag(const Member& holder) const {
-  const auto it = progress_.find(holder);
-  return it == progress_.end() ? last() : last() - it->second.has;
+Position Leader::lag(const Member& replica) const {
+  const auto it = progress_.find(replica);
+  return it == progress_.end() ? last() : last() - it->second.acknowledged;
 }
 
-void Owner::settle() {
+void Leader::advance() {
   if (fenced_) return;
   // What stands: the highest position that enough holders have, of this epoch.
-  const Position above = std::max(durable_, start_);
-  if (HERONVANE_COPIES_DEFECT("earlier epochs count")) durable_ = above;
-  for (Position p = last(); p > above; p--) {
-    std::set<Member> have;
-    for (const auto& [m, progress] : progress_)
-      if (progress.has >= p || HERONVANE_COPIES_DEFECT("own disk is enough")) have.insert(m);
-    if (!enough_acks(config_, have, options_.acks)) continue;
-    durable_ = p;
+  const Position floor = std::max(durable_, epoch_start_);
+  if (HERONVANE_COPIES_DEFECT("earlier epochs count")) durable_ = floor;
+  for (Position position = last(); position > floor; position--) {
+    std::set<Member> acknowledged_by;
+    for (const auto& [member, progress] : progress_)
+      if (progress.acknowledged >= position || HERONVANE_COPIES_DEFECT("own disk is enough"))
+        acknowledged_by.insert(member);
+    if (!enough_acks(config_, acknowledged_by, options_.acks)) continue;
+    durable_ = position;
     break;
   }
   if (!changing()) return;
   // What earlier epochs made stand is known only once something of this one does.
-  const bool known = last() == 0 || durable_ > start_;
-  if (!known) return;
+  const bool durable_known = last() == 0 || durable_ > epoch_start_;
+  if (!durable_known) return;
   // The change is over when any claimant, of either set, would learn of it, and the new set alone would
   // answer for all that stands. One that is lost for good need not hear of it: a holder of two can be
   // replaced.
-  std::set<Member> know, have;
-  for (const auto& [m, progress] : progress_) {
-    if (progress.config >= config_.version) know.insert(m);
-    if (progress.config >= config_.version && progress.has >= durable_) have.insert(m);
+  std::set<Member> informed, acknowledged_by;
+  for (const auto& [member, progress] : progress_) {
+    if (progress.config >= config_.version) informed.insert(member);
+    if (progress.config >= config_.version && progress.acknowledged >= durable_)
+      acknowledged_by.insert(member);
   }
-  if (!claims_meet(config_, know, options_.acks) && !HERONVANE_COPIES_DEFECT("change unknown to the old"))
+  if (!every_claim_reaches(config_, informed, options_.acks) &&
+      !HERONVANE_COPIES_DEFECT("change unknown to the old"))
     return;
   const Config alone{config_.version, config_.next, {}};
-  if (!enough_acks(alone, have, options_.acks) ||
-      !std::all_of(config_.next.begin(), config_.next.end(), [&](const Member& m) {
-        return have.count(m) > 0 ||
-               std::find(config_.holders.begin(), config_.holders.end(), m) != config_.holders.end();
+  if (!enough_acks(alone, acknowledged_by, options_.acks) ||
+      !std::all_of(config_.next.begin(), config_.next.end(), [&](const Member& member) {
+        return acknowledged_by.count(member) > 0 ||
+               std::find(config_.replicas.begin(), config_.replicas.end(), member) != config_.replicas.end();
       }))
     return;
-  const auto before = config_.holders;
+  const auto previous_replicas = config_.replicas;
   config_ = {{epoch_, config_.version.number + 1}, config_.next, {}};
-  for (const auto& m : before)
-    if (std::find(config_.holders.begin(), config_.holders.end(), m) == config_.holders.end())
-      progress_.erase(m);
+  for (const auto& member : previous_replicas)
+    if (std::find(config_.replicas.begin(), config_.replicas.end(), member) == config_.replicas.end())
+      progress_.erase(member);
 }
 
-std::string Owner::describe() const {
-  std::ostringstream out;
-  out << epoch_ << " " << config_ << " durable " << durable_ << " from " << start_ << " base " << base_
-      << " of " << base_epoch_ << " log";
-  for (const auto& e : entries_) out << " " << e.epoch << "=" << e.bytes;
-  if (fenced_) out << " fenced by " << *fenced_;
-  for (const auto& [m, p] : progress_)
-    out << " | " << m << " has " << p.has << " from " << p.from << " config " << p.config.epoch << "."
-        << p.config.number << (p.out ? " out" : "") << (p.differs ? " differs" : "");
-  return out.str();
+std::string Leader::describe() const {
+  std::ostringstream text;
+  text << epoch_ << " " << config_ << " durable " << durable_ << " from " << epoch_start_ << " base " << base_
+       << " of " << base_epoch_ << " log";
+  for (const auto& entry : entries_) text << " " << entry.epoch << "=" << entry.bytes;
+  if (fenced_) text << " fenced by " << *fenced_;
+  for (const auto& [member, progress] : progress_)
+    text << " | " << member << " has " << progress.acknowledged << " from " << progress.append_after
+         << " config " << progress.config.epoch << "." << progress.config.number
+         << (progress.in_flight ? " out" : "") << (progress.diverged ? " differs" : "");
+  return text.str();
 }
 
 }  // namespace heronvane::copies
--- a/relay/copies/packet.cpp
+++ b/relay/copies/packet.cpp
@@ -13,7 +13,7 @@
 using Json = rapidjson::Writer<rapidjson::StringBuffer>;
 using rapidjson::Value;
 
-struct Unreadable : std::runtime_error {
+struct UnreadableError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
@@ -37,7 +37,7 @@
   json.EndArray();
 }
 void put(Json& json, const Config& c) {
-  json.StartArray(), put(json, c.version), put(json, c.holders), put(json, c.next), json.EndArray();
+  json.StartArray(), put(json, c.version), put(json, c.replicas), put(json, c.next), json.EndArray();
 }
 void put(Json& json, const std::optional<Moved>& m) {
   json.StartArray();
@@ -46,15 +46,16 @@
 }
 
 // Lengths of entries and their epochs; the bytes are the body.
-struct Words {
+struct MessageWriter {
   Json& json;
-  void word(const char* name) const { json.String(name); }
-  void operator()(const say::Append& x) const {
-    word("append"), put(json, x.epoch), put(json, x.after), put(json, x.after_epoch), put(json, x.config);
+  void tag(const char* name) const { json.String(name); }
+  void operator()(const protocol::Append& message) const {
+    tag("append"), put(json, message.epoch), put(json, message.after), put(json, message.after_epoch),
+        put(json, message.config);
     json.StartArray();
-    for (const auto& e : x.entries) {
+    for (const auto& e : message.entries) {
       json.StartArray();
-      if (e.epoch == x.epoch)
+      if (e.epoch == message.epoch)
         json.Null();
       else
         put(json, e.epoch);
@@ -63,36 +64,40 @@
     }
     json.EndArray();
   }
-  void operator()(const say::Appended& x) const {
-    word("appended"), put(json, x.epoch), put(json, x.last), put(json, x.config);
+  void operator()(const protocol::Appended& message) const {
+    tag("appended"), put(json, message.epoch), put(json, message.last), put(json, message.config);
   }
-  void operator()(const say::Behind& x) const {
-    word("behind"), put(json, x.epoch), put(json, x.last), put(json, x.last_epoch);
+  void operator()(const protocol::Behind& message) const {
+    tag("behind"), put(json, message.epoch), put(json, message.last), put(json, message.last_epoch);
   }
-  void operator()(const say::Snapshot& x) const {
-    word("snapshot"), put(json, x.epoch), put(json, x.last), put(json, x.last_epoch), put(json, x.config);
+  void operator()(const protocol::Snapshot& message) const {
+    tag("snapshot"), put(json, message.epoch), put(json, message.last), put(json, message.last_epoch),
+        put(json, message.config);
   }
-  void operator()(const say::Refused& x) const { word("refused"), put(json, x.promised); }
-  void operator()(const say::Claim& x) const { word("claim"), put(json, x.epoch); }
-  void operator()(const say::Promised& x) const {
-    word("promised"), put(json, x.epoch), put(json, x.last), put(json, x.last_epoch), put(json, x.config);
-    put(json, x.moved);
+  void operator()(const protocol::Refused& message) const { tag("refused"), put(json, message.promised); }
+  void operator()(const protocol::Claim& message) const { tag("claim"), put(json, message.epoch); }
+  void operator()(const protocol::Promised& message) const {
+    tag("promised"), put(json, message.epoch), put(json, message.last), put(json, message.last_epoch),
+        put(json, message.config);
+    put(json, message.moved);
   }
-  void operator()(const say::Read& x) const { word("read"), put(json, x.epoch); }
-  void operator()(const say::State& x) const {
-    word("state"), put(json, x.epoch), put(json, x.last), put(json, x.last_epoch);
+  void operator()(const protocol::Read& message) const { tag("read"), put(json, message.epoch); }
+  void operator()(const protocol::State& message) const {
+    tag("state"), put(json, message.epoch), put(json, message.last), put(json, message.last_epoch);
   }
-  void operator()(const say::Move& x) const { word("move"), put(json, x.epoch), put(json, x.into); }
-  void operator()(const say::Accepted& x) const { word("accepted"), put(json, x.epoch); }
+  void operator()(const protocol::Move& message) const {
+    tag("move"), put(json, message.epoch), put(json, message.into);
+  }
+  void operator()(const protocol::Accepted& message) const { tag("accepted"), put(json, message.epoch); }
 };
 
-std::string framed(const rapidjson::StringBuffer& head, const std::vector<std::string_view>& body) {
+std::string make_frame(const rapidjson::StringBuffer& head, const std::vector<std::string_view>& body) {
   std::uint64_t size = 0;
   for (const auto& b : body) size += b.size();
   const std::uint32_t lengths[2] = {static_cast<std::uint32_t>(head.GetSize()),
                                     static_cast<std::uint32_t>(size)};
   std::string out;
-  out.reserve(kFrameHead + head.GetSize() + size);
+  out.reserve(kFrameHeaderBytes + head.GetSize() + size);
   out.append(reinterpret_cast<const char*>(lengths), sizeof lengths);
   out.append(head.GetString(), head.GetSize());
   for (const auto& b : body) out.append(b);
@@ -100,135 +105,136 @@
 }
 
 // ---- Reading. ----
-class Fields {
+class ArrayReader {
  public:
-  explicit Fields(const Value& v) : v_(v) {
-    if (!v.IsArray()) throw Unreadable("no array");
+  explicit ArrayReader(const Value& v) : array_(v) {
+    if (!v.IsArray()) throw UnreadableError("no array");
   }
   const Value& next() {
-    if (at_ >= v_.Size()) throw Unreadable("short");
-    return v_[at_++];
+    if (index_ >= array_.Size()) throw UnreadableError("short");
+    return array_[index_++];
   }
-  bool more() const { return at_ < v_.Size(); }
+  bool more() const { return index_ < array_.Size(); }
   void done() const {
-    if (more()) throw Unreadable("long");
+    if (more()) throw UnreadableError("long");
   }
 
  private:
-  const Value& v_;
-  rapidjson::SizeType at_ = 0;
+  const Value& array_;
+  rapidjson::SizeType index_ = 0;
 };
 
-std::uint64_t number(const Value& v) {
-  if (!v.IsUint64()) throw Unreadable("no number");
+std::uint64_t read_number(const Value& v) {
+  if (!v.IsUint64()) throw UnreadableError("no number");
   return v.GetUint64();
 }
-std::string text(const Value& v) {
-  if (!v.IsString()) throw Unreadable("no text");
+std::string read_text(const Value& v) {
+  if (!v.IsString()) throw UnreadableError("no text");
   return {v.GetString(), v.GetStringLength()};
 }
-Member member(const Value& v) {
-  Fields f(v);
+Member read_member(const Value& v) {
+  ArrayReader f(v);
   Member m;
-  m.name = text(f.next()), m.incarnation = number(f.next());
+  m.name = read_text(f.next()), m.incarnation = read_number(f.next());
   f.done();
   return m;
 }
-Epoch epoch(const Value& v) {
-  Fields f(v);
+Epoch read_epoch(const Value& v) {
+  ArrayReader f(v);
   Epoch e;
-  e.number = number(f.next()), e.claimant = member(f.next());
+  e.number = read_number(f.next()), e.claimant = read_member(f.next());
   f.done();
   return e;
 }
-Version version(const Value& v) {
-  Fields f(v);
-  Version x;
-  x.epoch = epoch(f.next()), x.number = number(f.next());
+Version read_version(const Value& v) {
+  ArrayReader f(v);
+  Version message;
+  message.epoch = read_epoch(f.next()), message.number = read_number(f.next());
   f.done();
-  return x;
+  return message;
 }
-std::vector<Member> members(const Value& v) {
+std::vector<Member> read_members(const Value& v) {
   std::vector<Member> all;
-  for (Fields f(v); f.more();) all.push_back(member(f.next()));
+  for (ArrayReader f(v); f.more();) all.push_back(read_member(f.next()));
   return all;
 }
-Config config(const Value& v) {
-  Fields f(v);
+Config read_config(const Value& v) {
+  ArrayReader f(v);
   Config c;
-  c.version = version(f.next()), c.holders = members(f.next()), c.next = members(f.next());
+  c.version = read_version(f.next()), c.replicas = read_members(f.next()), c.next = read_members(f.next());
   f.done();
   return c;
 }
-std::optional<Moved> moved(const Value& v) {
-  Fields f(v);
+std::optional<Moved> read_moved(const Value& v) {
+  ArrayReader f(v);
   if (!f.more()) return std::nullopt;
   Moved m;
-  m.epoch = epoch(f.next()), m.into = member(f.next());
+  m.epoch = read_epoch(f.next()), m.into = read_member(f.next());
   f.done();
   return m;
 }
 
-Saying saying(const Value& v, const std::string& body) {
-  Fields f(v);
-  const std::string word = text(f.next());
-  const Epoch e = epoch(f.next());
-  const auto rest = [&]() -> Saying {
-    if (word == "append") {
-      say::Append x;
-      x.epoch = e, x.after = number(f.next()), x.after_epoch = epoch(f.next()), x.config = config(f.next());
+ProtocolMessage read_message(const Value& v, const std::string& body) {
+  ArrayReader f(v);
+  const std::string tag = read_text(f.next());
+  const Epoch e = read_epoch(f.next());
+  const auto decode = [&]() -> ProtocolMessage {
+    if (tag == "append") {
+      protocol::Append message;
+      message.epoch = e, message.after = read_number(f.next()), message.after_epoch = read_epoch(f.next()),
+      message.config = read_config(f.next());
       std::size_t at = 0;
-      for (Fields entries(f.next()); entries.more();) {
-        Fields one(entries.next());
+      for (ArrayReader entries(f.next()); entries.more();) {
+        ArrayReader one(entries.next());
         const Value& written = one.next();
-        const std::size_t size = number(one.next());
-        if (size > body.size() - at) throw Unreadable("entries are longer than the body");
-        x.entries.push_back({written.IsNull() ? e : epoch(written), body.substr(at, size)});
+        const std::size_t size = read_number(one.next());
+        if (size > body.size() - at) throw UnreadableError("entries are longer than the body");
+        message.entries.push_back({written.IsNull() ? e : read_epoch(written), body.substr(at, size)});
         at += size;
       }
-      if (at != body.size()) throw Unreadable("the body is longer than the entries");
-      return x;
+      if (at != body.size()) throw UnreadableError("the body is longer than the entries");
+      return message;
     }
-    if (word == "appended") {
-      const Position last = number(f.next());
-      return say::Appended{e, last, version(f.next())};
+    if (tag == "appended") {
+      const Position last = read_number(f.next());
+      return protocol::Appended{e, last, read_version(f.next())};
     }
-    if (word == "behind") {
-      const Position last = number(f.next());
-      return say::Behind{e, last, epoch(f.next())};
+    if (tag == "behind") {
+      const Position last = read_number(f.next());
+      return protocol::Behind{e, last, read_epoch(f.next())};
     }
-    if (word == "snapshot") {
-      say::Snapshot x{e, number(f.next()), {}, {}};
-      x.last_epoch = epoch(f.next()), x.config = config(f.next());
-      return x;
+    if (tag == "snapshot") {
+      protocol::Snapshot message{e, read_number(f.next()), {}, {}};
+      message.last_epoch = read_epoch(f.next()), message.config = read_config(f.next());
+      return message;
     }
-    if (word == "refused") return say::Refused{e};
-    if (word == "claim") return say::Claim{e};
-    if (word == "promised") {
-      say::Promised x;
-      x.epoch = e, x.last = number(f.next()), x.last_epoch = epoch(f.next());
-      x.config = config(f.next()), x.moved = moved(f.next());
-      return x;
+    if (tag == "refused") return protocol::Refused{e};
+    if (tag == "claim") return protocol::Claim{e};
+    if (tag == "promised") {
+      protocol::Promised message;
+      message.epoch = e, message.last = read_number(f.next()), message.last_epoch = read_epoch(f.next());
+      message.config = read_config(f.next()), message.moved = read_moved(f.next());
+      return message;
     }
-    if (word == "read") return say::Read{e};
-    if (word == "state") {
-      const Position last = number(f.next());
-      return say::State{e, last, epoch(f.next())};
+    if (tag == "read") return protocol::Read{e};
+    if (tag == "state") {
+      const Position last = read_number(f.next());
+      return protocol::State{e, last, read_epoch(f.next())};
     }
-    if (word == "move") return say::Move{e, member(f.next())};
-    if (word == "accepted") return say::Accepted{e};
-    throw Unreadable("unknown word");
+    if (tag == "move") return protocol::Move{e, read_member(f.next())};
+    if (tag == "accepted") return protocol::Accepted{e};
+    throw UnreadableError("unknown word");
   };
-  Saying out = rest();
+  ProtocolMessage decoded = decode();
   f.done();
-  return out;
+  return decoded;
 }
 
-constexpr const char* kKinds[] = {"word", "part", "part_taken", "heard", "full", "release"};
+constexpr const char* kKindNames[] = {"word", "part", "part_taken", "heard", "full", "release"};
 
 void parse(rapidjson::Document& d, std::string_view json) {
   d.Parse<rapidjson::kParseIterativeFlag>(json.data(), json.size());
-  if (d.HasParseError() || !d.IsObject()) throw Unreadable("no JSON object");
+  if (d.HasParseError() || !d.IsObject()) throw UnreadableError("no JSON object");
 }
 const Value* find(const Value& d, const char* key) {
   const auto it = d.FindMember(key);
@@ -237,7 +243,7 @@
 
 }  // namespace
 
-Lengths read_lengths(std::string_view bytes) {
+FrameLengths read_frame_lengths(std::string_view bytes) {
   std::uint32_t lengths[2] = {0, 0};
   std::memcpy(lengths, bytes.data(), sizeof lengths);
   return {lengths[0], lengths[1]};
@@ -254,25 +260,25 @@
   json.Key("seen"), json.StartArray(), put(json, hello.seen_incarnation), put(json, hello.seen_mark),
       json.EndArray();
   json.EndObject();
-  return framed(out, {});
+  return make_frame(out, {});
 }
 
 std::optional<Hello> read_hello(std::string_view head) {
   try {
     rapidjson::Document d;
     parse(d, head);
-    const Value *what = find(d, "heronvane"), *cluster = find(d, "cluster"), *self = find(d, "self");
+    const Value *format = find(d, "heronvane"), *cluster = find(d, "cluster"), *self = find(d, "self");
     const Value *mark = find(d, "mark"), *seen = find(d, "seen");
-    if (what == nullptr || cluster == nullptr || self == nullptr || mark == nullptr || seen == nullptr ||
-        text(*what) != "copies 1")
+    if (format == nullptr || cluster == nullptr || self == nullptr || mark == nullptr || seen == nullptr ||
+        read_text(*format) != "copies 1")
       return std::nullopt;
     Hello h;
-    h.cluster = text(*cluster), h.self = member(*self), h.mark = number(*mark);
-    Fields f(*seen);
-    h.seen_incarnation = number(f.next()), h.seen_mark = number(f.next());
+    h.cluster = read_text(*cluster), h.self = read_member(*self), h.mark = read_number(*mark);
+    ArrayReader f(*seen);
+    h.seen_incarnation = read_number(f.next()), h.seen_mark = read_number(f.next());
     f.done();
     return h;
-  } catch (const Unreadable&) {
+  } catch (const UnreadableError&) {
     return std::nullopt;
   }
 }
@@ -281,29 +287,29 @@
   rapidjson::StringBuffer out;
   Json json(out);
   json.StartObject();
-  json.Key("kind"), json.String(kKinds[static_cast<int>(p.kind)]);
+  json.Key("kind"), json.String(kKindNames[static_cast<int>(p.kind)]);
   json.Key("log"), put(json, p.log);
   std::vector<std::string_view> body{p.body};
-  if (p.saying) {
-    json.Key("say"), json.StartArray(), std::visit(Words{json}, *p.saying), json.EndArray();
-    if (const auto* const a = std::get_if<say::Append>(&*p.saying)) {
+  if (p.message) {
+    json.Key("say"), json.StartArray(), std::visit(MessageWriter{json}, *p.message), json.EndArray();
+    if (const auto* const a = std::get_if<protocol::Append>(&*p.message)) {
       body.clear();
       for (const auto& e : a->entries) body.push_back(e.bytes);
     }
   }
   if (p.epoch != Epoch{}) json.Key("epoch"), put(json, p.epoch);
-  const auto plain = [&](const char* key, std::uint64_t v) {
+  const auto optional_number = [&](const char* key, std::uint64_t v) {
     if (v != 0) json.Key(key), json.Uint64(v);
   };
-  if (p.kind == Packet::Kind::heard) json.Key("version"), put(json, p.version);
-  plain("replaced", p.replaced), plain("part", p.part), plain("last", p.last), plain("numbered", p.numbered),
-      plain("salt", p.salt);
-  plain("disk", p.disk), plain("mark", p.mark);
-  if (p.now != 0) json.Key("now"), json.Int64(p.now);
-  if (p.ago >= 0) json.Key("ago"), json.Int64(p.ago);
-  if (!p.text.empty()) json.Key("text"), put(json, p.text);
+  if (p.kind == Packet::Kind::last_contact) json.Key("version"), put(json, p.version);
+  optional_number("replaced", p.replaced), optional_number("part", p.chunk), optional_number("last", p.last),
+      optional_number("numbered", p.numbered_records), optional_number("salt", p.salt);
+  optional_number("disk", p.leader_disk_bytes), optional_number("mark", p.mark);
+  if (p.log_time != 0) json.Key("now"), json.Int64(p.log_time);
+  if (p.last_contact_age >= 0) json.Key("ago"), json.Int64(p.last_contact_age);
+  if (!p.reason.empty()) json.Key("text"), put(json, p.reason);
   json.EndObject();
-  return framed(out, body);
+  return make_frame(out, body);
 }
 
 std::optional<Packet> read_packet(std::string_view head, std::string body) {
@@ -313,42 +319,44 @@
     Packet p;
     const Value *kind = find(d, "kind"), *log = find(d, "log");
     if (kind == nullptr || log == nullptr) return std::nullopt;
-    const std::string name = text(*kind);
+    const std::string name = read_text(*kind);
     int at = 0;
-    while (at < 6 && name != kKinds[at]) at++;
+    while (at < 6 && name != kKindNames[at]) at++;
     if (at == 6) return std::nullopt;
     p.kind = static_cast<Packet::Kind>(at);
-    p.log = member(*log);
+    p.log = read_member(*log);
     p.body = std::move(body);
-    if (const Value* v = find(d, "say")) p.saying = saying(*v, p.body);
-    if (p.saying && std::holds_alternative<say::Append>(*p.saying)) p.body.clear();
-    if (const Value* v = find(d, "epoch")) p.epoch = epoch(*v);
-    const auto plain = [&](const char* key) {
+    if (const Value* v = find(d, "say")) p.message = read_message(*v, p.body);
+    if (p.message && std::holds_alternative<protocol::Append>(*p.message)) p.body.clear();
+    if (const Value* v = find(d, "epoch")) p.epoch = read_epoch(*v);
+    const auto optional_number = [&](const char* key) {
       const Value* const v = find(d, key);
-      return v == nullptr ? 0 : number(*v);
+      return v == nullptr ? 0 : read_number(*v);
     };
-    const auto time = [&](const char* key, Microseconds absent) {
+    const auto optional_time = [&](const char* key, Microseconds absent) {
       const Value* const v = find(d, key);
       if (v == nullptr) return absent;
-      if (!v->IsInt64()) throw Unreadable("no time");
+      if (!v->IsInt64()) throw UnreadableError("no time");
       return v->GetInt64();
     };
-    if (const Value* v = find(d, "version")) p.version = version(*v);
-    p.replaced = plain("replaced") != 0;
-    p.part = plain("part"), p.last = plain("last") != 0, p.numbered = plain("numbered");
-    p.salt = static_cast<store::Salt>(plain("salt"));
-    p.disk = plain("disk"), p.mark = plain("mark");
-    p.now = time("now", 0), p.ago = time("ago", -1);
-    if (const Value* v = find(d, "text")) p.text = text(*v);
-    if (p.kind == Packet::Kind::word && !p.saying) return std::nullopt;
+    if (const Value* v = find(d, "version")) p.version = read_version(*v);
+    p.replaced = optional_number("replaced") != 0;
+    p.chunk = optional_number("part"), p.last = optional_number("last") != 0,
+    p.numbered_records = optional_number("numbered");
+    p.salt = static_cast<store::Salt>(optional_number("salt"));
+    p.leader_disk_bytes = optional_number("disk"), p.mark = optional_number("mark");
+    p.log_time = optional_time("now", 0), p.last_contact_age = optional_time("ago", -1);
+    if (const Value* v = find(d, "text")) p.reason = read_text(*v);
+    if (p.kind == Packet::Kind::message && !p.message) return std::nullopt;
     return p;
-  } catch (const Unreadable&) {
+  } catch (const UnreadableError&) {
     return std::nullopt;
   }
 }
 
 std::string write_state(const Epoch& promised, Position last, const Epoch& last_epoch, const Config& c,
-                        const std::optional<Moved>& m, Microseconds ahead, std::uint64_t disk) {
+                        const std::optional<Moved>& m, Microseconds clock_offset,
+                        std::uint64_t leader_disk_bytes) {
   rapidjson::StringBuffer out;
   Json json(out);
   json.StartObject();
@@ -357,25 +365,26 @@
   json.Key("of"), put(json, last_epoch);
   json.Key("config"), put(json, c);
   json.Key("moved"), put(json, m);
-  json.Key("ahead"), json.Int64(ahead);
-  json.Key("disk"), json.Uint64(disk);
+  json.Key("ahead"), json.Int64(clock_offset);
+  json.Key("disk"), json.Uint64(leader_disk_bytes);
   json.EndObject();
   return {out.GetString(), out.GetSize()};
 }
 
-std::optional<KeptState> read_state(std::string_view text_of_it) {
+std::optional<KeptState> read_state(std::string_view json_text) {
   try {
     rapidjson::Document d;
-    parse(d, text_of_it);
+    parse(d, json_text);
     for (const char* key : {"promised", "last", "of", "config", "moved", "ahead", "disk"})
       if (find(d, key) == nullptr) return std::nullopt;
     KeptState s;
-    s.promised = epoch(d["promised"]), s.last = number(d["last"]), s.last_epoch = epoch(d["of"]);
-    s.config = config(d["config"]), s.moved = moved(d["moved"]);
+    s.promised = read_epoch(d["promised"]), s.last = read_number(d["last"]),
+    s.last_epoch = read_epoch(d["of"]);
+    s.config = read_config(d["config"]), s.moved = read_moved(d["moved"]);
     if (!d["ahead"].IsInt64()) return std::nullopt;
-    s.ahead = d["ahead"].GetInt64(), s.disk = number(d["disk"]);
+    s.clock_offset = d["ahead"].GetInt64(), s.leader_disk_bytes = read_number(d["disk"]);
     return s;
-  } catch (const Unreadable&) {
+  } catch (const UnreadableError&) {
     return std::nullopt;
   }
 }
@@ -394,18 +403,18 @@
   return {out.GetString(), out.GetSize()};
 }
 
-std::optional<Import> read_import(std::string_view text_of_it) {
+std::optional<Import> read_import(std::string_view json_text) {
   try {
     rapidjson::Document d;
-    parse(d, text_of_it);
+    parse(d, json_text);
     for (const char* key : {"log", "config", "epoch", "from", "to"})
       if (find(d, key) == nullptr) return std::nullopt;
     Import i;
-    i.log = member(d["log"]), i.config = config(d["config"]), i.epoch = epoch(d["epoch"]);
-    i.from = number(d["from"]), i.to = number(d["to"]);
-    if (const Value* v = find(d, "via")) i.via = member(*v);
+    i.log = read_member(d["log"]), i.config = read_config(d["config"]), i.epoch = read_epoch(d["epoch"]);
+    i.from = read_number(d["from"]), i.to = read_number(d["to"]);
+    if (const Value* v = find(d, "via")) i.via = read_member(*v);
     return i;
-  } catch (const Unreadable&) {
+  } catch (const UnreadableError&) {
     return std::nullopt;
   }
 }
--- a/relay/copies/packet.hpp
+++ b/relay/copies/packet.hpp
@@ -15,16 +15,16 @@
 
 namespace heronvane::copies {
 
-constexpr std::size_t kFrameHead = 8;
-constexpr std::size_t kMostHello = 1024;       // before the other side has said who it is
-constexpr std::size_t kMostHead = 256 * 1024;  // of a member
-constexpr std::size_t kMostBody = 64 * 1024 * 1024;
+constexpr std::size_t kFrameHeaderBytes = 8;
+constexpr std::size_t kMaxHelloBytes = 1024;       // before the other side has said who it is
+constexpr std::size_t kMaxHeadBytes = 256 * 1024;  // of a member
+constexpr std::size_t kMaxBodyBytes = 64 * 1024 * 1024;
 
-struct Lengths {
+struct FrameLengths {
   std::size_t head = 0, body = 0;
 };
 // Of the frame that these bytes (kFrameHead of them) begin.
-Lengths read_lengths(std::string_view bytes);
+FrameLengths read_frame_lengths(std::string_view bytes);
 
 struct Hello {
   std::string cluster;
@@ -43,29 +43,29 @@
 // One word about one log, with what travels beside it.
 struct Packet {
   enum class Kind {
-    word,        // `saying`, of the decisions
-    part,        // of a snapshot, the `part`-th: body; with the last one `saying` is the Snapshot
-    part_taken,  // the `part`-th
-    heard,       // how long since its owner was heard? `version`: of the config that the asker knows. Answer:
-                 // `ago`; `replaced`: a later config has the asker as a holder no more
-    full,        // answer: the holder can't take this now; `text` says why
-    release      // the log has moved for good: its messages need not be kept
+    message,         // `saying`, of the decisions
+    snapshot_chunk,  // of a snapshot, the `part`-th: body; with the last one `saying` is the Snapshot
+    chunk_accepted,  // the `part`-th
+    last_contact,    // how long since its owner was heard? `version`: of the config that the asker knows.
+                     // Answer: `ago`; `replaced`: a later config has the asker as a holder no more
+    unavailable,     // answer: the holder can't take this now; `text` says why
+    release          // the log has moved for good: its messages need not be kept
   };
-  Kind kind = Kind::word;
+  Kind kind = Kind::message;
   LogId log;
-  std::optional<Saying> saying;
-  Epoch epoch;                 // part, release: of who says it
-  std::uint64_t part = 0;      // of a snapshot, or of a state that is read, from 0 on
-  bool last = false;           // of the parts
-  std::uint64_t numbered = 0;  // messages and remembered ids in the state that is read
-  Microseconds now = 0;        // on the log's clock, its owner's lasting time; 0: not told
-  Version version;             // heard
+  std::optional<ProtocolMessage> message;
+  Epoch epoch;                         // part, release: of who says it
+  std::uint64_t chunk = 0;             // of a snapshot, or of a state that is read, from 0 on
+  bool last = false;                   // of the parts
+  std::uint64_t numbered_records = 0;  // messages and remembered ids in the state that is read
+  Microseconds log_time = 0;           // on the log's clock, its owner's lasting time; 0: not told
+  Version version;                     // heard
   bool replaced = false;
-  Microseconds ago = -1;     // heard: so long; -1: the log is not kept here
-  store::Salt salt = 0;      // of the frames in entries and body
-  std::uint64_t disk = 0;    // bytes that the owner's own folder may take
-  store::Sequence mark = 0;  // answers: as in Hello
-  std::string text, body;
+  Microseconds last_contact_age = -1;   // heard: so long; -1: the log is not kept here
+  store::Salt salt = 0;                 // of the frames in entries and body
+  std::uint64_t leader_disk_bytes = 0;  // bytes that the owner's own folder may take
+  store::Sequence mark = 0;             // answers: as in Hello
+  std::string reason, body;
 };
 
 // As it goes over the connection; entries of an Append are its body.
@@ -75,14 +75,15 @@
 
 // Configs, epochs and the like as JSON, for what is kept on disk.
 std::string write_state(const Epoch& promised, Position last, const Epoch& last_epoch, const Config& config,
-                        const std::optional<Moved>& moved, Microseconds ahead, std::uint64_t disk);
+                        const std::optional<Moved>& moved, Microseconds clock_offset,
+                        std::uint64_t leader_disk_bytes);
 struct KeptState {
   Epoch promised, last_epoch;
   Position last = 0;
   Config config;
   std::optional<Moved> moved;
-  Microseconds ahead = 0;  // the owner's clock before this one's
-  std::uint64_t disk = 0;
+  Microseconds clock_offset = 0;  // the owner's clock before this one's
+  std::uint64_t leader_disk_bytes = 0;
 };
 std::optional<KeptState> read_state(std::string_view json);
 
--- a/relay/copies/settings.hpp
+++ b/relay/copies/settings.hpp
@@ -16,10 +16,10 @@
     std::string machine, zone;  // empty: not told
   };
   bool on = false;
-  std::string cluster;  // no connection to or from another one
-  std::string listen;   // ip:port; empty: the address of the member that is this relay
-  int holders = 2;      // 0 to 4
-  bool all = false;     // acks: all holders; else a majority of the group, the owner among it
+  std::string cluster;            // no connection to or from another one
+  std::string listen;             // ip:port; empty: the address of the member that is this relay
+  int holders = 2;                // 0 to 4
+  bool require_all_acks = false;  // acks: all holders; else a majority of the group, the owner among it
   Microseconds takeover_after =
       10'000'000;  // an owner not heard for so long is taken over; 0: only when an operator says so
   Microseconds replace_after = 10'000'000;  // a holder that is away for so long is replaced
--- a/relay/copies/shelf.cpp
+++ b/relay/copies/shelf.cpp
@@ -13,398 +13,417 @@
 namespace {
 
 // Beside the owner's facts, none of which is called so: all of a holder's state; where it is since.
-const std::string kStateKey = "shelf", kAtKey = "shelf.at";
-constexpr std::size_t kMostRows = 1 << 20;
-constexpr std::uint64_t kLeastDisk = 1'000'000;
-constexpr int kTidySteps = 8;
+const std::string kStateKey = "shelf", kEndKey = "shelf.at";
+constexpr std::size_t kReadChunkBytes = 1 << 20;
+constexpr std::uint64_t kMinLeaderDiskBytes = 1'000'000;
+constexpr int kCompactionStepsPerLog = 8;
 
-std::string folder_name(const LogId& log, std::uint64_t count) {
-  return log.name + "." + std::to_string(log.incarnation) + "." + std::to_string(count);
+std::string folder_name(const LogId& log, std::uint64_t folder_count) {
+  return log.name + "." + std::to_string(log.incarnation) + "." + std::to_string(folder_count);
 }
 
-struct Named {
+struct FolderName {
   LogId log;
-  std::uint64_t count = 0;
+  std::uint64_t folder_count = 0;
 };
-std::optional<std::uint64_t> whole(std::string_view text) {
+std::optional<std::uint64_t> parse_number(std::string_view text) {
   std::uint64_t v = 0;
   const auto [end, bad] = std::from_chars(text.data(), text.data() + text.size(), v);
   if (bad != std::errc() || end != text.data() + text.size()) return std::nullopt;
   return v;
 }
-std::optional<Named> read_name(const std::string& name) {
+std::optional<FolderName> parse_folder_name(const std::string& name) {
   const auto last = name.rfind('.');
   if (last == std::string::npos || last == 0) return std::nullopt;
   const auto middle = name.rfind('.', last - 1);
   if (middle == std::string::npos || middle == 0) return std::nullopt;
-  const auto number = whole(std::string_view(name).substr(middle + 1, last - middle - 1));
-  const auto count = whole(std::string_view(name).substr(last + 1));
+  const auto number = parse_number(std::string_view(name).substr(middle + 1, last - middle - 1));
+  const auto count = parse_number(std::string_view(name).substr(last + 1));
   if (!number || !count) return std::nullopt;
-  return Named{{name.substr(0, middle), *number}, *count};
+  return FolderName{{name.substr(0, middle), *number}, *count};
 }
 
 Packet answer_to(const Packet& asked, Packet::Kind kind) {
-  Packet p;
-  p.kind = kind, p.log = asked.log, p.epoch = asked.epoch, p.part = asked.part;
-  return p;
+  Packet answer;
+  answer.kind = kind, answer.log = asked.log, answer.epoch = asked.epoch, answer.chunk = asked.chunk;
+  return answer;
 }
-Packet word_to(const Packet& asked, Saying saying) {
-  Packet p = answer_to(asked, Packet::Kind::word);
-  p.saying = std::move(saying);
-  return p;
+Packet message_to(const Packet& asked, ProtocolMessage message) {
+  Packet answer = answer_to(asked, Packet::Kind::message);
+  answer.message = std::move(message);
+  return answer;
 }
-Packet full(const Packet& asked, const std::string& why) {
-  Packet p = answer_to(asked, Packet::Kind::full);
-  p.text = why;
-  return p;
+Packet unavailable(const Packet& asked, const std::string& why) {
+  Packet answer = answer_to(asked, Packet::Kind::unavailable);
+  answer.reason = why;
+  return answer;
 }
 
 }  // namespace
 
 // What syncs goes before the files that it syncs.
-Shelves::Copy::~Copy() {
+ReplicaLogs::Folder::~Folder() {
   sync.reset();
   store.reset();
 }
 
-Shelves::Shelves(ShelfOptions options) : options_(std::move(options)) {
+ReplicaLogs::ReplicaLogs(ReplicaLogsOptions options) : options_(std::move(options)) {
   fs::create_directories(options_.folder);
   load();
 }
-Shelves::~Shelves() = default;
+ReplicaLogs::~ReplicaLogs() = default;
 
-void Shelves::load() {
+void ReplicaLogs::load() {
   std::map<LogId, std::map<std::uint64_t, std::string>> found;
   for (const auto& entry : fs::directory_iterator(options_.folder))
-    if (const auto named = read_name(entry.path().filename().string()); named && entry.is_directory())
-      found[named->log][named->count] = entry.path().string();
+    if (const auto named = parse_folder_name(entry.path().filename().string()); named && entry.is_directory())
+      found[named->log][named->folder_count] = entry.path().string();
   for (const auto& [log, folders] : found) {
-    auto shelf = std::make_unique<Shelf>();
-    shelf->log = log, shelf->heard = options_.steady();
-    shelf->count = folders.rbegin()->first;
+    auto replica_log = std::make_unique<ReplicaLog>();
+    replica_log->log = log, replica_log->last_contact = options_.steady();
+    replica_log->folder_count = folders.rbegin()->first;
     for (auto it = folders.rbegin(); it != folders.rend(); ++it) {
-      if (shelf->copy) {  // an earlier one
+      if (replica_log->current) {  // an earlier one
         fs::remove_all(it->second);
         continue;
       }
-      shelf->disk = options_.limit_bytes;  // until it is known
-      std::unique_ptr<Copy> copy;
+      replica_log->leader_disk_bytes = options_.limit_bytes;  // until it is known
+      std::unique_ptr<Folder> folder;
       try {
-        copy = open(*shelf, it->second);
+        folder = open(*replica_log, it->second);
       } catch (const std::exception& e) {
         options_.log("copies: " + it->second + ": can't be read: " + e.what());
-        forgot_ = true;
+        lost_promises_ = true;
         continue;
       }
-      if (!copy->store->recovery().damaged.empty() || copy->store->recovery().counts.missing > 0) {
+      if (!folder->store->recovery().damaged.empty() || folder->store->recovery().counts.missing > 0) {
         options_.log("copies: " + it->second + " is damaged: what was promised for it may be forgotten");
-        forgot_ = true;
+        lost_promises_ = true;
       }
-      const auto at = copy->store->facts().find(kStateKey);
-      const auto state = at == copy->store->facts().end() ? std::nullopt : read_state(at->second);
-      if (!state) {  // a snapshot that had not come to its end
-        copy.reset();
+      const auto state_fact = folder->store->facts().find(kStateKey);
+      const auto saved =
+          state_fact == folder->store->facts().end() ? std::nullopt : read_state(state_fact->second);
+      if (!saved) {  // a snapshot that had not come to its end
+        folder.reset();
         fs::remove_all(it->second);
         continue;
       }
-      HolderState s{state->promised, state->last, state->last_epoch, state->config, state->moved};
-      if (const auto later = copy->store->facts().find(kAtKey); later != copy->store->facts().end()) {
+      ReplicaState restored{saved->promised, saved->last, saved->last_epoch, saved->config, saved->moved};
+      if (const auto later = folder->store->facts().find(kEndKey); later != folder->store->facts().end()) {
         std::istringstream in(later->second);
-        in >> s.last >> s.last_epoch.number >> s.last_epoch.claimant.incarnation >>
-            s.last_epoch.claimant.name;
+        in >> restored.last >> restored.last_epoch.number >> restored.last_epoch.claimant.incarnation >>
+            restored.last_epoch.claimant.name;
       }
-      shelf->holder = Holder(s);
-      shelf->ahead = state->ahead, shelf->disk = state->disk;
-      shelf->left = s.last == 0;
-      shelf->copy = std::move(copy);
+      replica_log->replica = Replica(restored);
+      replica_log->clock_offset = saved->clock_offset,
+      replica_log->leader_disk_bytes = saved->leader_disk_bytes;
+      replica_log->replaced = restored.last == 0;
+      replica_log->current = std::move(folder);
     }
-    if (shelf->copy) shelves_[log] = std::move(shelf);
+    if (replica_log->current) replica_logs_[log] = std::move(replica_log);
   }
-  if (!forgot_) return;
-  shelves_.clear();
+  if (!lost_promises_) return;
+  replica_logs_.clear();
   for (const auto& [log, folders] : found)
     for (const auto& [count, path] : folders) fs::remove_all(path);
 }
 
-std::unique_ptr<Shelves::Copy> Shelves::open(Shelf& shelf, const std::string& path) {
-  auto copy = std::make_unique<Copy>();
-  copy->path = path;
-  copy->disk = store::open_folder(path);
-  store::Options o;
-  o.limit_bytes = std::max(shelf.disk, kLeastDisk);
-  o.durability = options_.durability;
-  o.vital_facts = {kStateKey, kAtKey};
-  o.log = options_.log;
-  if (o.durability == store::Durability::machine)
-    copy->sync = std::make_unique<store::SyncThread>(*copy->disk, options_.post);
-  copy->store = std::make_unique<store::Store>(*copy->disk, std::move(o), copy->sync.get());
-  copy->store->on_sync([this, &shelf] { flush(shelf); });
-  return copy;
+std::unique_ptr<ReplicaLogs::Folder> ReplicaLogs::open(ReplicaLog& replica_log, const std::string& path) {
+  auto folder = std::make_unique<Folder>();
+  folder->path = path;
+  folder->disk = store::open_folder(path);
+  store::Options store_options;
+  store_options.limit_bytes = std::max(replica_log.leader_disk_bytes, kMinLeaderDiskBytes);
+  store_options.durability = options_.durability;
+  store_options.vital_facts = {kStateKey, kEndKey};
+  store_options.log = options_.log;
+  if (store_options.durability == store::Durability::machine)
+    folder->sync = std::make_unique<store::SyncThread>(*folder->disk, options_.post);
+  folder->store = std::make_unique<store::Store>(*folder->disk, std::move(store_options), folder->sync.get());
+  folder->store->on_sync([this, &replica_log] { flush(replica_log); });
+  return folder;
 }
 
-std::unique_ptr<Shelves::Copy> Shelves::fresh(Shelf& shelf) {
-  const std::string path = options_.folder + "/" + folder_name(shelf.log, ++shelf.count);
+std::unique_ptr<ReplicaLogs::Folder> ReplicaLogs::create_folder(ReplicaLog& replica_log) {
+  const std::string path = options_.folder + "/" + folder_name(replica_log.log, ++replica_log.folder_count);
   fs::remove_all(path);
   fs::create_directories(path);
-  return open(shelf, path);
+  return open(replica_log, path);
 }
 
-void Shelves::remove(std::unique_ptr<Copy> copy) {
-  if (!copy) return;
-  const std::string path = copy->path;
-  copy.reset();
+void ReplicaLogs::remove(std::unique_ptr<Folder> folder) {
+  if (!folder) return;
+  const std::string path = folder->path;
+  folder.reset();
   std::error_code ignored;
   fs::remove_all(path, ignored);
 }
 
-Shelves::Shelf* Shelves::shelf_for(const Packet& packet, std::string& why_not) {
-  if (const auto it = shelves_.find(packet.log); it != shelves_.end()) return it->second.get();
+ReplicaLogs::ReplicaLog* ReplicaLogs::find_or_create(const Packet& packet, std::string& error) {
+  if (const auto it = replica_logs_.find(packet.log); it != replica_logs_.end()) return it->second.get();
   std::uint64_t used = 0;
-  for (const auto& [log, s] : shelves_) {
+  for (const auto& [log, replica_log] : replica_logs_) {
     // Of one that has gone elsewhere only the promises are left.
-    const auto& state = s->holder.state();
-    const bool released = (state.moved || s->left) && s->copy->store->held().empty();
-    used += released ? s->copy->store->bytes() : s->disk;
+    const auto& state = replica_log->replica.state();
+    const bool released =
+        (state.moved || replica_log->replaced) && replica_log->current->store->held().empty();
+    used += released ? replica_log->current->store->bytes() : replica_log->leader_disk_bytes;
   }
-  const std::uint64_t disk = std::max(packet.disk, kLeastDisk);
-  if (used + disk > options_.limit_bytes) {
-    why_not = "no room for a further log of " + std::to_string(disk) + " bytes: " + std::to_string(used) +
-              " of " + std::to_string(options_.limit_bytes) + " are taken; raise copies.disk_mb";
+  const std::uint64_t leader_disk_bytes = std::max(packet.leader_disk_bytes, kMinLeaderDiskBytes);
+  if (used + leader_disk_bytes > options_.limit_bytes) {
+    error = "no room for a further log of " + std::to_string(leader_disk_bytes) +
+            " bytes: " + std::to_string(used) + " of " + std::to_string(options_.limit_bytes) +
+            " are taken; raise copies.disk_mb";
     return nullptr;
   }
-  auto shelf = std::make_unique<Shelf>();
-  shelf->log = packet.log, shelf->disk = disk, shelf->heard = options_.steady();
+  auto replica_log = std::make_unique<ReplicaLog>();
+  replica_log->log = packet.log, replica_log->leader_disk_bytes = leader_disk_bytes,
+  replica_log->last_contact = options_.steady();
   try {
-    shelf->copy = fresh(*shelf);
+    replica_log->current = create_folder(*replica_log);
   } catch (const std::exception& e) {
-    why_not = e.what();
+    error = e.what();
     return nullptr;
   }
-  return (shelves_[packet.log] = std::move(shelf)).get();
+  return (replica_logs_[packet.log] = std::move(replica_log)).get();
 }
 
-void Shelves::hear(const Packet& packet, Reply reply) {
-  const bool writes = packet.kind == Packet::Kind::part ||
-                      (packet.saying && std::holds_alternative<say::Append>(*packet.saying));
-  const auto known = shelves_.find(packet.log);
+void ReplicaLogs::handle(const Packet& packet, Reply reply) {
+  const bool writes = packet.kind == Packet::Kind::snapshot_chunk ||
+                      (packet.message && std::holds_alternative<protocol::Append>(*packet.message));
+  const auto known = replica_logs_.find(packet.log);
   // A claim, too, binds one that had nothing yet: what comes later under a lower epoch is refused.
-  std::string why_not;
-  Shelf* const shelf = packet.kind == Packet::Kind::release
-                           ? (known == shelves_.end() ? nullptr : known->second.get())
-                           : shelf_for(packet, why_not);
-  if (shelf == nullptr) {
-    if (packet.kind != Packet::Kind::release) reply(full(packet, why_not));
+  std::string error;
+  ReplicaLog* const replica_log = packet.kind == Packet::Kind::release
+                                      ? (known == replica_logs_.end() ? nullptr : known->second.get())
+                                      : find_or_create(packet, error);
+  if (replica_log == nullptr) {
+    if (packet.kind != Packet::Kind::release) reply(unavailable(packet, error));
     return;
   }
-  if (writes) shelf->left = false;
-  if (writes && packet.now != 0) {
-    const Microseconds ahead = packet.now - options_.now();
-    constexpr Microseconds kSame = 50'000;
-    if (std::abs(ahead - shelf->ahead) > kSame) shelf->ahead = ahead;
+  if (writes) replica_log->replaced = false;
+  if (writes && packet.log_time != 0) {
+    const Microseconds clock_offset = packet.log_time - options_.now();
+    constexpr Microseconds kClockTolerance = 50'000;
+    if (std::abs(clock_offset - replica_log->clock_offset) > kClockTolerance)
+      replica_log->clock_offset = clock_offset;
   }
   switch (packet.kind) {
-    case Packet::Kind::word:
-      return std::holds_alternative<say::Read>(*packet.saying) ? read(*shelf, packet, reply)
-                                                               : word(*shelf, packet, reply);
-    case Packet::Kind::part:
-      return part(*shelf, packet, reply);
+    case Packet::Kind::message:
+      return std::holds_alternative<protocol::Read>(*packet.message)
+                 ? handle_read(*replica_log, packet, reply)
+                 : handle_message(*replica_log, packet, reply);
+    case Packet::Kind::snapshot_chunk:
+      return handle_chunk(*replica_log, packet, reply);
     case Packet::Kind::release:
-      return release(*shelf, packet);
-    case Packet::Kind::part_taken:
-    case Packet::Kind::heard:
-    case Packet::Kind::full:
-      return reply(full(packet, "no word to a holder"));
+      return handle_release(*replica_log, packet);
+    case Packet::Kind::chunk_accepted:
+    case Packet::Kind::last_contact:
+    case Packet::Kind::unavailable:
+      return reply(unavailable(packet, "no word to a holder"));
   }
 }
 
 // State and records in one batch. False: they can't be written now, and are kept for the next time.
-bool Shelves::keep_state(Shelf& shelf, Copy& copy, const HolderState& s) {
-  copy.store->put(store::record::Fact{kAtKey, {}});
-  copy.store->put(store::record::Fact{
-      kStateKey, write_state(s.promised, s.last, s.last_epoch, s.config, s.moved, shelf.ahead, shelf.disk)});
-  return copy.store->commit();
+bool ReplicaLogs::keep_state(ReplicaLog& replica_log, Folder& folder, const ReplicaState& state) {
+  folder.store->put(store::record::Fact{kEndKey, {}});
+  folder.store->put(store::record::Fact{
+      kStateKey, write_state(state.promised, state.last, state.last_epoch, state.config, state.moved,
+                             replica_log.clock_offset, replica_log.leader_disk_bytes)});
+  return folder.store->commit();
 }
 
-void Shelves::word(Shelf& shelf, const Packet& packet, const Reply& reply) {
-  const HolderState before = shelf.holder.state();
-  auto heard = shelf.holder.hear(*packet.saying);
-  if (!heard.answer) return reply(full(packet, "no word to a holder"));
-  auto& store = *shelf.copy->store;
+void ReplicaLogs::handle_message(ReplicaLog& replica_log, const Packet& packet, const Reply& reply) {
+  const ReplicaState before = replica_log.replica.state();
+  auto result = replica_log.replica.handle(*packet.message);
+  if (!result.answer) return reply(unavailable(packet, "no word to a holder"));
+  auto& store = *replica_log.current->store;
   // Records that a holder can't read are not what its owner wrote: better told than acknowledged.
-  bool whole = true;
-  for (const auto& e : heard.entries)
-    whole = read_rows(packet.salt, e.bytes, [&](store::Record&& r) { store.put(std::move(r)); }) && whole;
-  if (!whole) {
-    shelf.holder = Holder(before);
-    return reply(full(packet, "entries that can't be read"));
+  bool intact = true;
+  for (const auto& e : result.entries)
+    intact =
+        read_records(packet.salt, e.bytes, [&](store::Record&& r) { store.put(std::move(r)); }) && intact;
+  if (!intact) {
+    replica_log.replica = Replica(before);
+    return reply(unavailable(packet, "entries that can't be read"));
   }
-  const HolderState& now = shelf.holder.state();
-  const bool more = now.promised != before.promised || now.config.version != before.config.version ||
-                    now.moved != before.moved;
-  if (more || !store.trouble().empty()) {
-    if (!keep_state(shelf, *shelf.copy, now)) return reply(full(packet, store.trouble()));
+  const ReplicaState& now = replica_log.replica.state();
+  const bool state_changed = now.promised != before.promised || now.config.version != before.config.version ||
+                             now.moved != before.moved;
+  if (state_changed || !store.trouble().empty()) {
+    if (!keep_state(replica_log, *replica_log.current, now))
+      return reply(unavailable(packet, store.trouble()));
   } else if (now != before) {
-    store.put(store::record::Fact{kAtKey, std::to_string(now.last) + " " +
-                                              std::to_string(now.last_epoch.number) + " " +
-                                              std::to_string(now.last_epoch.claimant.incarnation) + " " +
-                                              now.last_epoch.claimant.name});
-    if (!store.commit()) return reply(full(packet, store.trouble()));
+    store.put(store::record::Fact{kEndKey, std::to_string(now.last) + " " +
+                                               std::to_string(now.last_epoch.number) + " " +
+                                               std::to_string(now.last_epoch.claimant.incarnation) + " " +
+                                               now.last_epoch.claimant.name});
+    if (!store.commit()) return reply(unavailable(packet, store.trouble()));
   }
-  when_durable(shelf, [reply, answer = word_to(packet, std::move(*heard.answer))] { reply(answer); });
+  when_durable(replica_log,
+               [reply, answer = message_to(packet, std::move(*result.answer))] { reply(answer); });
 }
 
-void Shelves::part(Shelf& shelf, const Packet& packet, const Reply& reply) {
-  if (packet.epoch < shelf.holder.state().promised)
-    return reply(word_to(packet, say::Refused{shelf.holder.state().promised}));
+void ReplicaLogs::handle_chunk(ReplicaLog& replica_log, const Packet& packet, const Reply& reply) {
+  if (packet.epoch < replica_log.replica.state().promised)
+    return reply(message_to(packet, protocol::Refused{replica_log.replica.state().promised}));
   try {
-    if (packet.part == 0) {
-      remove(std::exchange(shelf.staging, nullptr));
-      shelf.staging = fresh(shelf);
-      shelf.next_part = 0;
+    if (packet.chunk == 0) {
+      remove(std::exchange(replica_log.staging, nullptr));
+      replica_log.staging = create_folder(replica_log);
+      replica_log.next_chunk = 0;
     }
   } catch (const std::exception& e) {
-    return reply(full(packet, e.what()));
+    return reply(unavailable(packet, e.what()));
   }
-  if (!shelf.staging || packet.part != shelf.next_part) return reply(full(packet, "a part out of turn"));
-  shelf.next_part++;
-  auto& store = *shelf.staging->store;
-  const bool whole = read_rows(packet.salt, packet.body, [&](store::Record&& r) { store.put(std::move(r)); });
-  if (!whole || !store.commit()) {
-    remove(std::exchange(shelf.staging, nullptr));
-    return reply(full(packet, whole ? "the disk takes no more" : "rows that can't be read"));
+  if (!replica_log.staging || packet.chunk != replica_log.next_chunk)
+    return reply(unavailable(packet, "a part out of turn"));
+  replica_log.next_chunk++;
+  auto& store = *replica_log.staging->store;
+  const bool intact =
+      read_records(packet.salt, packet.body, [&](store::Record&& r) { store.put(std::move(r)); });
+  if (!intact || !store.commit()) {
+    remove(std::exchange(replica_log.staging, nullptr));
+    return reply(unavailable(packet, intact ? "the disk takes no more" : "rows that can't be read"));
   }
-  if (!packet.last || !packet.saying) {
-    Packet taken = answer_to(packet, Packet::Kind::part_taken);
+  if (!packet.last || !packet.message) {
+    Packet taken = answer_to(packet, Packet::Kind::chunk_accepted);
     return reply(taken);
   }
-  Holder holder = shelf.holder;
-  auto heard = holder.hear(*packet.saying);
-  if (!heard.replaced) {  // refused, or what it has is newer
-    remove(std::exchange(shelf.staging, nullptr));
-    return heard.answer ? reply(word_to(packet, std::move(*heard.answer)))
-                        : reply(full(packet, "no word to a holder"));
+  Replica replica = replica_log.replica;
+  auto result = replica.handle(*packet.message);
+  if (!result.snapshot_installed) {  // refused, or what it has is newer
+    remove(std::exchange(replica_log.staging, nullptr));
+    return result.answer ? reply(message_to(packet, std::move(*result.answer)))
+                         : reply(unavailable(packet, "no word to a holder"));
   }
-  if (!keep_state(shelf, *shelf.staging, holder.state())) {
-    remove(std::exchange(shelf.staging, nullptr));
-    return reply(full(packet, "the disk takes no more"));
+  if (!keep_state(replica_log, *replica_log.staging, replica.state())) {
+    remove(std::exchange(replica_log.staging, nullptr));
+    return reply(unavailable(packet, "the disk takes no more"));
   }
-  shelf.holder = holder;
-  swap_in(shelf);
-  when_durable(shelf, [reply, answer = word_to(packet, std::move(*heard.answer))] { reply(answer); });
+  replica_log.replica = replica;
+  install_staging(replica_log);
+  when_durable(replica_log,
+               [reply, answer = message_to(packet, std::move(*result.answer))] { reply(answer); });
 }
 
 // What waits for the earlier copy is answered by what is in its place: that is of a later word.
-void Shelves::swap_in(Shelf& shelf) {
-  auto earlier = std::exchange(shelf.copy, std::exchange(shelf.staging, nullptr));
-  shelf.reader.reset();
-  for (auto& one : shelf.waiting) one.first = shelf.copy->store->written();
+void ReplicaLogs::install_staging(ReplicaLog& replica_log) {
+  auto previous = std::exchange(replica_log.current, std::exchange(replica_log.staging, nullptr));
+  replica_log.state_reader.reset();
+  for (auto& one : replica_log.pending_replies) one.first = replica_log.current->store->written();
   // The earlier one goes once the new one stands.
-  const auto held = std::make_shared<std::unique_ptr<Copy>>(std::move(earlier));
-  when_durable(shelf, [this, held] { remove(std::move(*held)); });
+  const auto held = std::make_shared<std::unique_ptr<Folder>>(std::move(previous));
+  when_durable(replica_log, [this, held] { remove(std::move(*held)); });
 }
 
-void Shelves::when_durable(Shelf& shelf, std::function<void()> then) {
-  if (shelf.waiting.empty() && shelf.copy->store->durable() >= shelf.copy->store->written()) return then();
-  shelf.waiting.emplace_back(shelf.copy->store->written(), std::move(then));
-  flush(shelf);
+void ReplicaLogs::when_durable(ReplicaLog& replica_log, std::function<void()> callback) {
+  if (replica_log.pending_replies.empty() &&
+      replica_log.current->store->durable() >= replica_log.current->store->written())
+    return callback();
+  replica_log.pending_replies.emplace_back(replica_log.current->store->written(), std::move(callback));
+  flush(replica_log);
 }
 
-void Shelves::flush(Shelf& shelf) {
-  while (shelf.copy && !shelf.waiting.empty() &&
-         shelf.waiting.front().first <= shelf.copy->store->durable()) {
-    const auto then = std::move(shelf.waiting.front().second);
-    shelf.waiting.pop_front();
-    then();
+void ReplicaLogs::flush(ReplicaLog& replica_log) {
+  while (replica_log.current && !replica_log.pending_replies.empty() &&
+         replica_log.pending_replies.front().first <= replica_log.current->store->durable()) {
+    const auto callback = std::move(replica_log.pending_replies.front().second);
+    replica_log.pending_replies.pop_front();
+    callback();
   }
 }
 
-void Shelves::read(Shelf& shelf, const Packet& packet, const Reply& reply) {
-  auto heard = shelf.holder.hear(*packet.saying);
-  const bool refused = std::holds_alternative<say::Refused>(*heard.answer);
-  Packet answer = word_to(packet, std::move(*heard.answer));
+void ReplicaLogs::handle_read(ReplicaLog& replica_log, const Packet& packet, const Reply& reply) {
+  auto result = replica_log.replica.handle(*packet.message);
+  const bool refused = std::holds_alternative<protocol::Refused>(*result.answer);
+  Packet answer = message_to(packet, std::move(*result.answer));
   if (refused) return reply(answer);
-  if (packet.part == 0) {
-    shelf.reader = std::make_unique<RowWriter>(*shelf.copy->store);
-    shelf.reader_part = 0;
+  if (packet.chunk == 0) {
+    replica_log.state_reader = std::make_unique<StateWriter>(*replica_log.current->store);
+    replica_log.next_read_chunk = 0;
   }
-  if (!shelf.reader || shelf.reader_part != packet.part) return reply(full(packet, "a part out of turn"));
-  answer.body = shelf.reader->next(kMostRows);
-  answer.last = shelf.reader->done();
-  answer.numbered = shelf.reader->numbered();
-  answer.salt = shelf.copy->store->salt();
-  answer.now = options_.now() + shelf.ahead;
-  shelf.reader_part++;
-  if (answer.last) shelf.reader.reset();
+  if (!replica_log.state_reader || replica_log.next_read_chunk != packet.chunk)
+    return reply(unavailable(packet, "a part out of turn"));
+  answer.body = replica_log.state_reader->next(kReadChunkBytes);
+  answer.last = replica_log.state_reader->done();
+  answer.numbered_records = replica_log.state_reader->numbered_records();
+  answer.salt = replica_log.current->store->salt();
+  answer.log_time = options_.now() + replica_log.clock_offset;
+  replica_log.next_read_chunk++;
+  if (answer.last) replica_log.state_reader.reset();
   reply(answer);
 }
 
 // The promises stay, with nothing beside them.
-void Shelves::release(Shelf& shelf, const Packet& packet) {
-  const auto& state = shelf.holder.state();
-  if (!state.moved || state.moved->epoch > packet.epoch || shelf.copy->store->held().empty()) return;
-  put_alone(shelf, HolderState(state));
+void ReplicaLogs::handle_release(ReplicaLog& replica_log, const Packet& packet) {
+  const auto& state = replica_log.replica.state();
+  if (!state.moved || state.moved->epoch > packet.epoch || replica_log.current->store->held().empty()) return;
+  rewrite_state_only(replica_log, ReplicaState(state));
 }
 
-void Shelves::empty(const LogId& log) {
-  const auto it = shelves_.find(log);
-  if (it == shelves_.end()) return;
+void ReplicaLogs::discard_entries(const LogId& log) {
+  const auto it = replica_logs_.find(log);
+  if (it == replica_logs_.end()) return;
   // As one that has the promise and none of the log: whoever writes to it again begins with a snapshot.
-  HolderState state = it->second->holder.state();
+  ReplicaState state = it->second->replica.state();
   state.last = 0, state.last_epoch = {};
-  it->second->left = true;
-  put_alone(*it->second, state);
+  it->second->replaced = true;
+  rewrite_state_only(*it->second, state);
 }
 
-void Shelves::put_alone(Shelf& shelf, const HolderState& state) {
+void ReplicaLogs::rewrite_state_only(ReplicaLog& replica_log, const ReplicaState& state) {
   try {
-    shelf.staging = fresh(shelf);
+    replica_log.staging = create_folder(replica_log);
   } catch (const std::exception&) {
     return;  // it only takes room
   }
-  if (!keep_state(shelf, *shelf.staging, state)) return remove(std::exchange(shelf.staging, nullptr));
-  shelf.holder = Holder(state);
-  swap_in(shelf);
+  if (!keep_state(replica_log, *replica_log.staging, state))
+    return remove(std::exchange(replica_log.staging, nullptr));
+  replica_log.replica = Replica(state);
+  install_staging(replica_log);
 }
 
-void Shelves::forget_all() {
-  for (auto& [log, s] : std::exchange(shelves_, {})) {
-    remove(std::move(s->staging));
-    remove(std::move(s->copy));
+void ReplicaLogs::discard_all() {
+  for (auto& [log, replica_log] : std::exchange(replica_logs_, {})) {
+    remove(std::move(replica_log->staging));
+    remove(std::move(replica_log->current));
   }
 }
 
-void Shelves::heard(const LogId& log) {
-  if (const auto it = shelves_.find(log); it != shelves_.end()) it->second->heard = options_.steady();
+void ReplicaLogs::note_contact(const LogId& log) {
+  if (const auto it = replica_logs_.find(log); it != replica_logs_.end())
+    it->second->last_contact = options_.steady();
 }
 
-bool Shelves::tidy() {
+bool ReplicaLogs::compact() {
   bool more = false;
-  for (auto& [log, s] : shelves_)
-    for (int i = 0; i < kTidySteps && s->copy->store->wants_compaction(); i++) {
-      const auto step = s->copy->store->compact();
+  for (auto& [log, replica_log] : replica_logs_)
+    for (int i = 0; i < kCompactionStepsPerLog && replica_log->current->store->wants_compaction(); i++) {
+      const auto step = replica_log->current->store->compact();
       if (step != store::Store::Step::more) break;
-      more = more || i + 1 == kTidySteps;
+      more = more || i + 1 == kCompactionStepsPerLog;
     }
   return more;
 }
 
-Shelves::View Shelves::view(const Shelf& s) const {
-  return {s.log,
-          s.holder.state(),
-          s.heard,
-          s.copy->store->held().size(),
-          s.copy->store->bytes(),
-          s.copy->store->trouble()};
+ReplicaLogs::View ReplicaLogs::make_view(const ReplicaLog& replica_log) const {
+  return {replica_log.log,
+          replica_log.replica.state(),
+          replica_log.last_contact,
+          replica_log.current->store->held().size(),
+          replica_log.current->store->bytes(),
+          replica_log.current->store->trouble()};
 }
-std::vector<Shelves::View> Shelves::all() const {
+std::vector<ReplicaLogs::View> ReplicaLogs::all() const {
   std::vector<View> out;
-  for (const auto& [log, s] : shelves_) out.push_back(view(*s));
+  for (const auto& [log, replica_log] : replica_logs_) out.push_back(make_view(*replica_log));
   return out;
 }
-std::optional<Shelves::View> Shelves::find(const LogId& log) const {
-  const auto it = shelves_.find(log);
-  if (it == shelves_.end()) return std::nullopt;
-  return view(*it->second);
+std::optional<ReplicaLogs::View> ReplicaLogs::find(const LogId& log) const {
+  const auto it = replica_logs_.find(log);
+  if (it == replica_logs_.end()) return std::nullopt;
+  return make_view(*it->second);
 }
 
 }  // namespace heronvane::copies
--- a/relay/copies/shelf.hpp
+++ b/relay/copies/shelf.hpp
@@ -22,7 +22,7 @@
 
 namespace heronvane::copies {
 
-struct ShelfOptions {
+struct ReplicaLogsOptions {
   std::string folder;             // made where it is missing
   std::uint64_t limit_bytes = 0;  // of all logs together, by what their owners may fill
   store::Durability durability = store::Durability::process;
@@ -32,80 +32,80 @@
   std::function<void(const std::string&)> log = [](const std::string&) {};
 };
 
-class Shelves {
+class ReplicaLogs {
  public:
   using Reply = std::function<void(Packet)>;
 
   // Throws std::exception where the folder can't be had.
-  explicit Shelves(ShelfOptions options);
-  ~Shelves();
+  explicit ReplicaLogs(ReplicaLogsOptions options);
+  ~ReplicaLogs();
 
   // Something of it can't be read any more: what was promised may be forgotten. All of it is gone then, and
   // this relay must come back as another member.
-  bool forgot() const { return forgot_; }
+  bool lost_promises() const { return lost_promises_; }
 
   // A word, a part, a release: answered exactly once (a release never), when what it says stands on the disk.
-  void hear(const Packet& packet, Reply reply);
+  void handle(const Packet& packet, Reply reply);
   // Others hold that log in this one's place: what it says goes, what was promised stays.
-  void empty(const LogId& log);
+  void discard_entries(const LogId& log);
   // All of it goes, with what was promised: this relay is another member from now on.
-  void forget_all();
+  void discard_all();
   // The owner of that log was heard just now.
-  void heard(const LogId& log);
+  void note_contact(const LogId& log);
   // Bounded work that is left over: compaction. True: there is more.
-  bool tidy();
+  bool compact();
 
   struct View {
     LogId log;
-    HolderState state;
-    Microseconds heard = 0;  // steady time
+    ReplicaState state;
+    Microseconds last_contact = 0;  // steady time
     std::size_t messages = 0;
     std::uint64_t bytes = 0;
-    std::string trouble;
+    std::string error;
   };
   std::vector<View> all() const;
   std::optional<View> find(const LogId& log) const;
 
  private:
-  struct Copy {  // one folder
+  struct Folder {  // one folder
     std::string path;
     std::unique_ptr<store::Disk> disk;
     std::unique_ptr<store::SyncThread> sync;
     std::unique_ptr<store::Store> store;
-    ~Copy();
+    ~Folder();
   };
-  struct Shelf {
+  struct ReplicaLog {
     LogId log;
-    std::uint64_t count = 0;  // of its folders, ever
-    std::unique_ptr<Copy> copy, staging;
-    std::uint64_t next_part = 0;
-    bool left = false;  // others hold that log: only promises are here
-    Holder holder;
-    Microseconds heard = 0, ahead = 0;
-    std::uint64_t disk = 0;
-    std::unique_ptr<RowWriter> reader;
-    std::uint64_t reader_part = 0;
-    std::deque<std::pair<store::Sequence, std::function<void()>>> waiting;
+    std::uint64_t folder_count = 0;  // of its folders, ever
+    std::unique_ptr<Folder> current, staging;
+    std::uint64_t next_chunk = 0;
+    bool replaced = false;  // others hold that log: only promises are here
+    Replica replica;
+    Microseconds last_contact = 0, clock_offset = 0;
+    std::uint64_t leader_disk_bytes = 0;
+    std::unique_ptr<StateWriter> state_reader;
+    std::uint64_t next_read_chunk = 0;
+    std::deque<std::pair<store::Sequence, std::function<void()>>> pending_replies;
   };
   void load();
-  std::unique_ptr<Copy> open(Shelf& shelf, const std::string& path);
-  std::unique_ptr<Copy> fresh(Shelf& shelf);
-  void remove(std::unique_ptr<Copy> copy);
-  Shelf* shelf_for(const Packet& packet, std::string& why_not);
-  void word(Shelf& shelf, const Packet& packet, const Reply& reply);
-  void part(Shelf& shelf, const Packet& packet, const Reply& reply);
-  void read(Shelf& shelf, const Packet& packet, const Reply& reply);
-  void release(Shelf& shelf, const Packet& packet);
-  void put_alone(Shelf& shelf, const HolderState& state);
-  bool keep_state(Shelf& shelf, Copy& copy, const HolderState& state);
-  void swap_in(Shelf& shelf);
-  void when_durable(Shelf& shelf, std::function<void()> then);
-  void flush(Shelf& shelf);
-  View view(const Shelf& shelf) const;
+  std::unique_ptr<Folder> open(ReplicaLog& replica_log, const std::string& path);
+  std::unique_ptr<Folder> create_folder(ReplicaLog& replica_log);
+  void remove(std::unique_ptr<Folder> folder);
+  ReplicaLog* find_or_create(const Packet& packet, std::string& error);
+  void handle_message(ReplicaLog& replica_log, const Packet& packet, const Reply& reply);
+  void handle_chunk(ReplicaLog& replica_log, const Packet& packet, const Reply& reply);
+  void handle_read(ReplicaLog& replica_log, const Packet& packet, const Reply& reply);
+  void handle_release(ReplicaLog& replica_log, const Packet& packet);
+  void rewrite_state_only(ReplicaLog& replica_log, const ReplicaState& state);
+  bool keep_state(ReplicaLog& replica_log, Folder& folder, const ReplicaState& state);
+  void install_staging(ReplicaLog& replica_log);
+  void when_durable(ReplicaLog& replica_log, std::function<void()> then);
+  void flush(ReplicaLog& replica_log);
+  View make_view(const ReplicaLog& replica_log) const;
 
-  ShelfOptions options_;
-  std::map<LogId, std::unique_ptr<Shelf>> shelves_;
-  bool forgot_ = false;
+  ReplicaLogsOptions options_;
+  std::map<LogId, std::unique_ptr<ReplicaLog>> replica_logs_;
+  bool lost_promises_ = false;
 };
 
 }  // namespace heronvane::copies
--- a/relay/copies/takeover.cpp
+++ b/relay/copies/takeover.cpp
@@ -10,15 +10,18 @@
 
 namespace {
 
-constexpr Microseconds kSayAgain = 150'000;        // words that were not answered
-constexpr Microseconds kReadAgain = 2'000'000;     // a state that is read, from its first part on
-constexpr Microseconds kClaimAtMost = 20'000'000;  // then anew, under a higher epoch
-constexpr Microseconds kPause = 1'000'000;         // after one that was beaten
-constexpr Microseconds kAskAgain = 250'000;        // other holders, when they heard an owner
-constexpr Microseconds kAskSeldom = 2'000'000;     // where it has been silent here for long, and not to them
+constexpr Microseconds kResendInterval = 150'000;       // words that were not answered
+constexpr Microseconds kReadRetryInterval = 2'000'000;  // a state that is read, from its first part on
+constexpr Microseconds kClaimTimeout = 20'000'000;      // then anew, under a higher epoch
+constexpr Microseconds kPreemptedPause = 1'000'000;     // after one that was beaten
+constexpr Microseconds kQueryInterval = 250'000;        // other holders, when they heard an owner
+constexpr Microseconds kSlowQueryInterval =
+    2'000'000;  // where it has been silent here for long, and not to them
 
-std::string key_of(const LogId& log) { return kImportKey + log.name + "." + std::to_string(log.incarnation); }
-std::string name_of(const LogId& log) {
+std::string import_key(const LogId& log) {
+  return kImportKeyPrefix + log.name + "." + std::to_string(log.incarnation);
+}
+std::string log_name(const LogId& log) {
   std::ostringstream out;
   out << log;
   return out.str();
@@ -28,11 +31,11 @@
 
 void Takeover::load() {
   for (const auto& [key, value] : host_.store.facts()) {
-    if (key.compare(0, kImportKey.size(), kImportKey) != 0) continue;
+    if (key.compare(0, kImportKeyPrefix.size(), kImportKeyPrefix) != 0) continue;
     auto import = read_import(value);
     if (!import) continue;
     host_.store.reserve_numbers(import->to);
-    host_.log("copies: the take-over of " + name_of(import->log) + " had begun, and goes on");
+    host_.log("copies: the take-over of " + log_name(import->log) + " had begun, and goes on");
     imports_.push_back(std::move(*import));
   }
 }
@@ -48,214 +51,225 @@
   return it == imports_.end() ? nullptr : &*it;
 }
 
-std::vector<Member> Takeover::wanted() const {
+std::vector<Member> Takeover::wanted_members() const {
   std::vector<Member> all;
   const auto add = [&](const Config& c) {
-    all.insert(all.end(), c.holders.begin(), c.holders.end());
+    all.insert(all.end(), c.replicas.begin(), c.replicas.end());
     all.insert(all.end(), c.next.begin(), c.next.end());
   };
   if (claim_) add(claim_->config());
   for (const auto& i : imports_) add(i.config);
-  for (const auto& [log, doubt] : doubts_)
-    if (const auto shelf = host_.shelves.find(log)) add(shelf->state.config);
+  for (const auto& [log, silent_leader] : silent_leaders_)
+    if (const auto replica_log = host_.replica_logs.find(log)) add(replica_log->state.config);
   return all;
 }
 
-std::string Takeover::doing() const {
-  if (!claim_) return imports_.empty() ? "" : "waits to go on with " + name_of(imports_.front().log);
-  static constexpr const char* kWords[] = {
+std::string Takeover::describe_progress() const {
+  if (!claim_) return imports_.empty() ? "" : "waits to go on with " + log_name(imports_.front().log);
+  static constexpr const char* kStateNames[] = {
       "asks the holders", "reads", "imports", "moves", "won", "moved", "beaten"};
-  return name_of(log_) + ": " + kWords[static_cast<int>(claim_->state())];
+  return log_name(claimed_log_) + ": " + kStateNames[static_cast<int>(claim_->state())];
 }
 
-std::string Takeover::begin_by_hand(const std::string& name) {
-  if (claim_) return "busy with the take-over of " + name_of(log_);
-  std::optional<Shelves::View> found;
-  for (auto& shelf : host_.shelves.all())
-    if (shelf.log.name == name && !shelf.state.moved && (!found || found->log < shelf.log)) found = shelf;
+std::string Takeover::begin_by_operator(const std::string& name) {
+  if (claim_) return "busy with the take-over of " + log_name(claimed_log_);
+  std::optional<ReplicaLogs::View> found;
+  for (auto& replica_log : host_.replica_logs.all())
+    if (replica_log.log.name == name && !replica_log.state.moved && (!found || found->log < replica_log.log))
+      found = replica_log;
   if (!found) return "this relay holds no copy of a log of " + name + " that is to be taken over";
-  by_hand_ = true;
-  host_.log("copies: taking over " + name_of(found->log) + ", as the operator says");
+  by_operator_ = true;
+  host_.log("copies: taking over " + log_name(found->log) + ", as the operator says");
   begin(found->log, found->state.config, found->state.promised.number);
   return {};
 }
 
 void Takeover::begin(const LogId& log, const Config& config, std::uint64_t above) {
-  log_ = log;
-  part_ = 0, next_ = 0, whole_ = false, said_at_ = 0, read_at_ = 0;
-  began_at_ = host_.steady();
-  chained_.clear();
+  claimed_log_ = log;
+  next_chunk_ = 0, next_number_ = 0, state_complete_ = false, last_sent_at_ = 0, read_requested_at_ = 0;
+  claim_started_at_ = host_.steady();
+  chained_imports_.clear();
   const Member self = host_.self();
   claim_.emplace(self, Claim::Purpose::take_over, Epoch{host_.next_epoch(above), self}, config,
                  host_.own_log(), 0, Epoch{}, ClaimOptions{host_.acks()});
-  host_.settle();  // the epoch is kept before it is said
+  host_.commit();  // the epoch is kept before it is said
 }
 
 void Takeover::tick() {
   const Microseconds now = host_.steady();
   if (!claim_) {
-    if (now < again_at_) return;
+    if (now < retry_at_) return;
     // What an earlier life began goes first, unless its owner has written on since.
     for (const auto& i : std::vector<Import>(imports_)) {
       // Not before the log that it came with is this one's.
       if (i.via && import_of(*i.via) != nullptr) continue;
-      const auto shelf = host_.shelves.find(i.log);
-      if (shelf && shelf->state.last_epoch > i.epoch && i.epoch != Epoch{}) {
-        log_ = i.log;
-        drop_parked("its owner went on");
+      const auto replica_log = host_.replica_logs.find(i.log);
+      if (replica_log && replica_log->state.last_epoch > i.epoch && i.epoch != Epoch{}) {
+        claimed_log_ = i.log;
+        abandon_claim("its owner went on");
         return;
       }
-      if (shelf && host_.after > 0 && now - shelf->heard < host_.after) continue;
-      const auto& config =
-          shelf && shelf->state.config.version > i.config.version ? shelf->state.config : i.config;
-      return begin(i.log, config, shelf ? shelf->state.promised.number : i.epoch.number);
+      if (replica_log && host_.takeover_after > 0 && now - replica_log->last_contact < host_.takeover_after)
+        continue;
+      const auto& config = replica_log && replica_log->state.config.version > i.config.version
+                               ? replica_log->state.config
+                               : i.config;
+      return begin(i.log, config, replica_log ? replica_log->state.promised.number : i.epoch.number);
     }
-    return look_for_gone();
+    return check_for_lost_leaders();
   }
-  if (now - began_at_ > kClaimAtMost) {
-    host_.log("copies: the claim on " + name_of(log_) + " comes to no end; anew under a higher epoch");
+  if (now - claim_started_at_ > kClaimTimeout) {
+    host_.log("copies: the claim on " + log_name(claimed_log_) +
+              " comes to no end; anew under a higher epoch");
     const auto config = claim_->config();
     const auto epoch = claim_->epoch().number;
-    return begin(log_, config, epoch);
+    return begin(claimed_log_, config, epoch);
   }
-  if (claim_->state() == Claim::State::importing && whole_ && host_.store.durable() >= written_) {
-    claim_->imported();
-    said_at_ = 0;
+  if (claim_->state() == Claim::State::importing && state_complete_ &&
+      host_.store.durable() >= imported_sequence_) {
+    claim_->state_imported();
+    last_sent_at_ = 0;
   }
-  if (now - said_at_ >= kSayAgain) say_words();
+  if (now - last_sent_at_ >= kResendInterval) send_requests();
 }
 
 // An owner that neither this holder nor enough of the others have heard is gone.
-void Takeover::look_for_gone() {
+void Takeover::check_for_lost_leaders() {
   const Microseconds now = host_.steady();
-  if (host_.after <= 0) return;
+  if (host_.takeover_after <= 0) return;
   const Member self = host_.self();
-  std::map<LogId, Doubt> doubts;
-  for (const auto& shelf : host_.shelves.all()) {
-    const auto& config = shelf.state.config;
+  std::map<LogId, SilentLeader> silent_leaders;
+  for (const auto& replica_log : host_.replica_logs.all()) {
+    const auto& config = replica_log.state.config;
     // Of one that it holds no more only the promises are left.
-    if (shelf.state.moved || shelf.state.last == 0 || shelf.log == host_.own_log()) continue;
-    auto holders = config.holders;
-    holders.insert(holders.end(), config.next.begin(), config.next.end());
-    const auto rank = std::find(holders.begin(), holders.end(), self) - holders.begin();
-    if (rank == static_cast<std::ptrdiff_t>(holders.size())) continue;  // it holds that log no more
+    if (replica_log.state.moved || replica_log.state.last == 0 || replica_log.log == host_.own_log())
+      continue;
+    auto replicas = config.replicas;
+    replicas.insert(replicas.end(), config.next.begin(), config.next.end());
+    const auto rank = std::find(replicas.begin(), replicas.end(), self) - replicas.begin();
+    if (rank == static_cast<std::ptrdiff_t>(replicas.size())) continue;  // it holds that log no more
     // One after the other, so that few claim at a time.
-    const Microseconds after = host_.after + rank * std::min<Microseconds>(host_.after / 4, 1'000'000);
-    if (now - shelf.heard < after) continue;
-    Doubt& doubt = doubts[shelf.log] = std::move(doubts_[shelf.log]);
-    std::set<Member> silent{self};
-    for (const auto& [m, ago] : doubt.ago)
-      if (ago < 0 || ago >= host_.after) silent.insert(m);
-    if (enough_claims(config, silent, host_.acks())) {
-      host_.log("copies: " + shelf.log.name + " was not heard for " +
-                std::to_string((now - shelf.heard) / 1000) +
+    const Microseconds silence_limit =
+        host_.takeover_after + rank * std::min<Microseconds>(host_.takeover_after / 4, 1'000'000);
+    if (now - replica_log.last_contact < silence_limit) continue;
+    SilentLeader& silent_leader = silent_leaders[replica_log.log] =
+        std::move(silent_leaders_[replica_log.log]);
+    std::set<Member> unreached_by{self};
+    for (const auto& [m, silence] : silent_leader.silence)
+      if (silence < 0 || silence >= host_.takeover_after) unreached_by.insert(m);
+    if (enough_claims(config, unreached_by, host_.acks())) {
+      host_.log("copies: " + replica_log.log.name + " was not heard for " +
+                std::to_string((now - replica_log.last_contact) / 1000) +
                 " ms, by enough of its holders: taking over what it owes");
-      doubts_ = std::move(doubts);
-      doubts_.erase(shelf.log);
-      by_hand_ = false;
-      return begin(shelf.log, config, shelf.state.promised.number);
+      silent_leaders_ = std::move(silent_leaders);
+      silent_leaders_.erase(replica_log.log);
+      by_operator_ = false;
+      return begin(replica_log.log, config, replica_log.state.promised.number);
     }
-    if (now - doubt.asked_at < (now - shelf.heard > 4 * after ? kAskSeldom : kAskAgain)) continue;
-    doubt.asked_at = now;
-    doubt.ago.clear();  // what was said a while ago counts no more
+    if (now - silent_leader.asked_at <
+        (now - replica_log.last_contact > 4 * silence_limit ? kSlowQueryInterval : kQueryInterval))
+      continue;
+    silent_leader.asked_at = now;
+    silent_leader.silence.clear();  // what was said a while ago counts no more
     Packet ask;
-    ask.kind = Packet::Kind::heard, ask.log = shelf.log, ask.version = config.version;
-    for (const auto& m : holders)
-      if (m != self) host_.say(m, ask);
+    ask.kind = Packet::Kind::last_contact, ask.log = replica_log.log, ask.version = config.version;
+    for (const auto& m : replicas)
+      if (m != self) host_.send(m, ask);
   }
-  doubts_ = std::move(doubts);
+  silent_leaders_ = std::move(silent_leaders);
 }
 
-void Takeover::say_words() {
+void Takeover::send_requests() {
   if (!host_.store.trouble().empty()) return;  // what is promised here could not be kept
-  said_at_ = host_.steady();
-  const auto words = claim_->words();
-  for (const auto& letter : words) {
+  last_sent_at_ = host_.steady();
+  const auto requests = claim_->requests();
+  for (const auto& envelope : requests) {
     Packet p;
-    p.log = log_, p.saying = letter.saying;
-    if (std::holds_alternative<say::Read>(letter.saying)) {
+    p.log = claimed_log_, p.message = envelope.message;
+    if (std::holds_alternative<protocol::Read>(envelope.message)) {
       // Part by part, as they come; anew where none came for long.
-      if (read_at_ != 0 && said_at_ - read_at_ < kReadAgain) continue;
-      read_at_ = said_at_;
-      p.part = part_ = 0;
+      if (read_requested_at_ != 0 && last_sent_at_ - read_requested_at_ < kReadRetryInterval) continue;
+      read_requested_at_ = last_sent_at_;
+      p.chunk = next_chunk_ = 0;
     }
-    host_.say(letter.to, p);
+    host_.send(envelope.to, p);
   }
 }
 
-void Takeover::hear(const Member& from, const Packet& packet) {
-  if (packet.kind == Packet::Kind::heard && packet.replaced) {
-    host_.log("copies: others hold " + name_of(packet.log) + " in this relay's place: its copy goes");
-    host_.shelves.empty(packet.log);
-    doubts_.erase(packet.log);
+void Takeover::handle(const Member& from, const Packet& packet) {
+  if (packet.kind == Packet::Kind::last_contact && packet.replaced) {
+    host_.log("copies: others hold " + log_name(packet.log) + " in this relay's place: its copy goes");
+    host_.replica_logs.discard_entries(packet.log);
+    silent_leaders_.erase(packet.log);
     return;
   }
-  if (packet.kind == Packet::Kind::heard) {
-    if (const auto it = doubts_.find(packet.log); it != doubts_.end()) it->second.ago[from] = packet.ago;
+  if (packet.kind == Packet::Kind::last_contact) {
+    if (const auto it = silent_leaders_.find(packet.log); it != silent_leaders_.end())
+      it->second.silence[from] = packet.last_contact_age;
     return;
   }
-  if (!claim_ || packet.log != log_ || packet.kind != Packet::Kind::word) return;
-  if (const auto* const state = std::get_if<say::State>(&*packet.saying)) {
+  if (!claim_ || packet.log != claimed_log_ || packet.kind != Packet::Kind::message) return;
+  if (const auto* const state = std::get_if<protocol::State>(&*packet.message)) {
     if (state->epoch != claim_->epoch() || claim_->state() != Claim::State::reading ||
-        from != claim_->source() || packet.part != part_)
+        from != claim_->source() || packet.chunk != next_chunk_)
       return;
-    take_part(packet);
+    import_chunk(packet);
     if (!claim_) return;
     if (!packet.last) {
       Packet more;
-      more.log = log_, more.saying = say::Read{claim_->epoch()}, more.part = ++part_;
-      read_at_ = host_.steady();
-      host_.say(from, more);
+      more.log = claimed_log_, more.message = protocol::Read{claim_->epoch()}, more.chunk = ++next_chunk_;
+      read_requested_at_ = host_.steady();
+      host_.send(from, more);
       return;
     }
   }
   const auto before = claim_->state();
-  claim_->hear(from, *packet.saying);
-  if (claim_->state() != before) moved_on();
+  claim_->handle(from, *packet.message);
+  if (claim_->state() != before) on_claim_state();
 }
 
-void Takeover::moved_on() {
+void Takeover::on_claim_state() {
   switch (claim_->state()) {
     case Claim::State::importing: {
       // What that log had begun to take over itself stays parked when this is won.
-      for (const auto& c : chained_) {
+      for (const auto& c : chained_imports_) {
         if (c.first == 0 || import_of(c.import.log) != nullptr) continue;
         Import there = c.import;
-        there.from = c.first, there.to = c.end, there.via = log_, there.epoch = {};
+        there.from = c.first, there.to = c.end, there.via = claimed_log_, there.epoch = {};
         imports_.push_back(std::move(there));
-        keep_import(c.import.log);
+        persist_import(c.import.log);
       }
-      whole_ = true;
-      host_.settle();
-      written_ = host_.store.written();
+      state_complete_ = true;
+      host_.commit();
+      imported_sequence_ = host_.store.written();
       return;
     }
     case Claim::State::won:
-      return won();
+      return on_won();
     case Claim::State::moved: {
-      const Import* const i = import_of(log_);
-      if (i != nullptr && i->via && *i->via == claim_->into()) return won();
-      host_.log("copies: " + name_of(log_) + " went to " + name_of(claim_->into()));
-      return drop_parked("it went elsewhere");
+      const Import* const i = import_of(claimed_log_);
+      if (i != nullptr && i->via && *i->via == claim_->into()) return on_won();
+      host_.log("copies: " + log_name(claimed_log_) + " went to " + log_name(claim_->into()));
+      return abandon_claim("it went elsewhere");
     }
-    case Claim::State::beaten:
-      host_.log("copies: the claim on " + name_of(log_) + " was beaten by " +
-                claim_->beaten_by().claimant.name);
+    case Claim::State::preempted:
+      host_.log("copies: the claim on " + log_name(claimed_log_) + " was beaten by " +
+                claim_->preempted_by().claimant.name);
       // It may be alive; what stands here stays parked until it is known where the log went.
-      host_.shelves.heard(log_);
-      again_at_ = host_.steady() + kPause;
-      return end();
-    case Claim::State::asking:
+      host_.replica_logs.note_contact(claimed_log_);
+      retry_at_ = host_.steady() + kPreemptedPause;
+      return end_claim();
+    case Claim::State::awaiting_promises:
     case Claim::State::reading:
     case Claim::State::moving:
-      said_at_ = 0;  // the next words at once
+      last_sent_at_ = 0;  // the next words at once
       return;
   }
 }
 
-void Takeover::keep_import(const LogId& log) {
+void Takeover::persist_import(const LogId& log) {
   const Import* const i = import_of(log);
-  host_.store.put(store::record::Fact{key_of(log), i == nullptr ? std::string() : write_import(*i)});
+  host_.store.put(store::record::Fact{import_key(log), i == nullptr ? std::string() : write_import(*i)});
 }
 
 // With what came along; its messages go, too.
@@ -264,83 +278,83 @@
     if (i.log != log && i.via != log) continue;
     for (MessageId n = i.from; n < i.to; n++) host_.store.over(n, false);
     std::erase_if(imports_, [&](const Import& x) { return x.log == i.log; });
-    keep_import(i.log);
+    persist_import(i.log);
   }
 }
 
-void Takeover::take_part(const Packet& packet) {
-  if (packet.part == 0) {
-    const Import* i = import_of(log_);
+void Takeover::import_chunk(const Packet& packet) {
+  if (packet.chunk == 0) {
+    const Import* i = import_of(claimed_log_);
     // What an earlier claim brought is read anew.
-    if (i != nullptr && (i->epoch != claim_->epoch() || i->to - i->from != packet.numbered)) {
-      drop_import(log_);
+    if (i != nullptr && (i->epoch != claim_->epoch() || i->to - i->from != packet.numbered_records)) {
+      drop_import(claimed_log_);
       i = nullptr;
     }
     if (i == nullptr) {
       Import fresh;
-      fresh.log = log_, fresh.config = claim_->config(), fresh.epoch = claim_->epoch();
-      fresh.from = host_.store.next_number(), fresh.to = fresh.from + packet.numbered;
+      fresh.log = claimed_log_, fresh.config = claim_->config(), fresh.epoch = claim_->epoch();
+      fresh.from = host_.store.next_number(), fresh.to = fresh.from + packet.numbered_records;
       host_.store.reserve_numbers(fresh.to);
       imports_.push_back(std::move(fresh));
       i = &imports_.back();
-      keep_import(log_);
+      persist_import(claimed_log_);
     }
-    next_ = i->from;
-    chained_.clear();
+    next_number_ = i->from;
+    chained_imports_.clear();
     // The log's clock as it stands now, by that holder.
-    shift_ = host_.store.clock().now() - packet.now;
+    clock_shift_ = host_.store.clock().now() - packet.log_time;
   }
-  const MessageId end = import_of(log_)->to;
+  const MessageId end = import_of(claimed_log_)->to;
   bool fits = true;
-  const bool whole = read_rows(packet.salt, packet.body, [&](store::Record&& r) {
-    const bool numbered =
+  const bool whole = read_records(packet.salt, packet.body, [&](store::Record&& r) {
+    const bool numbered_records =
         std::holds_alternative<store::record::Taken>(r) || std::holds_alternative<store::record::Over>(r);
-    if (numbered && next_ >= end)
+    if (numbered_records && next_number_ >= end)
       fits = false;
     else
-      take(std::move(r));
+      import_record(std::move(r));
   });
   if (!whole || !fits) {
-    host_.log("copies: " + name_of(log_) + ": what its holder sent can't be read; again later");
-    again_at_ = host_.steady() + kPause;
-    return this->end();
+    host_.log("copies: " + log_name(claimed_log_) + ": what its holder sent can't be read; again later");
+    retry_at_ = host_.steady() + kPreemptedPause;
+    return this->end_claim();
   }
-  host_.settle();
+  host_.commit();
 }
 
-void Takeover::take(store::Record&& record) {
+void Takeover::import_record(store::Record&& record) {
   if (auto* const t = std::get_if<store::record::Taken>(&record)) {
-    for (auto& c : chained_)
+    for (auto& c : chained_imports_)
       if (c.import.from <= t->number && t->number < c.import.to) {
-        if (c.first == 0) c.first = next_;
-        c.end = next_ + 1;
+        if (c.first == 0) c.first = next_number_;
+        c.end = next_number_ + 1;
       }
-    t->number = next_++;
-    t->held.message.deadline += shift_;
-    for (auto& a : t->held.attempts) a.sent += shift_;
+    t->number = next_number_++;
+    t->held.message.deadline += clock_shift_;
+    for (auto& a : t->held.attempts) a.sent += clock_shift_;
     host_.store.put(std::move(record));
   } else if (auto* const o = std::get_if<store::record::Over>(&record)) {
-    o->number = next_++;
-    o->remember_until += shift_;
+    o->number = next_number_++;
+    o->remember_until += clock_shift_;
     if (!host_.store.remembers(o->id)) host_.store.put(std::move(record));
   } else if (const auto* const f = std::get_if<store::record::Fact>(&record)) {
     // It had begun to take over others itself: who has these is to be asked, then.
-    if (f->key.compare(0, kImportKey.size(), kImportKey) != 0) return;
-    if (auto import = read_import(f->value)) chained_.push_back({std::move(*import), 0, 0});
+    if (f->key.compare(0, kImportKeyPrefix.size(), kImportKeyPrefix) != 0) return;
+    if (auto import = read_import(f->value)) chained_imports_.push_back({std::move(*import), 0, 0});
   }
 }
 
-void Takeover::won() {
+void Takeover::on_won() {
   const Claim claim = *claim_;
   std::vector<std::pair<MessageId, MessageId>> ours;
-  if (const Import* const i = import_of(log_)) {
+  if (const Import* const i = import_of(claimed_log_)) {
     MessageId from = i->from;
     const MessageId to = i->to;
-    std::erase_if(imports_, [&](const Import& x) { return x.log == log_; });
-    keep_import(log_);
+    std::erase_if(imports_, [&](const Import& x) { return x.log == claimed_log_; });
+    persist_import(claimed_log_);
     std::vector<std::pair<MessageId, MessageId>> still;
     for (const auto& x : imports_)
-      if (x.via == log_) still.emplace_back(x.from, x.to);
+      if (x.via == claimed_log_) still.emplace_back(x.from, x.to);
     std::sort(still.begin(), still.end());
     for (const auto& [first, end] : still) {
       if (first > from) ours.emplace_back(from, first);
@@ -348,39 +362,40 @@
     }
     if (to > from) ours.emplace_back(from, to);
   }
-  host_.log("copies: " + name_of(log_) + " is taken over, under epoch " +
+  host_.log("copies: " + log_name(claimed_log_) + " is taken over, under epoch " +
             std::to_string(claim.epoch().number));
-  done_++;
-  const LogId log = log_;
-  end();
-  host_.settle();
+  completed_++;
+  const LogId log = claimed_log_;
+  end_claim();
+  host_.commit();
   for (const auto& [from, to] : ours) host_.taken_over(from, to);
   Packet release;
   release.kind = Packet::Kind::release, release.log = log, release.epoch = claim.epoch();
-  std::vector<Member> members = claim.config().holders;
+  std::vector<Member> members = claim.config().replicas;
   members.insert(members.end(), claim.config().next.begin(), claim.config().next.end());
-  for (const auto& m : members) host_.say(m, release);
+  for (const auto& m : members) host_.send(m, release);
 }
 
-void Takeover::drop_parked(const std::string& why) {
-  if (import_of(log_) != nullptr) {
-    host_.log("copies: what was read of " + name_of(log_) + " is dropped: " + why);
-    drop_import(log_);
+void Takeover::abandon_claim(const std::string& why) {
+  if (import_of(claimed_log_) != nullptr) {
+    host_.log("copies: what was read of " + log_name(claimed_log_) + " is dropped: " + why);
+    drop_import(claimed_log_);
   }
-  end();
-  host_.settle();
+  end_claim();
+  host_.commit();
 }
 
-void Takeover::end() {
+void Takeover::end_claim() {
   claim_.reset();
-  chained_.clear();
-  whole_ = false;
+  chained_imports_.clear();
+  state_complete_ = false;
 }
 
-void Takeover::forget() {
-  for (const auto& i : std::exchange(imports_, {})) host_.store.put(store::record::Fact{key_of(i.log), {}});
-  end();
-  doubts_.clear();
+void Takeover::abandon_all() {
+  for (const auto& i : std::exchange(imports_, {}))
+    host_.store.put(store::record::Fact{import_key(i.log), {}});
+  end_claim();
+  silent_leaders_.clear();
 }
 
 }  // namespace heronvane::copies
--- a/relay/copies/takeover.hpp
+++ b/relay/copies/takeover.hpp
@@ -21,72 +21,72 @@
  public:
   struct Host {
     store::Store& store;
-    Shelves& shelves;
+    ReplicaLogs& replica_logs;
     std::function<Member()> self;
     std::function<LogId()> own_log;
     std::function<Acks()> acks;
     std::function<Microseconds()> steady;
     std::function<std::uint64_t(std::uint64_t above)> next_epoch;  // kept before it is used
     // To a member, this relay's own shelves among them. False: not now.
-    std::function<bool(const Member& to, const Packet& packet)> say;
-    std::function<void()> settle;
+    std::function<bool(const Member& to, const Packet& packet)> send;
+    std::function<void()> commit;
     std::function<void(MessageId from, MessageId to)> taken_over;
     std::function<void(const std::string&)> log;
-    Microseconds after = 0;  // an owner not heard for so long is gone; 0: only by hand
+    Microseconds takeover_after = 0;  // an owner not heard for so long is gone; 0: only by hand
   };
   explicit Takeover(Host host) : host_(std::move(host)) {}
 
   // What an earlier life had begun to take over: parked from here on.
   void load();
   bool parked(MessageId number) const;
-  std::string begin_by_hand(const std::string& name);
+  std::string begin_by_operator(const std::string& name);
   void tick();  // some times a second, once the relay's own log stands
   // An answer about a log that is not this relay's own.
-  void hear(const Member& from, const Packet& packet);
+  void handle(const Member& from, const Packet& packet);
   // What had been begun is given up: its log is taken over anew later. The own log is gone.
-  void forget();
+  void abandon_all();
 
   // Members that it wants to speak to.
-  std::vector<Member> wanted() const;
-  std::size_t done() const { return done_; }  // since the start
-  std::string doing() const;                  // for people; empty: nothing
+  std::vector<Member> wanted_members() const;
+  std::size_t completed() const { return completed_; }  // since the start
+  std::string describe_progress() const;                // for people; empty: nothing
 
  private:
-  struct Doubt {  // an owner not heard: what other holders say
-    std::map<Member, Microseconds> ago;
+  struct SilentLeader {  // an owner not heard: what other holders say
+    std::map<Member, Microseconds> silence;
     Microseconds asked_at = -1;
   };
-  struct Chained {
+  struct ChainedImport {
     Import import;  // numbers as that log had them, then as they are here
     MessageId first = 0, end = 0;
   };
   void begin(const LogId& log, const Config& config, std::uint64_t above);
-  void look_for_gone();
-  void say_words();
-  void moved_on();
-  void take_part(const Packet& packet);
-  void take(store::Record&& record);
-  void won();
-  void drop_parked(const std::string& why);
-  void end();
-  void keep_import(const LogId& log);
+  void check_for_lost_leaders();
+  void send_requests();
+  void on_claim_state();
+  void import_chunk(const Packet& packet);
+  void import_record(store::Record&& record);
+  void on_won();
+  void abandon_claim(const std::string& why);
+  void end_claim();
+  void persist_import(const LogId& log);
   void drop_import(const LogId& log);
   const Import* import_of(const LogId& log) const;
 
   Host host_;
   std::vector<Import> imports_;  // parked, those of `claim_` among them
-  std::map<LogId, Doubt> doubts_;
+  std::map<LogId, SilentLeader> silent_leaders_;
   std::optional<Claim> claim_;
-  LogId log_;  // that is claimed
-  bool by_hand_ = false;
-  Microseconds said_at_ = 0, read_at_ = 0, again_at_ = 0, began_at_ = 0;
-  std::uint64_t part_ = 0;
-  MessageId next_ = 0;           // number of the next message that is read
-  Microseconds shift_ = 0;       // of its times
-  bool whole_ = false;           // all parts are here
-  store::Sequence written_ = 0;  // with them
-  std::vector<Chained> chained_;
-  std::size_t done_ = 0;
+  LogId claimed_log_;  // that is claimed
+  bool by_operator_ = false;
+  Microseconds last_sent_at_ = 0, read_requested_at_ = 0, retry_at_ = 0, claim_started_at_ = 0;
+  std::uint64_t next_chunk_ = 0;
+  MessageId next_number_ = 0;              // number of the next message that is read
+  Microseconds clock_shift_ = 0;           // of its times
+  bool state_complete_ = false;            // all parts are here
+  store::Sequence imported_sequence_ = 0;  // with them
+  std::vector<ChainedImport> chained_imports_;
+  std::size_t completed_ = 0;
 };
 
 }  // namespace heronvane::copies
--- a/relay/log_copies_port.cpp
+++ b/relay/log_copies_port.cpp
@@ -27,15 +27,15 @@
 std::unique_ptr<LogReplication> open_log_copies(boost::asio::io_context& io, store::Store& store,
                                                 const Config& config, bool force_own, LogCopiesHooks hooks) {
   if (!config.own.copies.on) return std::make_unique<StandaloneLog>(store, force_own, std::move(hooks.ready));
-  copies::Copies::Hooks copies_hooks;
-  copies_hooks.settle = std::move(hooks.commit);
-  copies_hooks.stands = std::move(hooks.durable_moved_on);
+  copies::LogReplicator::Hooks copies_hooks;
+  copies_hooks.commit = std::move(hooks.commit);
+  copies_hooks.durable_advanced = std::move(hooks.durable_moved_on);
   copies_hooks.ready = std::move(hooks.ready);
   copies_hooks.disown = std::move(hooks.disown);
   copies_hooks.taken_over = std::move(hooks.taken_over);
   copies_hooks.wait_is_over = std::move(hooks.wait_is_over);
-  return std::make_unique<copies::Copies>(io, store, copies_options(config, force_own),
-                                          std::move(copies_hooks));
+  return std::make_unique<copies::LogReplicator>(io, store, copies_options(config, force_own),
+                                                 std::move(copies_hooks));
 }
 
 }  // namespace heronvane
--- a/relay/settings_file.cpp
+++ b/relay/settings_file.cpp
@@ -64,7 +64,7 @@
   std::int64_t holders = settings.holders;
   section.read_integer("holders", 0, kMaxReplicas, holders);
   settings.holders = static_cast<int>(holders);
-  section.read_enum("acks", {{"majority", false}, {"all", true}}, settings.all);
+  section.read_enum("acks", {{"majority", false}, {"all", true}}, settings.require_all_acks);
   section.read_seconds("takeover_after_s", kDay, settings.takeover_after);
   section.read_seconds("replace_after_s", kDay, settings.replace_after);
   section.read_seconds("short_after_s", kMaxShortAfter, settings.short_after);
--- a/tests/copies/model.hpp
+++ b/tests/copies/model.hpp
@@ -15,12 +15,12 @@
 namespace heronvane::copies::test {
 
 struct Bounds {
-  std::size_t holders = 2, spares = 1;  // spares may take the place of holders
+  std::size_t replicas = 2, spares = 1;  // spares may take the place of holders
   Acks acks = Acks::majority;
-  std::size_t entries = 2;    // that the owner writes, beside one for each epoch that it wins
-  std::size_t under_way = 3;  // letters at a time
-  std::uint64_t epochs = 3;   // the highest number of an epoch
-  int crashes = 2, disks = 1, changes = 1, repeats = 1;
+  std::size_t entries = 2;        // that the owner writes, beside one for each epoch that it wins
+  std::size_t max_in_flight = 3;  // letters at a time
+  std::uint64_t epochs = 3;       // the highest number of an epoch
+  int crashes = 2, disk_losses = 1, changes = 1, duplicates = 1;
   int take_overs = 2;  // claims by holders that begin
   int trims = 1;       // of what the owner keeps of its log
 };
@@ -33,9 +33,9 @@
   bool forgets_import = false;          // the move is said before what was read stands
 };
 
-struct Wire {
+struct Transmission {
   Member from, to;
-  Saying saying;
+  ProtocolMessage message;
   std::vector<Entry> state;  // that travels beside it: all entries that made it
 };
 
@@ -47,54 +47,56 @@
   using Step = std::function<void(Model&)>;
   std::vector<std::pair<std::string, Step>> steps() const;
 
-  const std::string& broken() const { return broken_; }  // empty: nothing is
+  const std::string& violation() const { return violation_; }  // empty: nothing is
   std::string describe() const;
   std::uint64_t fingerprint() const;
 
   // No more faults: letters arrive, and the owner, or a holder, brings its claim to its end. False: it came
   // to none.
-  bool settles();
+  bool converges();
 
  private:
   struct Node {
     Member self;
     bool is_owner = false;
-    bool lost = false;  // its disk, and with it all of its part in the log
+    bool disk_lost = false;  // its disk, and with it all of its part in the log
     // On its disk.
     std::vector<Entry> disk;  // of the owner
-    HolderState holder, before;
-    std::vector<Entry> kept, kept_before;  // the holder's state, as the entries that made it
-    bool has_log = false;                  // of a holder
-    std::vector<Entry> imported;  // into its own log, by a claim that was about to move the other one there
-    std::uint64_t used = 0;       // the highest number of an epoch that it claimed
+    ReplicaState replica, before;
+    std::vector<Entry> replica_entries,
+        replica_entries_before;  // the holder's state, as the entries that made it
+    bool holds_log = false;      // of a holder
+    std::vector<Entry>
+        imported_entries;  // into its own log, by a claim that was about to move the other one there
+    std::uint64_t highest_used_epoch = 0;  // the highest number of an epoch that it claimed
     // Gone with the process.
-    std::optional<Owner> owner;
+    std::optional<Leader> leader;
     std::optional<Claim> claim;
     std::vector<Entry> read;  // by the claim
   };
-  struct Won {
+  struct Winner {
     Member by;
     std::vector<Entry> entries;
   };
   Node* find(const Member& m);
-  void deliver(const Wire& wire);
-  void post(const Member& from, const Letter& letter);
+  void deliver(const Transmission& wire);
+  void enqueue(const Member& from, const Envelope& envelope);
   void claim(Node& node, Claim::Purpose purpose, std::uint64_t above);
-  void look(Node& node);  // at what it may act on now
-  void send(Node& node, const Member& holder);
+  void check_progress(Node& node);  // at what it may act on now
+  void send(Node& node, const Member& replica);
   void write(Node& node, const std::string& bytes);
   void crash(Node& node);
   void lose_disk(Node& node);
-  bool room() const { return net_.size() < bounds_.under_way; }
+  bool has_room() const { return network_.size() < bounds_.max_in_flight; }
 
   Bounds bounds_;
   HostDefects defects_;
   std::vector<Node> nodes_;  // the owner first
-  std::vector<Wire> net_;
-  std::vector<Entry> acted_;  // what the owner acted on, in order
-  std::vector<Won> won_;
-  std::size_t written_ = 0;
-  std::string broken_;
+  std::vector<Transmission> network_;
+  std::vector<Entry> acted_on_;  // what the owner acted on, in order
+  std::vector<Winner> winners_;
+  std::size_t written_count_ = 0;
+  std::string violation_;
 };
 
 }  // namespace heronvane::copies::test
--- a/tests/copies/carried_test.cpp
+++ b/tests/copies/replication_io_test.cpp
@@ -53,40 +53,40 @@
   Config config() {
     Config c;
     c.version = {epoch(), random_()};
-    for (auto i = below(4); i > 0; i--) c.holders.push_back(member());
+    for (auto i = below(4); i > 0; i--) c.replicas.push_back(member());
     for (auto i = below(3); i > 0; i--) c.next.push_back(member());
     return c;
   }
-  Saying saying() {
+  ProtocolMessage message() {
     switch (below(11)) {
       case 0: {
-        say::Append a{epoch(), random_(), epoch(), {}, config()};
+        protocol::Append a{epoch(), random_(), epoch(), {}, config()};
         for (auto i = below(4); i > 0; i--) a.entries.push_back({below(2) ? a.epoch : epoch(), text()});
         return a;
       }
       case 1:
-        return say::Appended{epoch(), random_(), {epoch(), random_()}};
+        return protocol::Appended{epoch(), random_(), {epoch(), random_()}};
       case 2:
-        return say::Behind{epoch(), random_(), epoch()};
+        return protocol::Behind{epoch(), random_(), epoch()};
       case 3:
-        return say::Snapshot{epoch(), random_(), epoch(), config()};
+        return protocol::Snapshot{epoch(), random_(), epoch(), config()};
       case 4:
-        return say::Refused{epoch()};
+        return protocol::Refused{epoch()};
       case 5:
-        return say::Claim{epoch()};
+        return protocol::Claim{epoch()};
       case 6: {
-        say::Promised p{epoch(), random_(), epoch(), config(), {}};
+        protocol::Promised p{epoch(), random_(), epoch(), config(), {}};
         if (below(2)) p.moved = Moved{epoch(), member()};
         return p;
       }
       case 7:
-        return say::Read{epoch()};
+        return protocol::Read{epoch()};
       case 8:
-        return say::State{epoch(), random_(), epoch()};
+        return protocol::State{epoch(), random_(), epoch()};
       case 9:
-        return say::Move{epoch(), member()};
+        return protocol::Move{epoch(), member()};
       default:
-        return say::Accepted{epoch()};
+        return protocol::Accepted{epoch()};
     }
   }
 
@@ -94,7 +94,7 @@
   std::mt19937_64 random_;
 };
 
-std::string told(const Saying& s) {
+std::string print(const ProtocolMessage& s) {
   std::ostringstream out;
   out << s;
   return out.str();
@@ -105,24 +105,26 @@
     Random r(seed);
     Packet p;
     p.log = r.member();
-    p.saying = r.saying();
+    p.message = r.message();
     p.epoch = r.epoch();
-    p.part = r.below(1'000), p.last = r.below(2) != 0, p.numbered = r.below(1'000);
-    p.now = static_cast<Microseconds>(r.below(1'000'000)), p.ago = static_cast<Microseconds>(r.below(3)) - 1;
-    p.salt = static_cast<store::Salt>(r.below(1ULL << 32)), p.disk = r.below(1 << 30);
-    if (!std::holds_alternative<say::Append>(*p.saying)) p.body = r.text();
+    p.chunk = r.below(1'000), p.last = r.below(2) != 0, p.numbered_records = r.below(1'000);
+    p.log_time = static_cast<Microseconds>(r.below(1'000'000)),
+    p.last_contact_age = static_cast<Microseconds>(r.below(3)) - 1;
+    p.salt = static_cast<store::Salt>(r.below(1ULL << 32)), p.leader_disk_bytes = r.below(1 << 30);
+    if (!std::holds_alternative<protocol::Append>(*p.message)) p.body = r.text();
     const std::string frame = write_packet(p);
-    const auto l = read_lengths(frame);
-    ASSERT_EQ(frame.size(), kFrameHead + l.head + l.body);
-    const auto back =
-        read_packet(std::string_view(frame).substr(kFrameHead, l.head), frame.substr(kFrameHead + l.head));
+    const auto l = read_frame_lengths(frame);
+    ASSERT_EQ(frame.size(), kFrameHeaderBytes + l.head + l.body);
+    const auto back = read_packet(std::string_view(frame).substr(kFrameHeaderBytes, l.head),
+                                  frame.substr(kFrameHeaderBytes + l.head));
     ASSERT_TRUE(back) << frame;
-    EXPECT_EQ(told(*back->saying), told(*p.saying));
+    EXPECT_EQ(print(*back->message), print(*p.message));
     EXPECT_EQ(back->log, p.log);
     EXPECT_EQ(back->epoch, p.epoch);
-    EXPECT_EQ(std::tie(back->part, back->last, back->numbered, back->now, back->ago, back->salt, back->disk,
-                       back->body),
-              std::tie(p.part, p.last, p.numbered, p.now, p.ago, p.salt, p.disk, p.body));
+    EXPECT_EQ(std::tie(back->chunk, back->last, back->numbered_records, back->log_time,
+                       back->last_contact_age, back->salt, back->leader_disk_bytes, back->body),
+              std::tie(p.chunk, p.last, p.numbered_records, p.log_time, p.last_contact_age, p.salt,
+                       p.leader_disk_bytes, p.body));
   }
 }
 
@@ -131,10 +133,10 @@
   for (std::uint64_t seed = 1; seed <= 20'000; seed++) {
     Random r(seed);
     Packet p;
-    p.log = r.member(), p.saying = r.saying();
+    p.log = r.member(), p.message = r.message();
     std::string frame = write_packet(p);
     for (auto i = r.below(4); i > 0; i--)
-      frame[kFrameHead + r.below(frame.size() - kFrameHead)] = static_cast<char>(r.below(256));
+      frame[kFrameHeaderBytes + r.below(frame.size() - kFrameHeaderBytes)] = static_cast<char>(r.below(256));
     read += check_packet(frame);
   }
   EXPECT_GT(read, 4'000u);
@@ -166,7 +168,7 @@
     EXPECT_EQ(s->last_epoch, last);
     EXPECT_EQ(s->config, c);
     EXPECT_EQ(s->moved, moved);
-    EXPECT_EQ(s->ahead, -5);
+    EXPECT_EQ(s->clock_offset, -5);
     Import i{r.member(), c, last, seed, seed + 9, std::nullopt};
     if (r.below(2)) i.via = r.member();
     const auto j = read_import(write_import(i));
@@ -179,16 +181,16 @@
 }
 
 // ---- States as rows. ----
-Message message(const std::string& id) {
+Message make_message(const std::string& id) {
   Message m;
   m.id = id, m.message_class = "pay", m.destination = 3, m.body = "body of " + id;
   m.deadline = store::system_clocks().wall + 60'000'000;
   return m;
 }
 
-class Own {  // a store with a sink that keeps its batches
+class LeaderStore {  // a store with a sink that keeps its batches
  public:
-  explicit Own(const std::string& path) : disk_(folder(path)), store(*disk_, options()), sink_{this} {
+  explicit LeaderStore(const std::string& path) : disk_(folder(path)), store(*disk_, options()), sink_{this} {
     store.copy_to(&sink_);
   }
   static std::unique_ptr<store::Disk> folder(const std::string& path) {
@@ -202,8 +204,8 @@
   }
   MessageId take(const std::string& id) {
     const auto number = store.next_number();
-    EXPECT_TRUE(store.admit(message(id)));
-    store.take(number, message(id));
+    EXPECT_TRUE(store.admit(make_message(id)));
+    store.take(number, make_message(id));
     return number;
   }
 
@@ -216,14 +218,16 @@
 
  private:
   struct Sink : store::LogSink {
-    explicit Sink(Own* o) : own(o) {}
+    explicit Sink(LeaderStore* o) : leader_store(o) {}
     void closing() override {}
-    void written(store::Sequence, std::string_view frames) override { own->entries.emplace_back(frames); }
-    Own* own;
+    void written(store::Sequence, std::string_view frames) override {
+      leader_store->entries.emplace_back(frames);
+    }
+    LeaderStore* leader_store;
   } sink_;
 };
 
-void expect_alike(const store::Store& a, const store::Store& b) {
+void expect_same_state(const store::Store& a, const store::Store& b) {
   ASSERT_EQ(a.held().size(), b.held().size());
   for (auto i = a.held().begin(), j = b.held().begin(); i != a.held().end(); ++i, ++j) {
     EXPECT_EQ(i->first, j->first);
@@ -241,158 +245,165 @@
 TEST(Rows, PartsAndBatchesInOrderMakeTheState) {
   for (std::uint64_t seed = 1; seed <= 60; seed++) {
     Folder folder;
-    Own own(folder / "own"), copy(folder / "copy");
+    LeaderStore leader_store(folder / "own"), copy(folder / "copy");
     Random r(seed);
     std::vector<MessageId> all;
     const auto change = [&] {
       for (auto i = r.below(6); i > 0; i--) {
         const auto what = r.below(6);
         if (what < 2 || all.empty()) {
-          all.push_back(own.take("m" + std::to_string(seed) + "-" + std::to_string(own.store.next_number())));
+          all.push_back(leader_store.take("m" + std::to_string(seed) + "-" +
+                                          std::to_string(leader_store.store.next_number())));
           continue;
         }
         const MessageId m = all[r.below(all.size())];
-        const Held* const h = own.store.find(m);
+        const Held* const h = leader_store.store.find(m);
         if (h == nullptr) continue;
-        if (what == 2) own.store.sent(m, 5, 1);
-        if (what == 3 && !h->attempts.empty()) own.store.outcome(m, 0, Outcome::reset);
-        if (what == 4) own.store.ending(m, {true, 9});
-        if (what == 5) own.store.over(m);
-        own.store.keep("k" + std::to_string(r.below(5)), r.below(3) ? std::to_string(r.below(9)) : "");
+        if (what == 2) leader_store.store.sent(m, 5, 1);
+        if (what == 3 && !h->attempts.empty()) leader_store.store.outcome(m, 0, Outcome::reset);
+        if (what == 4) leader_store.store.ending(m, {true, 9});
+        if (what == 5) leader_store.store.over(m);
+        leader_store.store.keep("k" + std::to_string(r.below(5)),
+                                r.below(3) ? std::to_string(r.below(9)) : "");
       }
-      ASSERT_TRUE(own.store.commit());
+      ASSERT_TRUE(leader_store.store.commit());
     };
     const auto put = [&](const std::string& frames) {
-      ASSERT_TRUE(
-          read_rows(own.store.salt(), frames, [&](store::Record&& x) { copy.store.put(std::move(x)); }));
+      ASSERT_TRUE(read_records(leader_store.store.salt(), frames,
+                               [&](store::Record&& x) { copy.store.put(std::move(x)); }));
       ASSERT_TRUE(copy.store.commit());
     };
     for (int i = 0; i < 20; i++) change();
-    own.entries.clear();
-    RowWriter rows(own.store);
+    leader_store.entries.clear();
+    StateWriter rows(leader_store.store);
     while (!rows.done()) {
       change();
-      for (const auto& e : std::exchange(own.entries, {})) put(e);
+      for (const auto& e : std::exchange(leader_store.entries, {})) put(e);
       put(rows.next(400));
     }
     for (int i = 0; i < 5; i++) change();
-    for (const auto& e : own.entries) put(e);
-    expect_alike(own.store, copy.store);
-    EXPECT_EQ(copy.store.next_number(), own.store.next_number());
+    for (const auto& e : leader_store.entries) put(e);
+    expect_same_state(leader_store.store, copy.store);
+    EXPECT_EQ(copy.store.next_number(), leader_store.store.next_number());
   }
 }
 
 // ---- Shelves. ----
-class Shelf : public ::testing::Test {
+class ReplicaLog : public ::testing::Test {
  protected:
-  ShelfOptions options(std::uint64_t limit = 20'000'000) {
-    ShelfOptions o;
+  ReplicaLogsOptions options(std::uint64_t limit = 20'000'000) {
+    ReplicaLogsOptions o;
     o.folder = folder / "copies";
     o.limit_bytes = limit;
     o.now = [] { return Microseconds{1'000'000}; };
     o.steady = [] { return Microseconds{7}; };
     return o;
   }
-  Packet word(Saying s) {
+  Packet word(ProtocolMessage s) {
     Packet p;
-    p.log = log, p.saying = std::move(s), p.salt = own->store.salt(), p.disk = 2'000'000, p.now = 1'500'000;
+    p.log = log, p.message = std::move(s), p.salt = leader_store->store.salt(),
+    p.leader_disk_bytes = 2'000'000, p.log_time = 1'500'000;
     return p;
   }
-  static Packet ask(Shelves& shelves, const Packet& p) {
+  static Packet ask(ReplicaLogs& replica_logs, const Packet& p) {
     std::optional<Packet> answer;
-    shelves.hear(p, [&](Packet a) {
+    replica_logs.handle(p, [&](Packet a) {
       EXPECT_FALSE(answer);
       answer = std::move(a);
     });
     EXPECT_TRUE(answer);
     return answer.value_or(Packet{});
   }
-  Packet append(Shelves& shelves, Position after, const std::string& id, Epoch epoch) {
-    own->take(id);
-    EXPECT_TRUE(own->store.commit());
-    return ask(shelves,
-               word(say::Append{
-                   epoch, after, after == 0 ? Epoch{} : epoch, {{epoch, own->entries.back()}}, config}));
+  Packet append(ReplicaLogs& replica_logs, Position after, const std::string& id, Epoch epoch) {
+    leader_store->take(id);
+    EXPECT_TRUE(leader_store->store.commit());
+    return ask(
+        replica_logs,
+        word(protocol::Append{
+            epoch, after, after == 0 ? Epoch{} : epoch, {{epoch, leader_store->entries.back()}}, config}));
   }
   Folder folder;
-  Member owner{"O", 5}, a{"A", 6};
+  Member leader{"O", 5}, a{"A", 6};
   LogId log{"O", 77};
-  Epoch first{1, owner}, second{2, a};
+  Epoch first{1, leader}, second{2, a};
   Config config{{first, 1}, {a}, {}};
-  std::unique_ptr<Own> own = std::make_unique<Own>(folder / "own");
+  std::unique_ptr<LeaderStore> leader_store = std::make_unique<LeaderStore>(folder / "own");
 };
 
-TEST_F(Shelf, KeepsEntriesAndPromisesOverARestart) {
+TEST_F(ReplicaLog, KeepsEntriesAndPromisesOverARestart) {
   {
-    Shelves shelves(options());
-    const auto done = append(shelves, 0, "m1", first);
-    EXPECT_EQ(std::get<say::Appended>(*done.saying).last, 1u);
-    append(shelves, 1, "m2", first);
-    EXPECT_TRUE(std::holds_alternative<say::Promised>(*ask(shelves, word(say::Claim{second})).saying));
+    ReplicaLogs replica_logs(options());
+    const auto done = append(replica_logs, 0, "m1", first);
+    EXPECT_EQ(std::get<protocol::Appended>(*done.message).last, 1u);
+    append(replica_logs, 1, "m2", first);
+    EXPECT_TRUE(std::holds_alternative<protocol::Promised>(
+        *ask(replica_logs, word(protocol::Claim{second})).message));
   }
-  Shelves shelves(options());
-  EXPECT_FALSE(shelves.forgot());
-  const auto view = shelves.find(log);
+  ReplicaLogs replica_logs(options());
+  EXPECT_FALSE(replica_logs.lost_promises());
+  const auto view = replica_logs.find(log);
   ASSERT_TRUE(view);
   EXPECT_EQ(view->state.last, 2u);
   EXPECT_EQ(view->state.promised, second);
   EXPECT_EQ(view->messages, 2u);
-  const auto late = append(shelves, 2, "m3", first);
-  EXPECT_EQ(std::get<say::Refused>(*late.saying).promised, second);
-  Packet read = word(say::Read{second});
-  const auto state = ask(shelves, read);
+  const auto late = append(replica_logs, 2, "m3", first);
+  EXPECT_EQ(std::get<protocol::Refused>(*late.message).promised, second);
+  Packet read = word(protocol::Read{second});
+  const auto state = ask(replica_logs, read);
   EXPECT_TRUE(state.last);
-  EXPECT_EQ(state.numbered, 2u);
-  EXPECT_EQ(state.now, 1'500'000);
+  EXPECT_EQ(state.numbered_records, 2u);
+  EXPECT_EQ(state.log_time, 1'500'000);
   std::vector<std::string> ids;
-  EXPECT_TRUE(read_rows(state.salt, state.body, [&](store::Record&& x) {
+  EXPECT_TRUE(read_records(state.salt, state.body, [&](store::Record&& x) {
     if (const auto* const t = std::get_if<store::record::Taken>(&x)) ids.push_back(t->held.message.id);
   }));
   EXPECT_EQ(ids, (std::vector<std::string>{"m1", "m2"}));
 }
 
-TEST_F(Shelf, ASnapshotTakesThePlaceOfTheCopyOnlyOnceItIsWhole) {
+TEST_F(ReplicaLog, ASnapshotTakesThePlaceOfTheCopyOnlyOnceItIsWhole) {
   const auto part = [&](std::uint64_t n, const std::string& body, bool last) {
-    Packet p = word(say::Snapshot{second, 9, first, config});
-    if (!last) p.saying.reset();
-    p.kind = Packet::Kind::part, p.part = n, p.body = body, p.last = last, p.epoch = second;
+    Packet p = word(protocol::Snapshot{second, 9, first, config});
+    if (!last) p.message.reset();
+    p.kind = Packet::Kind::snapshot_chunk, p.chunk = n, p.body = body, p.last = last, p.epoch = second;
     return p;
   };
-  RowWriter* rows = nullptr;
-  std::unique_ptr<RowWriter> writer;
+  StateWriter* rows = nullptr;
+  std::unique_ptr<StateWriter> writer;
   {
-    Shelves shelves(options());
-    append(shelves, 0, "old", first);
-    for (int i = 0; i < 30; i++) own->take("m" + std::to_string(i));
-    ASSERT_TRUE(own->store.commit());
-    writer = std::make_unique<RowWriter>(own->store);
+    ReplicaLogs replica_logs(options());
+    append(replica_logs, 0, "old", first);
+    for (int i = 0; i < 30; i++) leader_store->take("m" + std::to_string(i));
+    ASSERT_TRUE(leader_store->store.commit());
+    writer = std::make_unique<StateWriter>(leader_store->store);
     rows = writer.get();
-    EXPECT_EQ(ask(shelves, part(0, rows->next(500), false)).kind, Packet::Kind::part_taken);
-    EXPECT_EQ(ask(shelves, part(5, rows->next(500), false)).kind, Packet::Kind::full) << "out of turn";
-    EXPECT_EQ(shelves.find(log)->messages, 1u);
+    EXPECT_EQ(ask(replica_logs, part(0, rows->next(500), false)).kind, Packet::Kind::chunk_accepted);
+    EXPECT_EQ(ask(replica_logs, part(5, rows->next(500), false)).kind, Packet::Kind::unavailable)
+        << "out of turn";
+    EXPECT_EQ(replica_logs.find(log)->messages, 1u);
   }
   // Killed in the middle: the earlier copy stands.
-  Shelves shelves(options());
-  EXPECT_EQ(shelves.find(log)->messages, 1u);
-  writer = std::make_unique<RowWriter>(own->store);
+  ReplicaLogs replica_logs(options());
+  EXPECT_EQ(replica_logs.find(log)->messages, 1u);
+  writer = std::make_unique<StateWriter>(leader_store->store);
   for (std::uint64_t n = 0; !writer->done(); n++) {
     const auto body = writer->next(500);
-    const auto answer = ask(shelves, part(n, body, writer->done()));
+    const auto answer = ask(replica_logs, part(n, body, writer->done()));
     if (writer->done()) {
-      EXPECT_EQ(std::get<say::Appended>(*answer.saying).last, 9u);
+      EXPECT_EQ(std::get<protocol::Appended>(*answer.message).last, 9u);
     }
   }
-  EXPECT_EQ(shelves.find(log)->messages, 31u);
-  EXPECT_EQ(shelves.find(log)->state.last, 9u);
+  EXPECT_EQ(replica_logs.find(log)->messages, 31u);
+  EXPECT_EQ(replica_logs.find(log)->state.last, 9u);
   std::size_t folders = 0;
   for ([[maybe_unused]] const auto& e : fs::directory_iterator(folder / "copies")) folders++;
   EXPECT_EQ(folders, 1u);
 }
 
-TEST_F(Shelf, DamageIsForgottenPromisesAndAllOfItGoes) {
+TEST_F(ReplicaLog, DamageIsForgottenPromisesAndAllOfItGoes) {
   {
-    Shelves shelves(options());
-    for (int i = 0; i < 5; i++) append(shelves, static_cast<Position>(i), "m" + std::to_string(i), first);
+    ReplicaLogs replica_logs(options());
+    for (int i = 0; i < 5; i++)
+      append(replica_logs, static_cast<Position>(i), "m" + std::to_string(i), first);
   }
   for (const auto& e : fs::recursive_directory_iterator(folder / "copies")) {
     if (e.path().extension() != ".hv2") continue;
@@ -400,101 +411,106 @@
     file.seekp(static_cast<std::streamoff>(e.file_size() / 2));
     file.write("damage", 6);
   }
-  Shelves shelves(options());
-  EXPECT_TRUE(shelves.forgot());
-  EXPECT_TRUE(shelves.all().empty());
+  ReplicaLogs replica_logs(options());
+  EXPECT_TRUE(replica_logs.lost_promises());
+  EXPECT_TRUE(replica_logs.all().empty());
 }
 
-TEST_F(Shelf, ALogBeyondTheLimitIsTurnedAwayAndSaysSo) {
-  Shelves shelves(options(3'000'000));
-  append(shelves, 0, "m1", first);
+TEST_F(ReplicaLog, ALogBeyondTheLimitIsTurnedAwayAndSaysSo) {
+  ReplicaLogs replica_logs(options(3'000'000));
+  append(replica_logs, 0, "m1", first);
   log = {"P", 3};
-  const auto answer = append(shelves, 0, "m2", first);
-  EXPECT_EQ(answer.kind, Packet::Kind::full);
-  EXPECT_NE(answer.text.find("copies.disk_mb"), std::string::npos) << answer.text;
+  const auto answer = append(replica_logs, 0, "m2", first);
+  EXPECT_EQ(answer.kind, Packet::Kind::unavailable);
+  EXPECT_NE(answer.reason.find("copies.disk_mb"), std::string::npos) << answer.reason;
 }
 
-TEST_F(Shelf, WhatMovedIsReleasedAndItsPromisesStay) {
+TEST_F(ReplicaLog, WhatMovedIsReleasedAndItsPromisesStay) {
   {
-    Shelves shelves(options());
-    append(shelves, 0, "m1", first);
-    ask(shelves, word(say::Claim{second}));
-    EXPECT_TRUE(
-        std::holds_alternative<say::Accepted>(*ask(shelves, word(say::Move{second, {"A", 1}})).saying));
+    ReplicaLogs replica_logs(options());
+    append(replica_logs, 0, "m1", first);
+    ask(replica_logs, word(protocol::Claim{second}));
+    EXPECT_TRUE(std::holds_alternative<protocol::Accepted>(
+        *ask(replica_logs, word(protocol::Move{second, {"A", 1}})).message));
     Packet release;
     release.kind = Packet::Kind::release, release.log = log, release.epoch = second;
-    shelves.hear(release, [](const Packet&) { ADD_FAILURE() << "a release is answered by nothing"; });
-    EXPECT_EQ(shelves.find(log)->messages, 0u);
+    replica_logs.handle(release, [](const Packet&) { ADD_FAILURE() << "a release is answered by nothing"; });
+    EXPECT_EQ(replica_logs.find(log)->messages, 0u);
   }
-  Shelves shelves(options());
-  EXPECT_EQ(shelves.find(log)->state.promised, second);
-  ASSERT_TRUE(shelves.find(log)->state.moved);
-  EXPECT_TRUE(std::holds_alternative<say::Refused>(*append(shelves, 1, "m2", first).saying));
+  ReplicaLogs replica_logs(options());
+  EXPECT_EQ(replica_logs.find(log)->state.promised, second);
+  ASSERT_TRUE(replica_logs.find(log)->state.moved);
+  EXPECT_TRUE(std::holds_alternative<protocol::Refused>(*append(replica_logs, 1, "m2", first).message));
 }
 
-TEST_F(Shelf, WhoHoldsALogNoMoreKeepsItsPromisesAlone) {
-  Shelves shelves(options());
-  append(shelves, 0, "m1", first);
-  shelves.empty(log);
-  const auto view = shelves.find(log);
+TEST_F(ReplicaLog, WhoHoldsALogNoMoreKeepsItsPromisesAlone) {
+  ReplicaLogs replica_logs(options());
+  append(replica_logs, 0, "m1", first);
+  replica_logs.discard_entries(log);
+  const auto view = replica_logs.find(log);
   EXPECT_EQ(view->messages, 0u);
   EXPECT_EQ(view->state.last, 0u);
   EXPECT_EQ(view->state.promised, first);
   // Should it be a holder again, it lacks all: it never says that it has what it dropped.
-  const auto answer = append(shelves, 1, "m2", first);
-  EXPECT_EQ(std::get<say::Behind>(*answer.saying).last, 0u);
+  const auto answer = append(replica_logs, 1, "m2", first);
+  EXPECT_EQ(std::get<protocol::Behind>(*answer.message).last, 0u);
 }
 
 // What it acknowledged is there after a restart; what it could not write it never acknowledged.
-TEST_F(Shelf, AFullShelfAcknowledgesNothingThatItHasNotWritten) {
+TEST_F(ReplicaLog, AFullShelfAcknowledgesNothingThatItHasNotWritten) {
   Position acknowledged = 0;
   std::string why;
   {
-    Shelves shelves(options());
+    ReplicaLogs replica_logs(options());
     for (int i = 0; i < 4'000 && why.empty(); i++) {
-      auto m = message("m" + std::to_string(i));
+      auto m = make_message("m" + std::to_string(i));
       m.body.assign(500, 'x');
-      own->store.put(store::record::Taken{own->store.next_number(), {m, {}, {}, false}});
-      ASSERT_TRUE(own->store.commit());
-      Packet p = word(say::Append{
-          first, acknowledged, acknowledged == 0 ? Epoch{} : first, {{first, own->entries.back()}}, config});
-      p.disk = 1;  // the least there is
-      const auto answer = ask(shelves, p);
-      if (answer.kind == Packet::Kind::full)
-        why = answer.text;
+      leader_store->store.put(store::record::Taken{leader_store->store.next_number(), {m, {}, {}, false}});
+      ASSERT_TRUE(leader_store->store.commit());
+      Packet p = word(protocol::Append{first,
+                                       acknowledged,
+                                       acknowledged == 0 ? Epoch{} : first,
+                                       {{first, leader_store->entries.back()}},
+                                       config});
+      p.leader_disk_bytes = 1;  // the least there is
+      const auto answer = ask(replica_logs, p);
+      if (answer.kind == Packet::Kind::unavailable)
+        why = answer.reason;
       else
-        acknowledged = std::get<say::Appended>(*answer.saying).last;
+        acknowledged = std::get<protocol::Appended>(*answer.message).last;
     }
   }
   EXPECT_NE(why.find("limit"), std::string::npos) << why;
   EXPECT_GT(acknowledged, 100u);
-  Shelves shelves(options());
-  EXPECT_FALSE(shelves.forgot());
-  EXPECT_EQ(shelves.find(log)->state.last, acknowledged);
-  EXPECT_EQ(shelves.find(log)->messages, acknowledged);
+  ReplicaLogs replica_logs(options());
+  EXPECT_FALSE(replica_logs.lost_promises());
+  EXPECT_EQ(replica_logs.find(log)->state.last, acknowledged);
+  EXPECT_EQ(replica_logs.find(log)->messages, acknowledged);
 }
 
 // ---- Connections. ----
 class Connections : public ::testing::Test {
  protected:
   using Tcp = net::ip::tcp;
-  std::unique_ptr<Streams> member(const std::string& name, const Streams::Address& at,
-                                  const std::string& cluster) {
-    Streams::Hooks h;
-    h.knows = [](const std::string& n) { return n != "stranger"; };
-    h.greet = [this](const std::string&, Hello& hello) { hello.seen_mark = greeted; };
-    h.met = [this](const Hello& hello) { events.push_back("met " + hello.self.name); };
-    h.up = [this](const Member& m) { events.push_back("up " + m.name); };
-    h.down = [this](const std::string& n) { events.push_back("down " + n); };
-    h.answer = [this](const Member& m, Packet p) { events.push_back("answer " + m.name + " " + p.text); };
-    h.asked = [this](const Member& m, Packet p, Streams::Reply reply) {
+  std::unique_ptr<PeerConnections> member(const std::string& name, const PeerConnections::Address& at,
+                                          const std::string& cluster) {
+    PeerConnections::Hooks h;
+    h.is_member = [](const std::string& n) { return n != "stranger"; };
+    h.fill_hello = [this](const std::string&, Hello& hello) { hello.seen_mark = seen_mark; };
+    h.on_hello = [this](const Hello& hello) { events.push_back("met " + hello.self.name); };
+    h.on_up = [this](const Member& m) { events.push_back("up " + m.name); };
+    h.on_down = [this](const std::string& n) { events.push_back("down " + n); };
+    h.on_answer = [this](const Member& m, Packet p) {
+      events.push_back("answer " + m.name + " " + p.reason);
+    };
+    h.on_request = [this](const Member& m, Packet p, PeerConnections::Reply reply) {
       events.push_back("asked by " + m.name);
-      p.text = "yes";
+      p.reason = "yes";
       reply(p);
     };
-    return std::make_unique<Streams>(io, at, Hello{cluster, {name, 1}, 1, 0, 0}, std::move(h));
+    return std::make_unique<PeerConnections>(io, at, Hello{cluster, {name, 1}, 1, 0, 0}, std::move(h));
   }
-  static Streams::Address free_address() {
+  static PeerConnections::Address free_address() {
     net::io_context scratch;
     Tcp::acceptor a(scratch, Tcp::endpoint(net::ip::make_address("127.0.0.1"), 0));
     return a.local_endpoint();
@@ -510,7 +526,7 @@
   bool happened(const std::string& what) const { return std::count(events.begin(), events.end(), what) > 0; }
   net::io_context io;
   std::vector<std::string> events;
-  std::uint64_t greeted = 0;
+  std::uint64_t seen_mark = 0;
 };
 
 TEST(Addresses, AreLoopbackOrPrivate) {
@@ -524,12 +540,12 @@
 TEST_F(Connections, MembersAskAndAnswerAndComeBack) {
   const auto at_a = free_address(), at_b = free_address();
   auto a = member("A", at_a, "lab"), b = member("B", at_b, "lab");
-  a->keep("B", at_b);
+  a->connect_to("B", at_b);
   ASSERT_TRUE(wait([&] { return happened("up B"); }));
   Packet p;
-  p.kind = Packet::Kind::heard, p.log = {"C", 1};
-  EXPECT_TRUE(a->say({"B", 1}, p));
-  EXPECT_FALSE(a->say({"B", 2}, p)) << "another life of its disk";
+  p.kind = Packet::Kind::last_contact, p.log = {"C", 1};
+  EXPECT_TRUE(a->send({"B", 1}, p));
+  EXPECT_FALSE(a->send({"B", 2}, p)) << "another life of its disk";
   ASSERT_TRUE(wait([&] { return happened("answer B yes"); }));
   EXPECT_TRUE(happened("asked by A"));
   b.reset();
@@ -543,8 +559,8 @@
   const auto at_a = free_address(), at_b = free_address(), at_c = free_address();
   const auto a = member("A", at_a, "lab");
   const auto other = member("B", at_b, "another"), stranger = member("stranger", at_c, "lab");
-  other->keep("A", at_a), stranger->keep("A", at_a);
-  ASSERT_TRUE(wait([&] { return a->counts().strangers >= 2; }));
+  other->connect_to("A", at_a), stranger->connect_to("A", at_a);
+  ASSERT_TRUE(wait([&] { return a->counts().rejected_hellos >= 2; }));
   const auto closes = [&](const std::string& bytes) {
     Tcp::socket s(io);
     s.connect(at_a);
@@ -561,11 +577,11 @@
   };
   const auto before = a->counts();
   EXPECT_TRUE(closes(std::string("\xff\xff\xff\xff\xff\xff\xff\xff", 8))) << "oversized";
-  EXPECT_EQ(a->counts().unreadable, before.unreadable + 1);
+  EXPECT_EQ(a->counts().malformed_frames, before.malformed_frames + 1);
   EXPECT_TRUE(closes(std::string("\x03\0\0\0\0\0\0\0abc", 11))) << "no hello";
   // A member that sends what can't be read after its hello.
   EXPECT_TRUE(closes(write_hello({"lab", {"B", 1}, 1, 0, 0}) + std::string("\x02\0\0\0\0\0\0\0{}", 10)));
-  EXPECT_EQ(a->counts().unreadable, before.unreadable + 2);
+  EXPECT_EQ(a->counts().malformed_frames, before.malformed_frames + 2);
   EXPECT_TRUE(closes("")) << "silence";
   EXPECT_FALSE(happened("up A"));
 }
--- a/tests/kept_test.cpp
+++ b/tests/kept_test.cpp
@@ -208,7 +208,7 @@
                                             "address = \"10.0.0.1:9400\"\nzone = \"a\"\n",
                                         "f")
                      .copies;
-  EXPECT_TRUE(c.on && c.all);
+  EXPECT_TRUE(c.on && c.require_all_acks);
   EXPECT_EQ(c.holders, 3);
   EXPECT_EQ(c.takeover_after, 0);
   ASSERT_EQ(c.members.size(), 1u);
