--- a/fleet/agent.cpp
+++ b/fleet/agent.cpp
@@ -27,8 +27,8 @@
 
 namespace {
 
-constexpr std::size_t kMostStatusKept = 256 << 10;  // bytes, for showing
-constexpr auto kLockPatience = std::chrono::seconds(2);
+constexpr std::size_t kMaxStatusBytes = 256 << 10;  // bytes, for showing
+constexpr auto kLockTimeout = std::chrono::seconds(2);
 
 // Variables that would tell a relay what its options tell, or are meant for the agent alone.
 const std::vector<std::string>& hidden_variables() {
@@ -39,7 +39,7 @@
   return names;
 }
 
-Microseconds wall() {
+Microseconds wall_clock() {
   return std::chrono::duration_cast<std::chrono::microseconds>(
              std::chrono::system_clock::now().time_since_epoch())
       .count();
@@ -47,7 +47,7 @@
 
 // A slip of the hand must not close /var or /tmp to all others: only a folder of the agent's own gets its
 // mode.
-bool holds_other_things(const std::string& path, std::error_code& bad) {
+bool has_foreign_entries(const std::string& path, std::error_code& bad) {
   bool any = false;
   for (std::filesystem::directory_iterator at(path, bad), end; !bad && at != end; at.increment(bad)) {
     const auto name = at->path().filename();
@@ -63,7 +63,7 @@
 }
 
 // What a list of many relays shows of their copies.
-std::string copies_in_short(const rapidjson::Value& status) {
+std::string copies_summary(const rapidjson::Value& status) {
   const auto* const copies = wire::find_member(status, "copies");
   if (copies == nullptr || !copies->IsObject()) return {};
   const std::string path = "status.copies";
@@ -87,20 +87,20 @@
 }  // namespace
 
 DataFolder::DataFolder(const std::string& path) {
-  const auto must = [](bool ok, const std::string& what) {
+  const auto require = [](bool ok, const std::string& what) {
     if (!ok) throw std::runtime_error(what + ": " + std::strerror(errno));
   };
   std::error_code bad;
   std::filesystem::create_directories(path, bad);
-  if (!bad && holds_other_things(path, bad))
+  if (!bad && has_foreign_entries(path, bad))
     throw std::runtime_error(path + ": holds other things: name a folder of the agent's own");
   if (bad) throw std::runtime_error(path + ": " + bad.message());
-  must(::chmod(path.c_str(), 0700) == 0, path);
+  require(::chmod(path.c_str(), 0700) == 0, path);
   const std::string instances = path + "/instances", lock = path + "/lock";
-  must(::mkdir(instances.c_str(), 0700) == 0 || errno == EEXIST, instances);
+  require(::mkdir(instances.c_str(), 0700) == 0 || errno == EEXIST, instances);
   lock_ = ::open(lock.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-  must(lock_ >= 0, lock);
-  const auto until = std::chrono::steady_clock::now() + kLockPatience;
+  require(lock_ >= 0, lock);
+  const auto until = std::chrono::steady_clock::now() + kLockTimeout;
   while (::flock(lock_, LOCK_EX | LOCK_NB) != 0) {
     const int why = errno;
     if (why == EINTR) continue;
@@ -109,11 +109,11 @@
       continue;
     }
     char pid[24] = {};
-    const bool told = ::pread(lock_, pid, sizeof pid - 1, 0) > 1;
+    const bool has_pid = ::pread(lock_, pid, sizeof pid - 1, 0) > 1;
     ::close(lock_);
     if (why != EWOULDBLOCK) throw std::runtime_error(path + ": " + std::strerror(why));
     throw std::runtime_error(path + ": another heronvane-agent has it" +
-                             (told ? ", pid " + std::to_string(std::atol(pid)) : ""));
+                             (has_pid ? ", pid " + std::to_string(std::atol(pid)) : ""));
   }
   // For operators who want to end it. The lock holds without, where the disk is full.
   const std::string pid = std::to_string(::getpid()) + "\n";
@@ -131,18 +131,18 @@
       options_(std::move(options)),
       folder_(options_.data),
       database_(options_.data + "/agent.db", options_.database),
-      started_(wall()),
+      started_(wall_clock()),
       started_steady_(std::chrono::steady_clock::now()),
       platform_(io, database_, options_.data + "/finals.db"),
       decider_(
           [this] {
             Restored r = database_.restore([](const std::string& text) { return Fleet::read(text).spec(); });
-            found_ = r.instances;
+            restored_rows_ = r.instances;
             return r;
           }(),
           seed(), options_.tuning),
       timer_(io),
-      grace_(io) {}
+      kill_timer_(io) {}
 
 Agent::~Agent() { *alive_ = false; }
 
@@ -154,12 +154,12 @@
 
 void Agent::start() {
   events_.push_back(event::TimerExpired{});
-  adopt(found_);
-  found_.clear();
-  pump();
+  adopt(restored_rows_);
+  restored_rows_.clear();
+  process_events();
 }
 
-Agent::Instance& Agent::instance(const std::string& name) {
+Agent::Instance& Agent::instance_for(const std::string& name) {
   auto& at = instances_[name];
   if (!at) at = std::make_unique<Instance>(io_, options_.data, name);
   return *at;
@@ -167,15 +167,15 @@
 
 // ---- events and actions ----
 
-void Agent::happened(Event event) {
+void Agent::handle_event(Event event) {
   if (stopping_) return;
   events_.push_back(std::move(event));
-  pump();
+  process_events();
 }
 
-void Agent::pump() {
-  if (pumping_) return;
-  pumping_ = true;
+void Agent::process_events() {
+  if (processing_events_) return;
+  processing_events_ = true;
   std::vector<Action> actions;
   while (!events_.empty() && !stopping_) {
     const Event event = std::move(events_.front());
@@ -190,15 +190,15 @@
       }
     }
   }
-  pumping_ = false;
+  processing_events_ = false;
   apply_platform();
 }
 
 void Agent::apply_platform() {
-  if (!std::exchange(platform_due_, false)) return;
+  if (!std::exchange(fleet_changed_, false)) return;
   const std::string& text = decider_.fleet().text;
-  if (text == platform_of_) return;
-  platform_of_ = text;
+  if (text == applied_platform_text_) return;
+  applied_platform_text_ = text;
   try {
     platform_.set(text.empty() ? std::nullopt : Fleet::read(text).platform());
   } catch (const std::exception& e) {
@@ -207,7 +207,7 @@
 }
 
 void Agent::perform(const action::Record& a) {
-  point();
+  notify_step();
   std::map<std::string, ProcessId> processes;
   for (const auto& row : a.instances) {
     const auto it = instances_.find(row.name);
@@ -215,8 +215,8 @@
       processes.emplace(row.name, it->second->process->id());
   }
   const std::string why = database_.save(now(), a, processes);
-  platform_due_ = platform_due_ || a.fleet;
-  point();
+  fleet_changed_ = fleet_changed_ || a.fleet;
+  notify_step();
   if (why.empty())
     events_.push_back(event::Recorded{a.record});
   else
@@ -224,52 +224,52 @@
 }
 
 void Agent::perform(const action::WriteConfig& a) {
-  Instance& i = instance(a.name);
+  Instance& instance = instance_for(a.name);
   try {
     const auto fleet = fleet_of(a.generation);
     if (!fleet)
       throw std::runtime_error("no fleet of generation " + std::to_string(a.generation) + " is kept");
-    i.folder.write_config(*fleet, a.generation);
-    i.config_trouble.clear();
+    instance.folder.write_config(*fleet, a.generation);
+    instance.config_error.clear();
   } catch (const std::exception& e) {
-    i.config_trouble = e.what();
+    instance.config_error = e.what();
     heronvane::log("instance " + a.name + ": its configuration: " + e.what());
   }
-  point();
+  notify_step();
 }
 
 void Agent::perform(const action::Spawn& a) {
-  Instance& i = instance(a.name);
+  Instance& instance = instance_for(a.name);
   std::string why;
   try {
-    why = spawn(i, a);
+    why = spawn(instance, a);
   } catch (const std::exception& e) {
     why = e.what();
   }
-  point();
+  notify_step();
   if (why.empty())
-    events_.push_back(event::Spawned{a.name, static_cast<int>(i.process->id().pid), a.run});
+    events_.push_back(event::Spawned{a.name, static_cast<int>(instance.process->id().pid), a.run});
   else
     events_.push_back(event::SpawnFailed{a.name, a.run, why});
 }
 
 // Empty: it stands; else why not.
-std::string Agent::spawn(Instance& i, const action::Spawn& a) {
-  if (i.process) return "its earlier process still stands";
-  if (!i.config_trouble.empty()) return i.config_trouble;
-  i.folder.make();
+std::string Agent::spawn(Instance& instance, const action::Spawn& a) {
+  if (instance.process) return "its earlier process still stands";
+  if (!instance.config_error.empty()) return instance.config_error;
+  instance.folder.make();
   const InstanceRow* row = decider_.instance(a.name) ? decider_.instance(a.name)->row : nullptr;
   const auto fleet = fleet_of(row != nullptr && row->config > 0 ? row->config : decider_.generation());
   if (!fleet) return "no fleet is kept for it";
   Command c;
   c.program = find_program(fleet->program());
   if (c.program.empty()) return fleet->program() + ": no such program beside the agent's own or in PATH";
-  c.folder = i.folder.path();
-  c.log = i.folder.log();
+  c.folder = instance.folder.path();
+  c.log = instance.folder.log();
   c.hidden = hidden_variables();
   c.descriptors = options_.relay_descriptors;
   // A Unix socket's path is bounded: where the whole one is too long, the one from its own folder serves.
-  const std::string at = i.folder.state().size() < 90 ? i.folder.path() + "/" : "";
+  const std::string at = instance.folder.state().size() < 90 ? instance.folder.path() + "/" : "";
   c.arguments = {"--config",   at + "config.json",   "--state", at + "state",
                  "--settings", at + "settings.toml", "--run",   a.run};
   if (a.undrain) c.arguments.insert(c.arguments.end(), {"--undrain", std::to_string(*a.undrain)});
@@ -278,14 +278,14 @@
   const ProcessId id = identify(pid).value_or(ProcessId{pid, 0, ""});
   std::error_code bad;
   auto process = Process::open(
-      io_, id, [this, name = a.name, run = a.run](Ending e) { ended(name, run, e); }, bad);
+      io_, id, [this, name = a.name, run = a.run](ExitStatus e) { process_ended(name, run, e); }, bad);
   if (!process) {
     // Without a descriptor it could be neither watched nor signalled; as a child its pid is still its own.
     ::kill(pid, SIGKILL);
     ::waitpid(pid, nullptr, 0);
     return "pidfd: " + bad.message();
   }
-  stands(i, a.run, std::move(process));
+  process_started(instance, a.run, std::move(process));
   return {};
 }
 
@@ -312,22 +312,23 @@
 void Agent::perform(const action::Signal& a) {
   const auto it = instances_.find(a.name);
   if (it == instances_.end() || !it->second->process || it->second->run != a.run) return;
-  point();
+  notify_step();
   const auto bad = it->second->process->signal(a.signal == Signum::kill ? SIGKILL : SIGTERM);
   if (bad && bad != std::errc::no_such_process)
     heronvane::log("instance " + a.name + ": signal: " + bad.message());
 }
 
-void Agent::perform(const action::AskDrain& a) { post(a.name, a.run, Call::drain, a.fence); }
-void Agent::perform(const action::AskUndrain& a) { post(a.name, a.run, Call::undrain, a.fence); }
-void Agent::perform(const action::AskFence& a) { post(a.name, a.run, Call::fence, a.fence); }
-
-void Agent::post(const std::string& name, const std::string& run, Call call, OperationId fence) {
-  point();
-  const char* const target = call == Call::drain     ? "/v1/drain"
-                             : call == Call::undrain ? "/v1/undrain"
-                                                     : "/v1/fence";
-  ask_admin(io_, {instance(name).folder.state(), true, target, "{\"fence\":" + std::to_string(fence) + "}"},
+void Agent::perform(const action::AskDrain& a) { call_admin(a.name, a.run, AdminCall::drain, a.fence); }
+void Agent::perform(const action::AskUndrain& a) { call_admin(a.name, a.run, AdminCall::undrain, a.fence); }
+void Agent::perform(const action::AskFence& a) { call_admin(a.name, a.run, AdminCall::fence, a.fence); }
+
+void Agent::call_admin(const std::string& name, const std::string& run, AdminCall call, OperationId fence) {
+  notify_step();
+  const char* const target = call == AdminCall::drain     ? "/v1/drain"
+                             : call == AdminCall::undrain ? "/v1/undrain"
+                                                          : "/v1/fence";
+  ask_admin(io_,
+            {instance_for(name).folder.state(), true, target, "{\"fence\":" + std::to_string(fence) + "}"},
             [this, alive = std::weak_ptr<bool>(alive_), name, run, call](const AdminAnswer& a) {
               if (alive.expired()) return;
               event::Answered e{name, run, call, event::Answered::Result::failed, 0, a.why};
@@ -347,7 +348,7 @@
                   e.why += std::string(", ") + bad.what();
                 }
               }
-              happened(std::move(e));
+              handle_event(std::move(e));
             });
 }
 
@@ -364,11 +365,11 @@
 void Agent::perform(const action::SetTimer& a) {
   timer_.expires_at(started_steady_ + std::chrono::microseconds(a.at - started_));
   timer_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](error_code bad) {
-    if (!bad && !alive.expired()) happened(event::TimerExpired{});
+    if (!bad && !alive.expired()) handle_event(event::TimerExpired{});
   });
 }
 
-void Agent::perform(const action::Tell& a) {
+void Agent::perform(const action::Reply& a) {
   const auto it = requests_.find(a.request);
   if (it == requests_.end()) return;
   const auto done = std::move(it->second);
@@ -405,7 +406,7 @@
   std::optional<std::multimap<std::string, ProcessId>> all;
   for (const auto& row : rows) {
     if (!row.live) continue;
-    Instance& i = instance(row.name);
+    Instance& instance = instance_for(row.name);
     std::optional<ProcessId> id;
     const auto it = recorded.find(row.name);
     if (it != recorded.end() && identify(it->second.pid) == it->second &&
@@ -417,7 +418,7 @@
       for (auto at = from; at != to; ++at) {
         std::error_code unknown;
         const bool inside = std::filesystem::equivalent("/proc/" + std::to_string(at->second.pid) + "/cwd",
-                                                        i.folder.path(), unknown);
+                                                        instance.folder.path(), unknown);
         if (!id || inside) id = at->second;
       }
     }
@@ -425,69 +426,71 @@
     std::unique_ptr<Process> process;
     if (id)
       process = Process::open(
-          io_, *id, [this, name = row.name, run = row.run](Ending e) { ended(name, run, e); }, bad);
+          io_, *id, [this, name = row.name, run = row.run](ExitStatus e) { process_ended(name, run, e); },
+          bad);
     if (process) {
-      stands(i, row.run, std::move(process));
+      process_started(instance, row.run, std::move(process));
       events_.push_back(event::Adopted{row.name, static_cast<int>(id->pid), row.run});
     } else {
-      events_.push_back(event::NotFound{row.name, row.run, i.folder.drained(row.run)});
+      events_.push_back(event::NotFound{row.name, row.run, instance.folder.drained(row.run)});
     }
   }
 }
 
-void Agent::stands(Instance& i, const std::string& run, std::unique_ptr<Process> process) {
-  i.run = run;
-  i.process = std::move(process);
-  i.life++;
-  i.status.clear();
-  i.had_state = i.folder.has_state();
-  ask_later(i, options_.ask_gap_busy);
+void Agent::process_started(Instance& instance, const std::string& run, std::unique_ptr<Process> process) {
+  instance.run = run;
+  instance.process = std::move(process);
+  instance.process_number++;
+  instance.status.clear();
+  instance.state_folder_seen = instance.folder.has_state();
+  schedule_status_poll(instance, options_.status_interval_busy);
 }
 
-void Agent::ended(const std::string& name, const std::string& run, Ending ending) {
-  Instance& i = instance(name);
-  i.process.reset();
-  i.life++;
-  i.status.clear();
-  i.timer.cancel();
+void Agent::process_ended(const std::string& name, const std::string& run, ExitStatus ending) {
+  Instance& instance = instance_for(name);
+  instance.process.reset();
+  instance.process_number++;
+  instance.status.clear();
+  instance.timer.cancel();
   if (stopping_) {
     const bool any = std::any_of(instances_.begin(), instances_.end(),
                                  [](const auto& x) { return x.second->process != nullptr; });
-    if (!any && relays_gone_) std::exchange(relays_gone_, nullptr)();
+    if (!any && on_relays_ended_) std::exchange(on_relays_ended_, nullptr)();
     return;
   }
-  const auto drained = i.folder.drained(run);
+  const auto drained = instance.folder.drained(run);
   if (ending.known)
-    happened(event::Exited{name, run, ending.status, ending.signal, drained});
+    handle_event(event::Exited{name, run, ending.status, ending.signal, drained});
   else
-    happened(event::NotFound{name, run, drained});  // not a child: how it ended nobody tells
+    handle_event(event::NotFound{name, run, drained});  // not a child: how it ended nobody tells
 }
 
-void Agent::ask_status(const std::string& name) {
+void Agent::poll_status(const std::string& name) {
   const auto it = instances_.find(name);
   if (it == instances_.end() || !it->second->process) return;
-  Instance& i = *it->second;
-  i.folder.rotate(options_.log_bytes);
-  const bool state = i.folder.has_state();
-  if (i.had_state && !state) {
-    i.had_state = false;
-    happened(event::FolderGone{name});
-    if (!i.process) return;
+  Instance& instance = *it->second;
+  instance.folder.rotate(options_.log_bytes);
+  const bool state = instance.folder.has_state();
+  if (instance.state_folder_seen && !state) {
+    instance.state_folder_seen = false;
+    handle_event(event::StateFolderMissing{name});
+    if (!instance.process) return;
   }
-  i.had_state = i.had_state || state;
-  ask_admin(io_, {i.folder.state(), false, "/v1/status", ""},
-            [this, alive = std::weak_ptr<bool>(alive_), name, life = i.life](const AdminAnswer& a) {
+  instance.state_folder_seen = instance.state_folder_seen || state;
+  ask_admin(io_, {instance.folder.state(), false, "/v1/status", ""},
+            [this, alive = std::weak_ptr<bool>(alive_), name,
+             process_number = instance.process_number](const AdminAnswer& a) {
               if (alive.expired()) return;
               const auto at = instances_.find(name);
-              if (at == instances_.end() || at->second->life != life) return;
-              answered(name, a);
+              if (at == instances_.end() || at->second->process_number != process_number) return;
+              status_answered(name, a);
             });
 }
 
-void Agent::answered(const std::string& name, const AdminAnswer& a) {
-  Instance& i = instance(name);
+void Agent::status_answered(const std::string& name, const AdminAnswer& a) {
+  Instance& instance = instance_for(name);
   // The agent's own want must not end relays that are well.
-  if (a.not_put) return ask_later(i, options_.ask_gap);
+  if (a.not_put) return schedule_status_poll(instance, options_.status_interval);
   event::StatusSeen e;
   e.name = name;
   bool seen = false;
@@ -506,55 +509,55 @@
         e.oldest_ms = wire::optional_field(*held, "oldest_ms", "status.held", wire::as_int64, 0);
       }
       // One of another run answers in this one's folder: this one does not.
-      seen = e.run == i.run;
+      seen = e.run == instance.run;
       if (seen) {
-        i.status = a.body.size() <= kMostStatusKept ? a.body : "";
-        i.copies = copies_in_short(v);
-        i.status_at = now();
+        instance.status = a.body.size() <= kMaxStatusBytes ? a.body : "";
+        instance.copies_json = copies_summary(v);
+        instance.status_at = now();
       }
     }
   } catch (const std::exception& bad) {
     heronvane::log("instance " + name + ": its status: " + bad.what());
   }
-  const auto life = i.life;
+  const auto process_number = instance.process_number;
   if (seen)
-    happened(std::move(e));
+    handle_event(std::move(e));
   else
-    happened(event::StatusMissed{name, i.run});
+    handle_event(event::StatusMissed{name, instance.run});
   const auto it = instances_.find(name);
-  if (it == instances_.end() || it->second->life != life || !it->second->process) return;
+  if (it == instances_.end() || it->second->process_number != process_number || !it->second->process) return;
   const auto v = decider_.instance(name);
   const bool settled = v && (v->phase == Phase::ready || v->phase == Phase::stalled) && v->operation == 0;
-  ask_later(*it->second, settled ? options_.ask_gap : options_.ask_gap_busy);
+  schedule_status_poll(*it->second, settled ? options_.status_interval : options_.status_interval_busy);
 }
 
-void Agent::ask_later(Instance& i, std::chrono::milliseconds gap) {
-  i.timer.expires_after(gap);
-  i.timer.async_wait(
-      [this, alive = std::weak_ptr<bool>(alive_), name = i.name, life = i.life](error_code bad) {
-        if (bad || alive.expired()) return;
-        const auto it = instances_.find(name);
-        if (it != instances_.end() && it->second->life == life) ask_status(name);
-      });
+void Agent::schedule_status_poll(Instance& instance, std::chrono::milliseconds gap) {
+  instance.timer.expires_after(gap);
+  instance.timer.async_wait([this, alive = std::weak_ptr<bool>(alive_), name = instance.name,
+                             process_number = instance.process_number](error_code bad) {
+    if (bad || alive.expired()) return;
+    const auto it = instances_.find(name);
+    if (it != instances_.end() && it->second->process_number == process_number) poll_status(name);
+  });
 }
 
 void Agent::stop_relays(std::chrono::milliseconds grace, std::function<void()> done) {
   stopping_ = true;
   timer_.cancel();
   bool any = false;
-  for (const auto& [name, i] : instances_) {
-    i->timer.cancel();
-    if (!i->process) continue;
+  for (const auto& [name, instance] : instances_) {
+    instance->timer.cancel();
+    if (!instance->process) continue;
     any = true;
-    i->process->signal(SIGTERM);
+    instance->process->signal(SIGTERM);
   }
   if (!any) return done();
-  relays_gone_ = std::move(done);
-  grace_.expires_after(grace);
-  grace_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](error_code bad) {
+  on_relays_ended_ = std::move(done);
+  kill_timer_.expires_after(grace);
+  kill_timer_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](error_code bad) {
     if (bad || alive.expired()) return;
-    for (const auto& [name, i] : instances_)
-      if (i->process) i->process->signal(SIGKILL);
+    for (const auto& [name, instance] : instances_)
+      if (instance->process) instance->process->signal(SIGKILL);
   });
 }
 
--- a/fleet/agent.hpp
+++ b/fleet/agent.hpp
@@ -32,11 +32,11 @@
   Tuning tuning;
   DatabaseOptions database;
   std::uint64_t log_bytes = 10'000'000;  // of an instance's log before it is rotated
-  std::chrono::milliseconds ask_gap{1'000};
-  std::chrono::milliseconds ask_gap_busy{100};  // of instances that start, drain or stop
-  std::uint64_t relay_descriptors = 0;          // the relays' soft limit of open files; 0: the agent's own
+  std::chrono::milliseconds status_interval{1'000};
+  std::chrono::milliseconds status_interval_busy{100};  // of instances that start, drain or stop
+  std::uint64_t relay_descriptors = 0;  // the relays' soft limit of open files; 0: the agent's own
   // Called at each step that lasts or acts, for tests that end the agent there.
-  std::function<void()> point;
+  std::function<void()> on_step;
 };
 
 // The data folder, for one agent at a time.
@@ -83,8 +83,8 @@
   struct Instance;
 
   Microseconds now() const;
-  void happened(Event event);
-  void pump();
+  void handle_event(Event event);
+  void process_events();
   void perform(const action::Record& a);
   void perform(const action::WriteConfig& a);
   void perform(const action::Spawn& a);
@@ -94,24 +94,24 @@
   void perform(const action::AskFence& a);
   void perform(const action::Removed& a);
   void perform(const action::SetTimer& a);
-  void perform(const action::Tell& a);
+  void perform(const action::Reply& a);
   void perform(const action::OperationChanged& a);
   void perform(const action::Log& a);
 
-  Instance& instance(const std::string& name);
+  Instance& instance_for(const std::string& name);
   void adopt(const std::vector<InstanceRow>& rows);
-  void stands(Instance& i, const std::string& run, std::unique_ptr<Process> process);
-  void ended(const std::string& name, const std::string& run, Ending ending);
-  void post(const std::string& name, const std::string& run, Call call, OperationId fence);
-  void ask_status(const std::string& name);
-  void answered(const std::string& name, const AdminAnswer& answer);
-  void ask_later(Instance& i, std::chrono::milliseconds gap);
-  std::string spawn(Instance& i, const action::Spawn& a);
+  void process_started(Instance& instance, const std::string& run, std::unique_ptr<Process> process);
+  void process_ended(const std::string& name, const std::string& run, ExitStatus ending);
+  void call_admin(const std::string& name, const std::string& run, AdminCall call, OperationId fence);
+  void poll_status(const std::string& name);
+  void status_answered(const std::string& name, const AdminAnswer& answer);
+  void schedule_status_poll(Instance& instance, std::chrono::milliseconds gap);
+  std::string spawn(Instance& instance, const action::Spawn& a);
   std::string find_program(const std::string& program) const;
   std::shared_ptr<const Fleet> fleet_of(Generation generation);
   void apply_platform();
-  void point() const {
-    if (options_.point) options_.point();
+  void notify_step() const {
+    if (options_.on_step) options_.on_step();
   }
 
   boost::asio::io_context& io_;
@@ -121,15 +121,15 @@
   Microseconds started_;
   std::chrono::steady_clock::time_point started_steady_;
   PlatformHost platform_;
-  std::string platform_of_;         // the fleet whose platform stands, as its text
-  std::vector<InstanceRow> found_;  // rows that stood when the agent began, until start()
+  std::string applied_platform_text_;       // the fleet whose platform stands, as its text
+  std::vector<InstanceRow> restored_rows_;  // rows that stood when the agent began, until start()
   Decider decider_;
   std::map<std::string, std::unique_ptr<Instance>> instances_;
   std::deque<Event> events_;
-  bool platform_due_ = true;  // the fleet may have become another
-  bool pumping_ = false, stopping_ = false;
-  std::function<void()> relays_gone_;
-  boost::asio::steady_timer timer_, grace_;
+  bool fleet_changed_ = true;  // the fleet may have become another
+  bool processing_events_ = false, stopping_ = false;
+  std::function<void()> on_relays_ended_;
+  boost::asio::steady_timer timer_, kill_timer_;
   RequestId last_request_ = 0;
   std::map<RequestId, std::function<void(Verdict)>> requests_;
   std::map<OperationId, std::vector<std::weak_ptr<LineStream>>> followers_;
--- a/fleet/agent_api.cpp
+++ b/fleet/agent_api.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::size_t kFleetsKept = 4;
+constexpr std::size_t kCachedFleets = 4;
 
 }  // namespace
 
@@ -29,7 +29,7 @@
 std::optional<StatusView> Agent::status(const std::string& name) const {
   const auto it = instances_.find(name);
   if (it == instances_.end() || it->second->status.empty()) return {};
-  return StatusView{it->second->status, it->second->copies, now() - it->second->status_at};
+  return StatusView{it->second->status, it->second->copies_json, now() - it->second->status_at};
 }
 
 std::string Agent::log_file(const std::string& name) const {
@@ -43,7 +43,7 @@
   if (it != fleets_.end()) return it->second;
   const auto text = database_.fleet_at(generation);
   if (!text) return nullptr;
-  while (fleets_.size() >= kFleetsKept) fleets_.erase(fleets_.begin());
+  while (fleets_.size() >= kCachedFleets) fleets_.erase(fleets_.begin());
   return fleets_[generation] = std::make_shared<const Fleet>(Fleet::read(*text));
 }
 
@@ -57,22 +57,22 @@
 void Agent::command(event::Command command, std::function<void(Verdict)> done) {
   command.request = ++last_request_;
   requests_.emplace(command.request, std::move(done));
-  happened(std::move(command));
+  handle_event(std::move(command));
 }
 
 void Agent::cancel(OperationId operation, std::function<void(Verdict)> done) {
   const RequestId request = ++last_request_;
   requests_.emplace(request, std::move(done));
-  happened(event::Cancel{request, operation});
+  handle_event(event::Cancel{request, operation});
 }
 
 void Agent::find_message(const std::string& id, std::function<void(MessageView)> done) {
   struct Search {
     MessageView view;
-    std::size_t open = 1;
+    std::size_t unanswered = 1;
     std::function<void(MessageView)> done;
-    void ended() {
-      if (--open == 0) done(std::move(view));
+    void answer_received() {
+      if (--unanswered == 0) done(std::move(view));
     }
   };
   const auto search = std::make_shared<Search>();
@@ -84,7 +84,7 @@
       search->view.not_asked.push_back(name);
       continue;
     }
-    search->open++;
+    search->unanswered++;
     ask_admin(io_, {it->second->folder.state(), false, "/v1/messages/" + id, ""},
               [search, name, alive = std::weak_ptr<bool>(alive_)](const AdminAnswer& a) {
                 if (alive.expired()) return;
@@ -97,16 +97,16 @@
                   if (answered) search->view.found.emplace_back(name, a.body);
                 }
                 if (!answered) search->view.not_asked.push_back(name);
-                search->ended();
+                search->answer_received();
               });
   }
-  search->ended();
+  search->answer_received();
 }
 
 // One after the other: the first that holds its log does it.
 void Agent::take_over(const std::string& relay, std::function<void(TakeOverView)> done) {
   struct Search {
-    std::vector<std::pair<std::string, std::string>> left;  // instance, state folder
+    std::vector<std::pair<std::string, std::string>> remaining;  // instance, state folder
     TakeOverView view;
     std::function<void(TakeOverView)> done;
     std::function<void()> next;
@@ -116,14 +116,14 @@
   for (const auto& v : decider_.instances()) {
     const auto it = instances_.find(v.row->name);
     if (v.row->name == relay || it == instances_.end() || !it->second->process) continue;
-    search->left.emplace_back(v.row->name, it->second->folder.state());
+    search->remaining.emplace_back(v.row->name, it->second->folder.state());
   }
-  std::reverse(search->left.begin(), search->left.end());
+  std::reverse(search->remaining.begin(), search->remaining.end());
   search->next = [this, relay, weak = std::weak_ptr(search)] {
     const auto s = weak.lock();
-    if (s->left.empty()) return s->done(std::move(s->view));
-    const auto [name, folder] = s->left.back();
-    s->left.pop_back();
+    if (s->remaining.empty()) return s->done(std::move(s->view));
+    const auto [name, folder] = s->remaining.back();
+    s->remaining.pop_back();
     ask_admin(io_, {folder, true, "/v1/takeover/" + relay, "{}"},
               [s, name = name, alive = std::weak_ptr<bool>(alive_)](const AdminAnswer& a) {
                 if (alive.expired()) return;
--- a/fleet/api.cpp
+++ b/fleet/api.cpp
@@ -40,7 +40,7 @@
   for (const auto& s : o.steps) {
     w.StartObject();
     key(w, "instance"), put(w, s.instance);
-    key(w, "state"), put(w, word(s.state));
+    key(w, "state"), put(w, name_of(s.state));
     key(w, "what"), put(w, s.what);
     key(w, "since_ms"), w.Int64(ms(s.since));
     w.EndObject();
@@ -96,14 +96,14 @@
                  [](const verdict::Plan& v) { return json(operation_json(v.operation)); },
                  [](const verdict::Conflict& v) {
                    const std::string with = "operation " + std::to_string(v.with) + " (" +
-                                            std::string(word(v.kind)) + " by " + v.by + ") is at work on " +
-                                            listed(v.names);
+                                            std::string(name_of(v.kind)) + " by " + v.by +
+                                            ") is at work on " + listed(v.names);
                    return json(object([&](JsonWriter& w) {
                                  write_error(w, "conflict", with,
                                              "wait for it, cancel it, or ask again with supersede");
                                  key(w, "with"), w.StartObject();
                                  key(w, "operation"), w.Uint64(v.with);
-                                 key(w, "kind"), put(w, word(v.kind));
+                                 key(w, "kind"), put(w, name_of(v.kind));
                                  key(w, "by"), put(w, v.by);
                                  key(w, "since_ms"), w.Int64(ms(v.since));
                                  key(w, "names"), write_names(w, v.names);
@@ -129,7 +129,7 @@
                  [](const verdict::Ended& v) {
                    return api_error(409, "conflict",
                                     "operation " + std::to_string(v.operation.id) +
-                                        " has ended: " + std::string(word(v.operation.state)),
+                                        " has ended: " + std::string(name_of(v.operation.state)),
                                     "there is nothing left to cancel");
                  },
                  [](const verdict::Storage& v) {
@@ -164,9 +164,9 @@
 std::string operation_json(const Operation& o) {
   return object([&](JsonWriter& w) {
     key(w, "id"), w.Uint64(o.id);
-    key(w, "kind"), put(w, word(o.kind));
+    key(w, "kind"), put(w, name_of(o.kind));
     key(w, "by"), put(w, o.by);
-    key(w, "state"), put(w, word(o.state));
+    key(w, "state"), put(w, name_of(o.state));
     key(w, "generation"), w.Uint64(o.generation);
     key(w, "max_unavailable"), w.Int(o.max_unavailable);
     key(w, "created_ms"), w.Int64(ms(o.created));
@@ -183,8 +183,8 @@
   return object([&](JsonWriter& w) {
     key(w, "name"), put(w, row.name);
     key(w, "listen"), put(w, row.listen);
-    key(w, "desired"), put(w, word(row.desired));
-    key(w, "phase"), put(w, word(v.phase));
+    key(w, "desired"), put(w, name_of(row.desired));
+    key(w, "phase"), put(w, name_of(v.phase));
     key(w, "pid"), w.Int(row.live ? row.pid : 0);
     key(w, "run"), put(w, row.run);
     key(w, "since_ms"), w.Int64(ms(v.since));
--- a/fleet/commands.cpp
+++ b/fleet/commands.cpp
@@ -8,37 +8,37 @@
 
 using Work = Step::Work;
 
-void tell(std::vector<Action>& actions, RequestId request, Verdict verdict) {
-  actions.push_back(action::Tell{request, std::move(verdict)});
+void reply(std::vector<Action>& actions, RequestId request, Verdict verdict) {
+  actions.push_back(action::Reply{request, std::move(verdict)});
 }
 
 }  // namespace
 
-bool Decider::State::take(Microseconds now, const event::Command& command, Actions& actions) {
-  auto result = plan(kept, command, tuning.instances_most);
+bool Decider::State::decide(Microseconds now, const event::Command& command, Actions& actions) {
+  auto result = plan(recorded, command, tuning.max_instances);
   if (auto* refusal = std::get_if<Verdict>(&result)) {
-    tell(actions, command.request, std::move(*refusal));
+    reply(actions, command.request, std::move(*refusal));
     return false;
   }
-  auto& made = std::get<Plan>(result);
-  made.operation.created = now;
+  auto& plan_result = std::get<Plan>(result);
+  plan_result.operation.created = now;
   if (command.dry_run) {
-    tell(actions, command.request, verdict::Plan{std::move(made.operation)});
+    reply(actions, command.request, verdict::Plan{std::move(plan_result.operation)});
     return false;
   }
-  accept(now, command, std::move(made));
+  accept(now, command, std::move(plan_result));
   return true;
 }
 
-void Decider::State::accept(Microseconds now, const event::Command& command, Plan made) {
-  Operation operation = std::move(made.operation);
+void Decider::State::accept(Microseconds now, const event::Command& command, Plan plan_result) {
+  Operation operation = std::move(plan_result.operation);
   const OperationId id = ++working.last_operation;
   const Generation generation = ++working.generation;
-  dirty_counts = true;
+  dirty_counters = true;
   operation.id = id;
   operation.generation = generation;
   operation.created = now;
-  for (OperationId earlier : made.supersedes) {
+  for (OperationId earlier : plan_result.supersedes) {
     Operation& other = edit(earlier);
     other.superseded_by = id;
     end_early(now, other, OperationState::superseded);
@@ -50,11 +50,11 @@
       auto at = working.instances.find(spec.name);
       if (at == working.instances.end()) continue;
       auto listen = spec.own.find("listen");
-      const std::string where = listen == spec.own.end() ? "" : listen->second;
+      const std::string address = listen == spec.own.end() ? "" : listen->second;
       // What an earlier change wanted and did not bring about is wanted no more.
-      if (at->second.listen == where && at->second.wanted == at->second.config) continue;
+      if (at->second.listen == address && at->second.wanted == at->second.config) continue;
       InstanceRow& row = edit(spec.name);
-      row.listen = where;
+      row.listen = address;
       if (row.config != 0) row.wanted = row.config;
     }
   }
@@ -78,9 +78,9 @@
     }
   }
   edit(id) = std::move(operation);
-  asker = command.request;
-  hooks.push_back([this, id, request = command.request](Microseconds, Actions& actions) {
-    tell(actions, request, verdict::Accepted{kept.operations.at(id)});
+  pending_request = command.request;
+  recorded_hooks.push_back([this, id, request = command.request](Microseconds, Actions& actions) {
+    reply(actions, request, verdict::Accepted{recorded.operations.at(id)});
   });
 }
 
@@ -101,20 +101,20 @@
   }
 }
 
-bool Decider::State::take(Microseconds now, const event::Cancel& cancel, Actions& actions) {
-  auto at = kept.operations.find(cancel.operation);
-  if (at == kept.operations.end()) {
-    tell(actions, cancel.request, verdict::Unknown{std::to_string(cancel.operation)});
+bool Decider::State::decide(Microseconds now, const event::Cancel& cancel, Actions& actions) {
+  auto at = recorded.operations.find(cancel.operation);
+  if (at == recorded.operations.end()) {
+    reply(actions, cancel.request, verdict::Unknown{std::to_string(cancel.operation)});
     return false;
   }
   if (at->second.state != OperationState::running) {
-    tell(actions, cancel.request, verdict::Ended{at->second});
+    reply(actions, cancel.request, verdict::Ended{at->second});
     return false;
   }
   end_early(now, edit(cancel.operation), OperationState::cancelled);
-  asker = cancel.request;
-  hooks.push_back([this, cancel](Microseconds, Actions& done) {
-    tell(done, cancel.request, verdict::Accepted{kept.operations.at(cancel.operation)});
+  pending_request = cancel.request;
+  recorded_hooks.push_back([this, cancel](Microseconds, Actions& done) {
+    reply(done, cancel.request, verdict::Accepted{recorded.operations.at(cancel.operation)});
   });
   return true;
 }
--- a/fleet/converge.cpp
+++ b/fleet/converge.cpp
@@ -7,73 +7,74 @@
 
 namespace heronvane::fleet {
 
-bool Decider::State::stalled(Microseconds now, const Seen& s) const {
-  return s.missed && now - s.answered_at >= (s.status ? tuning.stalled_after : tuning.first_answer);
+bool Decider::State::stalled(Microseconds now, const Observed& observed) const {
+  return observed.status_missed &&
+         now - observed.answered_at >= (observed.status ? tuning.stalled_after : tuning.first_status_timeout);
 }
 
-Phase Decider::State::phase(Microseconds now, const InstanceRow& row, const Seen& s) const {
-  if (row.live && !s.end) {
-    if (s.pending) return Phase::starting;
+Phase Decider::State::phase(Microseconds now, const InstanceRow& row, const Observed& observed) const {
+  if (row.live && !observed.end) {
+    if (observed.awaiting_adoption) return Phase::starting;
     if (ending(row)) return Phase::stopping;
-    if (stalled(now, s)) return Phase::stalled;
-    if (!s.status) return s.looping ? Phase::looping : Phase::starting;
-    if (s.status->stopping) return Phase::stopping;
-    if (s.status->draining) return Phase::draining;
-    if (s.status->ready) return Phase::ready;
-    return s.looping ? Phase::looping : Phase::unready;
+    if (stalled(now, observed)) return Phase::stalled;
+    if (!observed.status) return observed.looping ? Phase::looping : Phase::starting;
+    if (observed.status->stopping) return Phase::stopping;
+    if (observed.status->draining) return Phase::draining;
+    if (observed.status->ready) return Phase::ready;
+    return observed.looping ? Phase::looping : Phase::unready;
   }
   if (row.run.empty() && row.desired != Desired::running) return Phase::absent;
   if (row.desired == Desired::stopped) return Phase::stopped;
   if (row.desired == Desired::drained && row.ended_drained) return Phase::drained;
-  if (s.looping) return Phase::looping;
-  if (s.next_start > now) return Phase::backoff;
+  if (observed.looping) return Phase::looping;
+  if (observed.next_start > now) return Phase::backoff;
   return row.run.empty() ? Phase::absent : Phase::starting;
 }
 
-void Decider::State::note_crash(Microseconds now, Seen& s) {
-  if (s.ready_since != 0 && now - s.ready_since >= tuning.backoff_reset) {
-    s.backoffs = 0;
-    s.crashes.clear();
-    s.looping = false;
+void Decider::State::count_crash(Microseconds now, Observed& observed) {
+  if (observed.ready_since != 0 && now - observed.ready_since >= tuning.backoff_reset) {
+    observed.backoffs = 0;
+    observed.crashes.clear();
+    observed.looping = false;
   }
-  s.crashes.push_back(now);
-  while (now - s.crashes.front() >= tuning.loop_within) s.crashes.pop_front();
-  if (static_cast<int>(s.crashes.size()) >= tuning.loop_crashes) s.looping = true;
-  Microseconds delay = tuning.backoff_first;
-  for (int i = 0; i < s.backoffs && delay < tuning.backoff_most; ++i) delay *= 2;
-  delay = std::min(delay, tuning.backoff_most);
-  ++s.backoffs;
-  s.next_start =
-      now + delay / 2 + static_cast<Microseconds>(draw() % static_cast<std::uint64_t>(delay / 2 + 1));
-  ++s.step_crashes;
+  observed.crashes.push_back(now);
+  while (now - observed.crashes.front() >= tuning.loop_window) observed.crashes.pop_front();
+  if (static_cast<int>(observed.crashes.size()) >= tuning.loop_crash_count) observed.looping = true;
+  Microseconds delay = tuning.backoff_initial;
+  for (int i = 0; i < observed.backoffs && delay < tuning.backoff_max; ++i) delay *= 2;
+  delay = std::min(delay, tuning.backoff_max);
+  ++observed.backoffs;
+  observed.next_start =
+      now + delay / 2 + static_cast<Microseconds>(next_random() % static_cast<std::uint64_t>(delay / 2 + 1));
+  ++observed.step_crashes;
 }
 
 // Fences of others are kept under the next operation: an agent that lost its database is not shut out for
 // good.
-void Decider::State::note_fence(OperationId fence) {
+void Decider::State::raise_last_operation(OperationId fence) {
   if (fence <= working.last_operation) return;
   working.last_operation = fence;
-  dirty_counts = true;
+  dirty_counters = true;
 }
 
-void Decider::State::absorb(Microseconds now, const std::string& name) {
-  const InstanceRow& is = working.instances.find(name)->second;
-  Seen& s = seen[name];
-  note_fence(s.fenced);
-  if (!is.live) return;
-  if (!s.end) {
-    if (s.pid != 0 && s.pid != is.pid) edit(name).pid = s.pid;
+void Decider::State::apply_observations(Microseconds now, const std::string& name) {
+  const InstanceRow& current = working.instances.find(name)->second;
+  Observed& observed = observations[name];
+  raise_last_operation(observed.foreign_fence);
+  if (!current.live) return;
+  if (!observed.end) {
+    if (observed.pid != 0 && observed.pid != current.pid) edit(name).pid = observed.pid;
     return;
   }
   InstanceRow& row = edit(name);
-  const Seen::End& end = *s.end;
-  const bool asked = ending(row) && !s.watchdog;
+  const Observed::End& end = *observed.end;
+  const bool asked = ending(row) && !observed.ended_by_agent;
   row.live = false;
   row.pid = 0;
   row.last_exit = end.text;
   if (row.retire == row.run) row.retire.clear();
   if (end.drained) {
-    note_fence(*end.drained);
+    raise_last_operation(*end.drained);
     row.drain_kept = true;
     if (row.desired != Desired::running) {
       row.ended_drained = true;
@@ -84,28 +85,29 @@
       log(name + " was drained by another, fence " + std::to_string(*end.drained));
     }
   }
-  const bool crash = !asked && !end.drained && !end.gone;
-  if (crash || (end.gone && !end.drained)) ++row.restarts;
+  const bool crash = !asked && !end.drained && !end.unobserved;
+  if (crash || (end.unobserved && !end.drained)) ++row.restarts;
   if (crash) log(name + " ended: " + end.text);
-  hooks.push_back([this, name, crash](Microseconds at, Actions&) {
-    Seen& noted = seen[name];
+  recorded_hooks.push_back([this, name, crash](Microseconds at, Actions&) {
+    Observed& updated = observations[name];
     if (crash) {
-      noted.step_why = noted.end ? noted.end->text : "";
-      note_crash(at, noted);
+      updated.last_crash = updated.end ? updated.end->text : "";
+      count_crash(at, updated);
     }
-    noted.new_run(at);
-    note_phase(at, name);
+    updated.new_run(at);
+    update_phase(at, name);
   });
   (void)now;
 }
 
 void Decider::State::converge(Microseconds now, const std::string& name) {
   const InstanceRow& row = working.instances.find(name)->second;
-  Seen& s = seen[name];
-  if (s.pending || s.end || s.spawn_out || begun.contains(name)) return;
+  Observed& observed = observations[name];
+  if (observed.awaiting_adoption || observed.end || observed.spawn_pending || begun_instances.contains(name))
+    return;
   if (row.live) {
     const Step* step = acting(name);
-    if (!watch(now, row, step)) return;
+    if (!check_process(now, row, step)) return;
     switch (row.desired) {
       case Desired::running:
         keep_running(now, row, step);
@@ -120,46 +122,50 @@
   }
   if (row.removing && row.ended_drained) {
     dirty_rows.insert(name);
-    hooks.push_back([name](Microseconds, Actions& actions) { actions.push_back(action::Removed{name}); });
-    const std::string gone = name;
-    working.instances.erase(gone);
+    recorded_hooks.push_back(
+        [name](Microseconds, Actions& actions) { actions.push_back(action::Removed{name}); });
+    const std::string removed = name;
+    working.instances.erase(removed);
     return;
   }
-  const bool rests =
+  const bool stays_ended =
       row.desired == Desired::stopped || (row.desired == Desired::drained && row.ended_drained);
-  if (!rests && now >= s.next_start) start(now, name);
+  if (!stays_ended && now >= observed.next_start) start(now, name);
 }
 
-bool Decider::State::watch(Microseconds now, const InstanceRow& row, const Step* step) {
-  Seen& s = seen[row.name];
+bool Decider::State::check_process(Microseconds now, const InstanceRow& row, const Step* step) {
+  Observed& observed = observations[row.name];
   if (!ending(row)) {
-    const Microseconds patience = !s.status ? tuning.first_answer
-                                  : step    ? tuning.stalled_after
-                                            : tuning.stalled_kill;
-    const bool silent = s.missed && now - s.answered_at >= patience;
-    if (!silent && !s.folder_gone) return true;
+    const Microseconds timeout = !observed.status ? tuning.first_status_timeout
+                                 : step           ? tuning.stalled_after
+                                                  : tuning.stalled_kill_after;
+    const bool silent = observed.status_missed && now - observed.answered_at >= timeout;
+    if (!silent && !observed.state_folder_missing) return true;
     edit(row.name).retire = row.run;
     log(row.name + (silent ? " has not answered: ended" : " has lost its folder: ended"));
-    hooks.push_back([this, name = row.name](Microseconds, Actions&) { seen[name].watchdog = true; });
+    recorded_hooks.push_back(
+        [this, name = row.name](Microseconds, Actions&) { observations[name].ended_by_agent = true; });
   }
-  if (s.fenced > row.fence && !s.watchdog && step) return false;  // the step fails
+  if (observed.foreign_fence > row.fence && !observed.ended_by_agent && step) return false;  // the step fails
   auto signal = [&](Signum which) {
-    hooks.push_back([this, name = row.name, run = row.run, which](Microseconds at, Actions& actions) {
-      Seen& noted = seen[name];
-      (which == Signum::term ? noted.term_at : noted.kill_at) = at;
-      actions.push_back(action::Signal{name, run, which});
-      note_phase(at, name);
-    });
+    recorded_hooks.push_back(
+        [this, name = row.name, run = row.run, which](Microseconds at, Actions& actions) {
+          Observed& updated = observations[name];
+          (which == Signum::term ? updated.term_sent_at : updated.kill_sent_at) = at;
+          actions.push_back(action::Signal{name, run, which});
+          update_phase(at, name);
+        });
   };
-  if (s.kill_at != 0) {
-    if (now - s.kill_at >= tuning.term_grace) signal(Signum::kill);
-  } else if (s.term_at != 0) {
-    if (now - s.term_at >= tuning.term_grace) signal(Signum::kill);
-  } else if (stalled(now, s)) {
+  if (observed.kill_sent_at != 0) {
+    if (now - observed.kill_sent_at >= tuning.term_grace) signal(Signum::kill);
+  } else if (observed.term_sent_at != 0) {
+    if (now - observed.term_sent_at >= tuning.term_grace) signal(Signum::kill);
+  } else if (stalled(now, observed)) {
     signal(Signum::kill);
-  } else if (step && s.status && s.status->fence < row.fence && !s.fence_answered &&
-             (s.ask_from == 0 || now - s.ask_from < tuning.stalled_after)) {
-    ask(now, row, Call::fence);
+  } else if (step && observed.status && observed.status->fence < row.fence && !observed.fence_answered &&
+             (observed.first_admin_call_at == 0 ||
+              now - observed.first_admin_call_at < tuning.stalled_after)) {
+    call_admin(now, row, AdminCall::fence);
   } else {
     signal(Signum::term);
   }
@@ -167,52 +173,53 @@
 }
 
 void Decider::State::keep_draining(Microseconds now, const InstanceRow& row) {
-  Seen& s = seen[row.name];
-  if (!s.status) return;
-  if (s.status->draining) {
-    s.asks = 0;
-  } else if (s.fenced <= row.fence) {
-    ask(now, row, Call::drain);
+  Observed& observed = observations[row.name];
+  if (!observed.status) return;
+  if (observed.status->draining) {
+    observed.admin_attempts = 0;
+  } else if (observed.foreign_fence <= row.fence) {
+    call_admin(now, row, AdminCall::drain);
   }
 }
 
 void Decider::State::keep_running(Microseconds now, const InstanceRow& row, const Step* step) {
-  Seen& s = seen[row.name];
-  if (!s.status || s.fenced > row.fence) return;
+  Observed& observed = observations[row.name];
+  if (!observed.status || observed.foreign_fence > row.fence) return;
   const bool undrain = step && step->work == Step::Work::undrain && step->run_before == row.run;
-  if (s.status->draining || (undrain && s.status->fence < row.fence)) {
-    ask(now, row, Call::undrain);
-  } else if (row.drain_kept && s.status->fence >= row.fence) {
+  if (observed.status->draining || (undrain && observed.status->fence < row.fence)) {
+    call_admin(now, row, AdminCall::undrain);
+  } else if (row.drain_kept && observed.status->fence >= row.fence) {
     edit(row.name).drain_kept = false;  // no earlier drain can come after that fence
   }
 }
 
-void Decider::State::ask(Microseconds now, const InstanceRow& row, Call call) {
-  Seen& s = seen[row.name];
-  if (now < s.ask_next) return;
-  hooks.push_back(
-      [this, name = row.name, run = row.run, fence = row.fence, call](Microseconds at, Actions& actions) {
-        Seen& noted = seen[name];
-        if (noted.ask_from == 0) noted.ask_from = at;
-        noted.ask_next = at + std::min(tuning.ask_again << std::min(noted.asks, 5), tuning.backoff_most);
-        ++noted.asks;
-        switch (call) {
-          case Call::drain:
-            actions.push_back(action::AskDrain{name, run, fence});
-            break;
-          case Call::undrain:
-            actions.push_back(action::AskUndrain{name, run, fence});
-            break;
-          case Call::fence:
-            actions.push_back(action::AskFence{name, run, fence});
-            break;
-        }
-      });
+void Decider::State::call_admin(Microseconds now, const InstanceRow& row, AdminCall call) {
+  Observed& observed = observations[row.name];
+  if (now < observed.next_admin_call_at) return;
+  recorded_hooks.push_back([this, name = row.name, run = row.run, fence = row.fence, call](Microseconds at,
+                                                                                           Actions& actions) {
+    Observed& updated = observations[name];
+    if (updated.first_admin_call_at == 0) updated.first_admin_call_at = at;
+    updated.next_admin_call_at =
+        at + std::min(tuning.admin_retry_delay << std::min(updated.admin_attempts, 5), tuning.backoff_max);
+    ++updated.admin_attempts;
+    switch (call) {
+      case AdminCall::drain:
+        actions.push_back(action::AskDrain{name, run, fence});
+        break;
+      case AdminCall::undrain:
+        actions.push_back(action::AskUndrain{name, run, fence});
+        break;
+      case AdminCall::fence:
+        actions.push_back(action::AskFence{name, run, fence});
+        break;
+    }
+  });
 }
 
 void Decider::State::start(Microseconds now, const std::string& name) {
   InstanceRow& row = edit(name);
-  row.run = draw_run(now);
+  row.run = new_run_id(now);
   row.live = true;
   row.pid = 0;
   row.retire.clear();
@@ -223,16 +230,16 @@
   }
   action::Spawn spawn{name, row.run, std::nullopt};
   if (row.desired == Desired::running && row.drain_kept) spawn.undrain = row.fence;
-  hooks.push_back([this, spawn, config = row.config](Microseconds at, Actions& actions) {
-    Seen& s = seen[spawn.name];
-    s.new_run(at);
-    s.spawn_out = true;
-    s.next_start = 0;
-    if (!s.step_started) s.step_from = at;
-    s.step_started = true;
+  recorded_hooks.push_back([this, spawn, config = row.config](Microseconds at, Actions& actions) {
+    Observed& observed = observations[spawn.name];
+    observed.new_run(at);
+    observed.spawn_pending = true;
+    observed.next_start = 0;
+    if (!observed.started_in_step) observed.step_timer_start = at;
+    observed.started_in_step = true;
     actions.push_back(action::WriteConfig{spawn.name, config});
     actions.push_back(spawn);
-    note_phase(at, spawn.name);
+    update_phase(at, spawn.name);
   });
 }
 
--- a/fleet/database.cpp
+++ b/fleet/database.cpp
@@ -11,9 +11,9 @@
 namespace {
 
 // Raised by one for each change of the tables; each step of migrate() leads to the next.
-constexpr int kVersion = 1;
+constexpr int kSchemaVersion = 1;
 
-constexpr const char* kTables = R"(
+constexpr const char* kSchema = R"(
 CREATE TABLE state(one INTEGER PRIMARY KEY CHECK(one = 1), generation INTEGER NOT NULL,
   last_operation INTEGER NOT NULL, platform_index INTEGER NOT NULL);
 INSERT INTO state VALUES(1, 0, 0, 0);
@@ -43,7 +43,7 @@
 }
 
 // Lines hold no line breaks: each is made of names and JSON.
-std::string joined(const std::vector<std::string>& lines) {
+std::string join(const std::vector<std::string>& lines) {
   std::string all;
   for (const auto& l : lines) all.append(l).append(1, '\n');
   return all;
@@ -60,54 +60,54 @@
 class Database::Statement {
  public:
   Statement(sqlite3* db, const char* sql) : db_(db) {
-    if (sqlite3_prepare_v2(db, sql, -1, &s_, nullptr) != SQLITE_OK) fail();
+    if (sqlite3_prepare_v2(db, sql, -1, &statement_, nullptr) != SQLITE_OK) fail();
   }
-  ~Statement() { sqlite3_finalize(s_); }
+  ~Statement() { sqlite3_finalize(statement_); }
   Statement(const Statement&) = delete;
   Statement& operator=(const Statement&) = delete;
 
   template <class... T>
   Statement& bind(const T&... values) {
-    at_ = 0;
-    sqlite3_reset(s_);
+    parameter_ = 0;
+    sqlite3_reset(statement_);
     (put(values), ...);
     return *this;
   }
-  bool next() {
-    const int got = sqlite3_step(s_);
-    if (got != SQLITE_ROW && got != SQLITE_DONE) fail();
+  bool step() {
+    const int result = sqlite3_step(statement_);
+    if (result != SQLITE_ROW && result != SQLITE_DONE) fail();
     column_ = 0;
-    return got == SQLITE_ROW;
+    return result == SQLITE_ROW;
   }
-  std::int64_t number() { return sqlite3_column_int64(s_, column_++); }
+  std::int64_t number() { return sqlite3_column_int64(statement_, column_++); }
   std::uint64_t count() { return static_cast<std::uint64_t>(number()); }
   bool flag() { return number() != 0; }
   std::string text() {
-    const auto* bytes = static_cast<const char*>(sqlite3_column_blob(s_, column_));
-    const auto size = static_cast<std::size_t>(sqlite3_column_bytes(s_, column_++));
+    const auto* bytes = static_cast<const char*>(sqlite3_column_blob(statement_, column_));
+    const auto size = static_cast<std::size_t>(sqlite3_column_bytes(statement_, column_++));
     return bytes == nullptr ? std::string() : std::string(bytes, size);
   }
 
  private:
   [[noreturn]] void fail() { throw DatabaseError(std::string("database: ") + sqlite3_errmsg(db_)); }
-  void check(int got) {
-    if (got != SQLITE_OK) fail();
+  void check(int result) {
+    if (result != SQLITE_OK) fail();
   }
   void put(const std::string& v) {
-    check(sqlite3_bind_text64(s_, ++at_, v.data(), v.size(), SQLITE_TRANSIENT, SQLITE_UTF8));
+    check(sqlite3_bind_text64(statement_, ++parameter_, v.data(), v.size(), SQLITE_TRANSIENT, SQLITE_UTF8));
   }
   template <class T>
   void put(const T& v) {
-    check(sqlite3_bind_int64(s_, ++at_, static_cast<sqlite3_int64>(v)));
+    check(sqlite3_bind_int64(statement_, ++parameter_, static_cast<sqlite3_int64>(v)));
   }
   sqlite3* db_;
-  sqlite3_stmt* s_ = nullptr;
-  int at_ = 0, column_ = 0;
+  sqlite3_stmt* statement_ = nullptr;
+  int parameter_ = 0, column_ = 0;
 };
 
 void Database::Close::operator()(sqlite3* db) const { sqlite3_close_v2(db); }
 
-void Database::run(const char* sql) {
+void Database::execute(const char* sql) {
   char* why = nullptr;
   if (sqlite3_exec(db_.get(), sql, nullptr, nullptr, &why) == SQLITE_OK) return;
   const std::string text = why != nullptr ? why : sqlite3_errmsg(db_.get());
@@ -117,9 +117,10 @@
 
 Database::Database(const std::string& file, DatabaseOptions options) : options_(options) {
   sqlite3* opened = nullptr;
-  const int got = sqlite3_open_v2(file.c_str(), &opened, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE, nullptr);
+  const int result =
+      sqlite3_open_v2(file.c_str(), &opened, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE, nullptr);
   db_.reset(opened);
-  if (got != SQLITE_OK)
+  if (result != SQLITE_OK)
     throw DatabaseError("database: " + file + ": " +
                         (opened == nullptr ? "no memory" : sqlite3_errmsg(opened)));
   ::chmod(file.c_str(), 0600);
@@ -127,42 +128,42 @@
   sqlite3_busy_timeout(opened, 2'000);
   // Looked at before anything is written: a newer program's file stays as it is.
   migrate();
-  if (options_.most_pages > 0) limit_pages(options_.most_pages);
+  if (options_.max_pages > 0) limit_pages(options_.max_pages);
 }
 
 Database::~Database() = default;
 
 void Database::limit_pages(int most) {
-  run(("PRAGMA max_page_count=" + std::to_string(most > 0 ? most : 1'073'741'823)).c_str());
+  execute(("PRAGMA max_page_count=" + std::to_string(most > 0 ? most : 1'073'741'823)).c_str());
 }
 
 void Database::migrate() {
-  Statement ask(db_.get(), "PRAGMA user_version");
-  ask.next();
-  const auto version = ask.number();
-  ask.bind();
-  if (version > kVersion)
+  Statement user_version(db_.get(), "PRAGMA user_version");
+  user_version.step();
+  const auto version = user_version.number();
+  user_version.bind();
+  if (version > kSchemaVersion)
     throw DatabaseError("database: its version is " + std::to_string(version) +
-                        ", this program knows up to " + std::to_string(kVersion) +
+                        ", this program knows up to " + std::to_string(kSchemaVersion) +
                         ": run the newer heronvane-agent");
-  run("PRAGMA journal_mode=WAL");
-  run("PRAGMA synchronous=FULL");
-  run("PRAGMA foreign_keys=ON");
-  run("PRAGMA journal_size_limit=4194304");
-  if (version == kVersion) return;
-  run("BEGIN IMMEDIATE");
-  if (version < 1) run(kTables);
-  run(("PRAGMA user_version=" + std::to_string(kVersion)).c_str());
-  run("COMMIT");
+  execute("PRAGMA journal_mode=WAL");
+  execute("PRAGMA synchronous=FULL");
+  execute("PRAGMA foreign_keys=ON");
+  execute("PRAGMA journal_size_limit=4194304");
+  if (version == kSchemaVersion) return;
+  execute("BEGIN IMMEDIATE");
+  if (version < 1) execute(kSchema);
+  execute(("PRAGMA user_version=" + std::to_string(kSchemaVersion)).c_str());
+  execute("COMMIT");
 }
 
 std::string Database::save(Microseconds now, const action::Record& record,
                            const std::map<std::string, ProcessId>& processes) {
   try {
-    run("BEGIN IMMEDIATE");
+    execute("BEGIN IMMEDIATE");
     write(now, record, processes);
     prune();
-    run("COMMIT");
+    execute("COMMIT");
     return {};
   } catch (const std::exception& e) {
     // Some errors have rolled it back already.
@@ -176,29 +177,29 @@
                      const std::map<std::string, ProcessId>& processes) {
   Statement(db_.get(), "UPDATE state SET generation=?, last_operation=?")
       .bind(record.generation, record.last_operation)
-      .next();
+      .step();
   if (record.fleet)
     Statement(db_.get(), "INSERT OR REPLACE INTO fleets VALUES(?,?,?)")
         .bind(record.generation, now, record.fleet->text)
-        .next();
-  for (const auto& o : record.operations) write_operation(now, o);
+        .step();
+  for (const auto& operation : record.operations) write_operation(now, operation);
   for (const auto& row : record.instances) write_instance(now, row, processes);
   for (const auto& name : record.removed) {
-    Statement(db_.get(), "DELETE FROM instances WHERE name=?").bind(name).next();
-    note(now, "instance " + name, "removed");
+    Statement(db_.get(), "DELETE FROM instances WHERE name=?").bind(name).step();
+    add_history(now, "instance " + name, "removed");
   }
 }
 
-void Database::write_operation(Microseconds now, const Operation& o) {
-  const std::string about = "operation " + std::to_string(o.id);
+void Database::write_operation(Microseconds now, const Operation& operation) {
+  const std::string subject = "operation " + std::to_string(operation.id);
   std::map<std::int64_t, std::int64_t> before;  // states of its steps
   std::optional<std::int64_t> state;
   {
-    Statement s(db_.get(), "SELECT state FROM operations WHERE id=?");
-    if (s.bind(o.id).next()) state = s.number();
+    Statement query(db_.get(), "SELECT state FROM operations WHERE id=?");
+    if (query.bind(operation.id).step()) state = query.number();
     Statement steps(db_.get(), "SELECT position, state FROM steps WHERE operation=?");
-    steps.bind(o.id);
-    while (steps.next()) {
+    steps.bind(operation.id);
+    while (steps.step()) {
       const auto position = steps.number();
       before[position] = steps.number();
     }
@@ -208,36 +209,40 @@
             "kind=excluded.kind, by=excluded.by, state=excluded.state, generation=excluded.generation, "
             "max_unavailable=excluded.max_unavailable, created=excluded.created, ended=excluded.ended, "
             "message=excluded.message, superseded_by=excluded.superseded_by, diff=excluded.diff")
-      .bind(o.id, o.kind, o.by, o.state, o.generation, o.max_unavailable, o.created, o.ended, o.message,
-            o.superseded_by, joined(o.diff))
-      .next();
-  if (state != static_cast<std::int64_t>(o.state))
-    note(now, about,
-         std::string(word(o.kind)) + " by " + o.by + ": " + std::string(word(o.state)) +
-             (o.message.empty() ? "" : ": " + o.message));
+      .bind(operation.id, operation.kind, operation.by, operation.state, operation.generation,
+            operation.max_unavailable, operation.created, operation.ended, operation.message,
+            operation.superseded_by, join(operation.diff))
+      .step();
+  if (state != static_cast<std::int64_t>(operation.state))
+    add_history(now, subject,
+                std::string(name_of(operation.kind)) + " by " + operation.by + ": " +
+                    std::string(name_of(operation.state)) +
+                    (operation.message.empty() ? "" : ": " + operation.message));
   Statement drop(db_.get(), "DELETE FROM steps WHERE operation=? AND position>=?");
-  drop.bind(o.id, o.steps.size()).next();
-  Statement put(db_.get(), "INSERT OR REPLACE INTO steps VALUES(?,?,?,?,?,?,?,?)");
-  for (std::size_t i = 0; i < o.steps.size(); i++) {
-    const auto& s = o.steps[i];
-    put.bind(o.id, i, s.instance, s.state, s.what, s.since, s.run_before, s.work).next();
-    const auto was = before.find(static_cast<std::int64_t>(i));
-    if (was != before.end() && was->second != static_cast<std::int64_t>(s.state))
-      note(now, about,
-           s.instance + ": " + std::string(word(s.state)) + (s.what.empty() ? "" : ": " + s.what));
+  drop.bind(operation.id, operation.steps.size()).step();
+  Statement insert(db_.get(), "INSERT OR REPLACE INTO steps VALUES(?,?,?,?,?,?,?,?)");
+  for (std::size_t i = 0; i < operation.steps.size(); i++) {
+    const auto& step = operation.steps[i];
+    insert.bind(operation.id, i, step.instance, step.state, step.what, step.since, step.run_before, step.work)
+        .step();
+    const auto previous = before.find(static_cast<std::int64_t>(i));
+    if (previous != before.end() && previous->second != static_cast<std::int64_t>(step.state))
+      add_history(now, subject,
+                  step.instance + ": " + std::string(name_of(step.state)) +
+                      (step.what.empty() ? "" : ": " + step.what));
   }
 }
 
 void Database::write_instance(Microseconds now, const InstanceRow& row,
                               const std::map<std::string, ProcessId>& processes) {
   {
-    Statement s(db_.get(), "SELECT run, live, last_exit FROM instances WHERE name=?");
-    const bool known = s.bind(row.name).next();
-    const std::string run = known ? s.text() : "";
-    const bool live = known && s.flag();
-    const std::string about = "instance " + row.name;
-    if (row.run != run) note(now, about, "run " + row.run);
-    if (live && !row.live) note(now, about, "ended: " + row.last_exit);
+    Statement query(db_.get(), "SELECT run, live, last_exit FROM instances WHERE name=?");
+    const bool known = query.bind(row.name).step();
+    const std::string run = known ? query.text() : "";
+    const bool live = known && query.flag();
+    const std::string subject = "instance " + row.name;
+    if (row.run != run) add_history(now, subject, "run " + row.run);
+    if (live && !row.live) add_history(now, subject, "ended: " + row.last_exit);
   }
   const auto it = processes.find(row.name);
   const bool same = row.live && it != processes.end() && it->second.pid == row.pid;
@@ -246,11 +251,11 @@
             row.run, row.live, row.pid, same ? it->second.start_time : 0,
             same ? it->second.boot : std::string(), row.retire, row.drain_kept, row.ended_drained,
             row.removing, row.restarts, row.last_exit)
-      .next();
+      .step();
 }
 
-void Database::note(Microseconds now, const std::string& about, const std::string& text) {
-  Statement(db_.get(), "INSERT INTO history(at, about, text) VALUES(?,?,?)").bind(now, about, text).next();
+void Database::add_history(Microseconds now, const std::string& subject, const std::string& text) {
+  Statement(db_.get(), "INSERT INTO history(at, about, text) VALUES(?,?,?)").bind(now, subject, text).step();
 }
 
 void Database::prune() {
@@ -258,10 +263,10 @@
             "DELETE FROM operations WHERE state<>0 AND id<=(SELECT id FROM operations WHERE state<>0 "
             "ORDER BY id DESC LIMIT 1 OFFSET ?)")
       .bind(options_.operations_kept)
-      .next();
+      .step();
   Statement(db_.get(), "DELETE FROM history WHERE number<=(SELECT max(number) FROM history)-?")
       .bind(options_.history_kept)
-      .next();
+      .step();
   // Whatever an instance runs with or shall run with stays: the newest fleet that is not above its
   // generation.
   Statement(db_.get(),
@@ -270,70 +275,70 @@
             "(SELECT max(f.generation) FROM fleets f WHERE f.generation<=CASE WHEN i.config>0 AND "
             "i.config<i.wanted THEN i.config ELSE i.wanted END) AS least FROM instances i))")
       .bind(options_.fleets_kept)
-      .next();
+      .step();
 }
 
 Restored Database::restore(const ReadFleet& read) {
-  Restored r;
+  Restored restored;
   {
-    Statement s(db_.get(), "SELECT generation, last_operation FROM state");
-    if (!s.next()) throw DatabaseError("database: it has no state");
-    r.generation = s.count();
-    r.last_operation = s.count();
+    Statement query(db_.get(), "SELECT generation, last_operation FROM state");
+    if (!query.step()) throw DatabaseError("database: it has no state");
+    restored.generation = query.count();
+    restored.last_operation = query.count();
   }
   {
-    Statement s(db_.get(), "SELECT text FROM fleets ORDER BY generation DESC LIMIT 1");
-    if (s.next()) r.fleet = read(s.text());
+    Statement query(db_.get(), "SELECT text FROM fleets ORDER BY generation DESC LIMIT 1");
+    if (query.step()) restored.fleet = read(query.text());
   }
   {
-    Statement s(
+    Statement query(
         db_.get(),
         "SELECT name, listen, desired, changed, wanted, config, digest, fence, run, live, pid, retire, "
         "drain_kept, ended_drained, removing, restarts, last_exit FROM instances ORDER BY name");
-    while (s.next()) {
+    while (query.step()) {
       InstanceRow row;
-      row.name = s.text();
-      row.listen = s.text();
-      row.desired = read_enum(s.number(), Desired::stopped, "desired");
-      row.changed = s.count();
-      row.wanted = s.count();
-      row.config = s.count();
-      row.digest = s.text();
-      row.fence = s.count();
-      row.run = s.text();
-      row.live = s.flag();
-      row.pid = static_cast<int>(s.number());
-      row.retire = s.text();
-      row.drain_kept = s.flag();
-      row.ended_drained = s.flag();
-      row.removing = s.flag();
-      row.restarts = s.count();
-      row.last_exit = s.text();
-      r.instances.push_back(std::move(row));
+      row.name = query.text();
+      row.listen = query.text();
+      row.desired = read_enum(query.number(), Desired::stopped, "desired");
+      row.changed = query.count();
+      row.wanted = query.count();
+      row.config = query.count();
+      row.digest = query.text();
+      row.fence = query.count();
+      row.run = query.text();
+      row.live = query.flag();
+      row.pid = static_cast<int>(query.number());
+      row.retire = query.text();
+      row.drain_kept = query.flag();
+      row.ended_drained = query.flag();
+      row.removing = query.flag();
+      row.restarts = query.count();
+      row.last_exit = query.text();
+      restored.instances.push_back(std::move(row));
     }
   }
-  Statement s(db_.get(),
-              "SELECT id, kind, by, state, generation, max_unavailable, created, ended, message, "
-              "superseded_by, diff FROM operations ORDER BY id");
+  Statement query(db_.get(),
+                  "SELECT id, kind, by, state, generation, max_unavailable, created, ended, message, "
+                  "superseded_by, diff FROM operations ORDER BY id");
   Statement steps(
       db_.get(),
       "SELECT instance, state, what, since, run_before, work FROM steps WHERE operation=? ORDER BY "
       "position");
-  while (s.next()) {
-    Operation o;
-    o.id = s.count();
-    o.kind = read_enum(s.number(), Kind::rollback, "kind");
-    o.by = s.text();
-    o.state = read_enum(s.number(), OperationState::superseded, "state");
-    o.generation = s.count();
-    o.max_unavailable = static_cast<int>(s.number());
-    o.created = s.number();
-    o.ended = s.number();
-    o.message = s.text();
-    o.superseded_by = s.count();
-    o.diff = split(s.text());
-    steps.bind(o.id);
-    while (steps.next()) {
+  while (query.step()) {
+    Operation operation;
+    operation.id = query.count();
+    operation.kind = read_enum(query.number(), Kind::rollback, "kind");
+    operation.by = query.text();
+    operation.state = read_enum(query.number(), OperationState::superseded, "state");
+    operation.generation = query.count();
+    operation.max_unavailable = static_cast<int>(query.number());
+    operation.created = query.number();
+    operation.ended = query.number();
+    operation.message = query.text();
+    operation.superseded_by = query.count();
+    operation.diff = split(query.text());
+    steps.bind(operation.id);
+    while (steps.step()) {
       Step step;
       step.instance = steps.text();
       step.state = read_enum(steps.number(), StepState::skipped, "state of a step");
@@ -341,41 +346,42 @@
       step.since = steps.number();
       step.run_before = steps.text();
       step.work = read_enum(steps.number(), Step::Work::rewrite, "work");
-      o.steps.push_back(std::move(step));
+      operation.steps.push_back(std::move(step));
     }
-    r.operations.push_back(std::move(o));
+    restored.operations.push_back(std::move(operation));
   }
-  return r;
+  return restored;
 }
 
 std::map<std::string, ProcessId> Database::processes() {
   std::map<std::string, ProcessId> all;
-  Statement s(db_.get(), "SELECT name, pid, start_time, boot FROM instances WHERE live<>0 AND start_time<>0");
-  while (s.next()) {
-    const std::string name = s.text();
+  Statement query(db_.get(),
+                  "SELECT name, pid, start_time, boot FROM instances WHERE live<>0 AND start_time<>0");
+  while (query.step()) {
+    const std::string name = query.text();
     ProcessId id;
-    id.pid = static_cast<pid_t>(s.number());
-    id.start_time = s.count();
-    id.boot = s.text();
+    id.pid = static_cast<pid_t>(query.number());
+    id.start_time = query.count();
+    id.boot = query.text();
     all.emplace(name, std::move(id));
   }
   return all;
 }
 
 std::optional<std::string> Database::fleet_at(Generation generation) {
-  Statement s(db_.get(), "SELECT text FROM fleets WHERE generation<=? ORDER BY generation DESC LIMIT 1");
-  if (!s.bind(generation).next()) return {};
-  return s.text();
+  Statement query(db_.get(), "SELECT text FROM fleets WHERE generation<=? ORDER BY generation DESC LIMIT 1");
+  if (!query.bind(generation).step()) return {};
+  return query.text();
 }
 
 std::int64_t Database::platform_index() {
-  Statement s(db_.get(), "SELECT platform_index FROM state");
-  return s.next() ? s.number() : 0;
+  Statement query(db_.get(), "SELECT platform_index FROM state");
+  return query.step() ? query.number() : 0;
 }
 
-bool Database::keep_platform_index(std::int64_t index) {
+bool Database::save_platform_index(std::int64_t index) {
   try {
-    Statement(db_.get(), "UPDATE state SET platform_index=?").bind(index).next();
+    Statement(db_.get(), "UPDATE state SET platform_index=?").bind(index).step();
     return true;
   } catch (const DatabaseError&) {
     return false;
@@ -384,13 +390,13 @@
 
 std::vector<HistoryLine> Database::history(int limit) {
   std::vector<HistoryLine> all;
-  Statement s(db_.get(), "SELECT at, about, text FROM history ORDER BY number DESC LIMIT ?");
-  s.bind(limit);
-  while (s.next()) {
+  Statement query(db_.get(), "SELECT at, about, text FROM history ORDER BY number DESC LIMIT ?");
+  query.bind(limit);
+  while (query.step()) {
     HistoryLine line;
-    line.at = s.number();
-    line.about = s.text();
-    line.text = s.text();
+    line.at = query.number();
+    line.subject = query.text();
+    line.text = query.text();
     all.push_back(std::move(line));
   }
   return all;
--- a/fleet/database.hpp
+++ b/fleet/database.hpp
@@ -26,7 +26,7 @@
 };
 
 struct DatabaseOptions {
-  int most_pages = 0;           // of the file, each 4,096 bytes; 0: no bound
+  int max_pages = 0;            // of the file, each 4,096 bytes; 0: no bound
   int operations_kept = 1'000;  // that ended
   int fleets_kept = 100;        // versions of the fleet that no instance needs
   int history_kept = 20'000;    // lines
@@ -34,7 +34,7 @@
 
 struct HistoryLine {
   Microseconds at = 0;
-  std::string about;  // "operation 7", "instance n0"
+  std::string subject;  // "operation 7", "instance n0"
   std::string text;
 };
 
@@ -62,7 +62,7 @@
   std::optional<std::string> fleet_at(Generation generation);
   // The highest index that the platform told; 0: none yet.
   std::int64_t platform_index();
-  bool keep_platform_index(std::int64_t index);  // false: it does not last
+  bool save_platform_index(std::int64_t index);  // false: it does not last
   // Newest first.
   std::vector<HistoryLine> history(int limit);
 
@@ -74,14 +74,14 @@
     void operator()(sqlite3* db) const;
   };
 
-  void run(const char* sql);
+  void execute(const char* sql);
   void migrate();
   void write(Microseconds now, const action::Record& record,
              const std::map<std::string, ProcessId>& processes);
-  void write_operation(Microseconds now, const Operation& o);
+  void write_operation(Microseconds now, const Operation& operation);
   void write_instance(Microseconds now, const InstanceRow& row,
                       const std::map<std::string, ProcessId>& processes);
-  void note(Microseconds now, const std::string& about, const std::string& text);
+  void add_history(Microseconds now, const std::string& subject, const std::string& text);
   void prune();
 
   DatabaseOptions options_;
--- a/fleet/decider.cpp
+++ b/fleet/decider.cpp
@@ -7,13 +7,13 @@
 
 namespace heronvane::fleet {
 
-void Seen::new_run(Microseconds now) {
+void Observed::new_run(Microseconds now) {
   pid = 0;
   started = answered_at = now;
   status.reset();
-  fresh = missed = watchdog = folder_gone = fence_answered = false;
-  ready_since = term_at = kill_at = ask_from = ask_next = 0;
-  asks = 0;
+  status_in_step = status_missed = ended_by_agent = state_folder_missing = fence_answered = false;
+  ready_since = term_sent_at = kill_sent_at = first_admin_call_at = next_admin_call_at = 0;
+  admin_attempts = 0;
   end.reset();
 }
 
@@ -22,8 +22,8 @@
   working.last_operation = restored.last_operation;
   working.fleet = std::move(restored.fleet);
   for (InstanceRow& row : restored.instances) {
-    Seen& s = seen[row.name];
-    s.pending = row.live;
+    Observed& observed = observations[row.name];
+    observed.awaiting_adoption = row.live;
     working.last_operation = std::max(working.last_operation, row.fence);
     const std::string name = row.name;
     working.instances.insert_or_assign(name, std::move(row));
@@ -33,24 +33,24 @@
     working.last_operation = std::max(working.last_operation, id);
     working.operations.insert_or_assign(id, std::move(operation));
   }
-  kept = working;
-  for (const auto& [id, operation] : kept.operations) {
+  recorded = working;
+  for (const auto& [id, operation] : recorded.operations) {
     if (operation.state != OperationState::running) continue;
-    note_open_steps(operation);
+    update_open_steps(operation);
     for (const Step& step : operation.steps) {
       // Of a removed one the row goes before its step is done.
-      if (fleet::ended(step.state) || kept.instances.contains(step.instance) ||
+      if (fleet::ended(step.state) || recorded.instances.contains(step.instance) ||
           step.work == Step::Work::remove)
         continue;
-      mended.push_back("operation " + std::to_string(id) + " has a step of " + step.instance +
-                       ", which is not there");
+      repairs.push_back("operation " + std::to_string(id) + " has a step of " + step.instance +
+                        ", which is not there");
     }
   }
-  forget();
+  prune_operations();
 }
 
 // SplitMix64.
-std::uint64_t Decider::State::draw() {
+std::uint64_t Decider::State::next_random() {
   std::uint64_t z = (random += 0x9e3779b97f4a7c15ULL);
   z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ULL;
   z = (z ^ (z >> 27)) * 0x94d049bb133111ebULL;
@@ -58,9 +58,9 @@
 }
 
 // The time goes in: a seed that was used before draws no run again.
-std::string Decider::State::draw_run(Microseconds now) {
+std::string Decider::State::new_run_id(Microseconds now) {
   random ^= static_cast<std::uint64_t>(now);
-  std::uint64_t value = draw();
+  std::uint64_t value = next_random();
   std::string run(16, '0');
   for (char& digit : run) {
     digit = "0123456789abcdef"[value & 15];
@@ -80,89 +80,94 @@
 }
 
 void Decider::State::log(std::string text) {
-  hooks.push_back(
+  recorded_hooks.push_back(
       [text = std::move(text)](Microseconds, Actions& actions) { actions.push_back(action::Log{text}); });
 }
 
 void Decider::State::handle(Microseconds now, const Event& event, Actions& actions) {
-  wake(now, actions);
-  for (std::string& text : mended) actions.push_back(action::Log{std::move(text)});
-  mended.clear();
+  detect_suspend(now, actions);
+  for (std::string& text : repairs) actions.push_back(action::Log{std::move(text)});
+  repairs.clear();
   std::visit([&](const auto& e) { on(now, e, actions); }, event);
   set_timer(now, actions);
 }
 
 // A timer that comes late tells that the machine slept, or this agent: instances had no chance to answer.
-void Decider::State::wake(Microseconds now, Actions& actions) {
-  if (timer_at == 0 || now <= timer_at + tuning.late) return;
-  const Microseconds slept = now - timer_at;
-  for (auto& [name, s] : seen) {
-    for (Microseconds* at : {&s.started, &s.answered_at, &s.term_at, &s.kill_at, &s.ask_from, &s.step_from}) {
-      if (*at != 0) *at += slept;
+void Decider::State::detect_suspend(Microseconds now, Actions& actions) {
+  if (timer_at == 0 || now <= timer_at + tuning.suspend_threshold) return;
+  const Microseconds suspended_for = now - timer_at;
+  for (auto& [name, observed] : observations) {
+    for (Microseconds* at :
+         {&observed.started, &observed.answered_at, &observed.term_sent_at, &observed.kill_sent_at,
+          &observed.first_admin_call_at, &observed.step_timer_start}) {
+      if (*at != 0) *at += suspended_for;
     }
   }
   timer_at = now;
-  actions.push_back(action::Log{"awake after " + std::to_string(slept / 1'000'000) + " s"});
+  actions.push_back(action::Log{"awake after " + std::to_string(suspended_for / 1'000'000) + " s"});
 }
 
-void Decider::State::drive_instance(Microseconds now, const std::string& name, Actions& actions) {
-  woken.insert(name);
-  drive(now, actions);
+void Decider::State::run_round_for(Microseconds now, const std::string& name, Actions& actions) {
+  due_instances.insert(name);
+  run_round(now, actions);
 }
 
-void Decider::State::drive_all(Microseconds now, Actions& actions) {
-  woken_all = true;
-  drive(now, actions);
+void Decider::State::run_full_round(Microseconds now, Actions& actions) {
+  all_due = true;
+  run_round(now, actions);
 }
 
 // One round of decisions, where no record is out. What it decides is one transaction.
-void Decider::State::drive(Microseconds now, Actions& actions) {
-  if (out) return;
+void Decider::State::run_round(Microseconds now, Actions& actions) {
+  if (record_pending) return;
   bool recording = false;
   while (!queue.empty() && !recording) {
     const Queued next = std::move(queue.front());
     queue.pop_front();
-    recording = std::visit([&](const auto& request) { return take(now, request, actions); }, next);
+    recording = std::visit([&](const auto& request) { return decide(now, request, actions); }, next);
   }
-  if (recording || now >= record_from) {
-    begun.clear();
-    const bool all = std::exchange(woken_all, false);
-    const std::set<std::string> names = std::exchange(woken, {});
-    std::set<OperationId> operations = std::exchange(woken_operations, {});
+  if (recording || now >= retry_record_at) {
+    begun_instances.clear();
+    const bool all = std::exchange(all_due, false);
+    const std::set<std::string> names = std::exchange(due_instances, {});
+    std::set<OperationId> operations = std::exchange(due_operations, {});
     for (const std::string& name : names) {
       if (auto at = open_steps.find(name); at != open_steps.end()) operations.insert(at->second.first);
     }
     if (all) {
       for (const auto& [name, at] : open_steps) operations.insert(at.first);
       // One without open steps has but to end.
-      for (const auto& [id, operation] : kept.operations) {
+      for (const auto& [id, operation] : recorded.operations) {
         if (operation.state == OperationState::running) operations.insert(id);
       }
     }
-    auto each = [&](auto&& what) {
+    auto for_each_instance = [&](auto&& visit) {
       if (!all) {
         for (const std::string& name : names) {
-          if (working.instances.contains(name)) what(name);
+          if (working.instances.contains(name)) visit(name);
         }
         return;
       }
       for (auto at = working.instances.begin(); at != working.instances.end();) {
         const std::string& name = at->first;
         ++at;
-        what(name);
+        visit(name);
       }
     };
-    each([&](const std::string& name) { absorb(now, name); });
+    for_each_instance([&](const std::string& name) { apply_observations(now, name); });
     for (OperationId id : operations) {
-      auto recorded = kept.operations.find(id);
-      if (recorded == kept.operations.end() || recorded->second.state != OperationState::running) continue;
+      auto recorded_operation = recorded.operations.find(id);
+      if (recorded_operation == recorded.operations.end() ||
+          recorded_operation->second.state != OperationState::running)
+        continue;
       if (working.operations.at(id).state == OperationState::running) drive_operation(now, id);
     }
-    each([&](const std::string& name) { converge(now, name); });
+    for_each_instance([&](const std::string& name) { converge(now, name); });
   }
-  if (!dirty_rows.empty() || !dirty_operations.empty() || dirty_fleet || dirty_counts) return record(actions);
-  const std::vector<Hook> due = std::exchange(hooks, {});
-  for (const Hook& hook : due) hook(now, actions);
+  if (!dirty_rows.empty() || !dirty_operations.empty() || dirty_fleet || dirty_counters)
+    return record(actions);
+  const std::vector<Hook> ready_hooks = std::exchange(recorded_hooks, {});
+  for (const Hook& hook : ready_hooks) hook(now, actions);
 }
 
 void Decider::State::record(Actions& actions) {
@@ -180,11 +185,11 @@
   }
   for (OperationId id : dirty_operations) record.operations.push_back(working.operations.at(id));
   if (dirty_fleet) record.fleet = working.fleet;
-  out = true;
+  record_pending = true;
   actions.push_back(std::move(record));
 }
 
-void Decider::State::note_open_steps(const Operation& operation) {
+void Decider::State::update_open_steps(const Operation& operation) {
   for (std::size_t i = 0; i < operation.steps.size(); ++i) {
     const Step& step = operation.steps[i];
     if (operation.state == OperationState::running && !fleet::ended(step.state)) {
@@ -197,57 +202,57 @@
 }
 
 void Decider::State::commit(Microseconds now, Actions& actions) {
-  out = false;
-  record_from = 0;
-  kept.generation = working.generation;
-  kept.last_operation = working.last_operation;
-  if (dirty_fleet) kept.fleet = working.fleet;
+  record_pending = false;
+  retry_record_at = 0;
+  recorded.generation = working.generation;
+  recorded.last_operation = working.last_operation;
+  if (dirty_fleet) recorded.fleet = working.fleet;
   for (const std::string& name : dirty_rows) {
     auto at = working.instances.find(name);
     if (at == working.instances.end()) {
-      kept.instances.erase(name);
-      seen.erase(name);
+      recorded.instances.erase(name);
+      observations.erase(name);
     } else {
-      kept.instances.insert_or_assign(name, at->second);
-      seen[name];
+      recorded.instances.insert_or_assign(name, at->second);
+      observations[name];
     }
   }
   // The superseded first: what superseded them has the higher id.
   for (OperationId id : dirty_operations) {
     const Operation& operation = working.operations.at(id);
-    note_open_steps(operation);
-    kept.operations.insert_or_assign(id, operation);
+    update_open_steps(operation);
+    recorded.operations.insert_or_assign(id, operation);
   }
-  woken.merge(dirty_rows);
-  woken_operations.insert(dirty_operations.begin(), dirty_operations.end());
+  due_instances.merge(dirty_rows);
+  due_operations.insert(dirty_operations.begin(), dirty_operations.end());
   const std::set<OperationId> changed = std::move(dirty_operations);
   dirty_operations.clear();
   dirty_rows.clear();
-  dirty_fleet = dirty_counts = false;
-  asker.reset();
-  const std::vector<Hook> due = std::move(hooks);
-  hooks.clear();
-  for (const Hook& hook : due) hook(now, actions);
+  dirty_fleet = dirty_counters = false;
+  pending_request.reset();
+  const std::vector<Hook> ready_hooks = std::move(recorded_hooks);
+  recorded_hooks.clear();
+  for (const Hook& hook : ready_hooks) hook(now, actions);
   for (OperationId id : changed) actions.push_back(action::OperationChanged{id});
-  forget();
+  prune_operations();
 }
 
 void Decider::State::revert(Microseconds now, const std::string& why, Actions& actions) {
-  out = false;
-  working.generation = kept.generation;
-  working.last_operation = kept.last_operation;
-  if (dirty_fleet) working.fleet = kept.fleet;
+  record_pending = false;
+  working.generation = recorded.generation;
+  working.last_operation = recorded.last_operation;
+  if (dirty_fleet) working.fleet = recorded.fleet;
   for (const std::string& name : dirty_rows) {
-    auto at = kept.instances.find(name);
-    if (at == kept.instances.end()) {
+    auto at = recorded.instances.find(name);
+    if (at == recorded.instances.end()) {
       working.instances.erase(name);
     } else {
       working.instances.insert_or_assign(name, at->second);
     }
   }
   for (OperationId id : dirty_operations) {
-    auto at = kept.operations.find(id);
-    if (at == kept.operations.end()) {
+    auto at = recorded.operations.find(id);
+    if (at == recorded.operations.end()) {
       working.operations.erase(id);
     } else {
       working.operations.insert_or_assign(id, at->second);
@@ -255,47 +260,50 @@
   }
   dirty_operations.clear();
   dirty_rows.clear();
-  dirty_fleet = dirty_counts = false;
-  hooks.clear();
-  if (asker) actions.push_back(action::Tell{*asker, verdict::Storage{why}});
-  asker.reset();
-  if (record_from == 0) actions.push_back(action::Log{"nothing is done before it can be recorded: " + why});
-  record_from = now + tuning.record_again;
-  woken_all = true;
+  dirty_fleet = dirty_counters = false;
+  recorded_hooks.clear();
+  if (pending_request) actions.push_back(action::Reply{*pending_request, verdict::Storage{why}});
+  pending_request.reset();
+  if (retry_record_at == 0)
+    actions.push_back(action::Log{"nothing is done before it can be recorded: " + why});
+  retry_record_at = now + tuning.record_retry_delay;
+  all_due = true;
 }
 
 // Ended operations beyond the last ones; the database has them.
-void Decider::State::forget() {
-  std::size_t over = 0;
-  for (const auto& [id, operation] : kept.operations) over += operation.state != OperationState::running;
-  for (auto at = kept.operations.begin(); over > tuning.operations_kept && at != kept.operations.end();) {
+void Decider::State::prune_operations() {
+  std::size_t ended_count = 0;
+  for (const auto& [id, operation] : recorded.operations)
+    ended_count += operation.state != OperationState::running;
+  for (auto at = recorded.operations.begin();
+       ended_count > tuning.operations_kept && at != recorded.operations.end();) {
     if (at->second.state == OperationState::running) {
       ++at;
       continue;
     }
     working.operations.erase(at->first);
-    at = kept.operations.erase(at);
-    --over;
+    at = recorded.operations.erase(at);
+    --ended_count;
   }
 }
 
-void Decider::State::note_phase(Microseconds now, const std::string& name) {
-  auto at = kept.instances.find(name);
-  if (at == kept.instances.end()) return;
-  Seen& s = seen[name];
-  const Phase is = phase(now, at->second, s);
-  if (is == s.phase && s.phase_since != 0) return;
-  s.phase = is;
-  s.phase_since = now;
+void Decider::State::update_phase(Microseconds now, const std::string& name) {
+  auto at = recorded.instances.find(name);
+  if (at == recorded.instances.end()) return;
+  Observed& observed = observations[name];
+  const Phase current = phase(now, at->second, observed);
+  if (current == observed.phase && observed.phase_since != 0) return;
+  observed.phase = current;
+  observed.phase_since = now;
 }
 
 void Decider::State::set_timer(Microseconds now, Actions& actions) {
-  const bool busy = out || !queue.empty() || record_from != 0 || !kept.instances.empty();
-  if (!busy || (timer_at > now && timer_at <= now + tuning.tick)) return;
-  Microseconds at = now + tuning.tick;
-  for (const auto& [name, s] : seen) {
-    note_phase(now, name);
-    if (s.next_start > now) at = std::min(at, s.next_start);
+  const bool busy = record_pending || !queue.empty() || retry_record_at != 0 || !recorded.instances.empty();
+  if (!busy || (timer_at > now && timer_at <= now + tuning.timer_interval)) return;
+  Microseconds at = now + tuning.timer_interval;
+  for (const auto& [name, observed] : observations) {
+    update_phase(now, name);
+    if (observed.next_start > now) at = std::min(at, observed.next_start);
   }
   timer_at = at;
   actions.push_back(action::SetTimer{at});
@@ -303,65 +311,66 @@
 
 // ---- what is seen ----
 
-Seen* Decider::State::process(const std::string& name, const std::string& run) {
-  auto at = kept.instances.find(name);
-  if (at == kept.instances.end() || !at->second.live || at->second.run != run) return nullptr;
-  Seen& s = seen[name];
-  return s.end ? nullptr : &s;
+Observed* Decider::State::find_process(const std::string& name, const std::string& run) {
+  auto at = recorded.instances.find(name);
+  if (at == recorded.instances.end() || !at->second.live || at->second.run != run) return nullptr;
+  Observed& observed = observations[name];
+  return observed.end ? nullptr : &observed;
 }
 
-void Decider::State::ended(Microseconds now, const std::string& name, Seen::End end, Actions& actions) {
-  Seen& s = seen[name];
-  s.pending = s.spawn_out = false;
-  s.end = std::move(end);
-  note_phase(now, name);
-  drive_instance(now, name, actions);
+void Decider::State::ended(Microseconds now, const std::string& name, Observed::End end, Actions& actions) {
+  Observed& observed = observations[name];
+  observed.awaiting_adoption = observed.spawn_pending = false;
+  observed.end = std::move(end);
+  update_phase(now, name);
+  run_round_for(now, name, actions);
 }
 
 void Decider::State::on(Microseconds now, const event::Command& e, Actions& actions) {
-  if (queue.size() >= tuning.commands_waiting) {
-    actions.push_back(action::Tell{e.request, verdict::Busy{}});
+  if (queue.size() >= tuning.max_pending_commands) {
+    actions.push_back(action::Reply{e.request, verdict::Busy{}});
     return;
   }
   queue.emplace_back(e);
-  drive(now, actions);
+  run_round(now, actions);
 }
 
 void Decider::State::on(Microseconds now, const event::Cancel& e, Actions& actions) {
-  if (queue.size() >= tuning.commands_waiting) {
-    actions.push_back(action::Tell{e.request, verdict::Busy{}});
+  if (queue.size() >= tuning.max_pending_commands) {
+    actions.push_back(action::Reply{e.request, verdict::Busy{}});
     return;
   }
   queue.emplace_back(e);
-  drive(now, actions);
+  run_round(now, actions);
 }
 
 void Decider::State::on(Microseconds now, const event::Recorded& e, Actions& actions) {
-  if (!out || e.record != last_record) return;
+  if (!record_pending || e.record != last_record) return;
   commit(now, actions);
-  drive(now, actions);
+  run_round(now, actions);
 }
 
 void Decider::State::on(Microseconds now, const event::RecordFailed& e, Actions& actions) {
-  if (!out || e.record != last_record) return;
+  if (!record_pending || e.record != last_record) return;
   revert(now, e.why, actions);
-  if (!queue.empty()) drive(now, actions);  // each is tried, and told
+  if (!queue.empty()) run_round(now, actions);  // each is tried, and told
 }
 
 void Decider::State::on(Microseconds now, const event::Spawned& e, Actions& actions) {
-  Seen* s = process(e.name, e.run);
-  if (!s) return;
-  s->spawn_out = false;
-  s->pid = e.pid;
-  drive_instance(now, e.name, actions);
+  Observed* observed = find_process(e.name, e.run);
+  if (!observed) return;
+  observed->spawn_pending = false;
+  observed->pid = e.pid;
+  run_round_for(now, e.name, actions);
 }
 
 void Decider::State::on(Microseconds now, const event::SpawnFailed& e, Actions& actions) {
-  if (process(e.name, e.run)) ended(now, e.name, {false, "not started: " + e.why, std::nullopt}, actions);
+  if (find_process(e.name, e.run))
+    ended(now, e.name, {false, "not started: " + e.why, std::nullopt}, actions);
 }
 
 void Decider::State::on(Microseconds now, const event::Exited& e, Actions& actions) {
-  if (!process(e.name, e.run)) return;
+  if (!find_process(e.name, e.run)) return;
   std::string text =
       e.signal != 0 ? "signal " + std::to_string(e.signal) : "status " + std::to_string(e.status);
   const bool drained = e.drained && e.signal == 0 && e.status == 0;
@@ -370,65 +379,69 @@
 }
 
 void Decider::State::on(Microseconds now, const event::NotFound& e, Actions& actions) {
-  if (process(e.name, e.run)) ended(now, e.name, {true, e.drained ? "drained" : "gone", e.drained}, actions);
+  if (find_process(e.name, e.run))
+    ended(now, e.name, {true, e.drained ? "drained" : "gone", e.drained}, actions);
 }
 
 void Decider::State::on(Microseconds now, const event::Adopted& e, Actions& actions) {
-  Seen* s = process(e.name, e.run);
-  if (!s || !s->pending) return;
-  s->new_run(now);
-  s->pending = false;
-  s->pid = e.pid;
-  drive_instance(now, e.name, actions);
+  Observed* observed = find_process(e.name, e.run);
+  if (!observed || !observed->awaiting_adoption) return;
+  observed->new_run(now);
+  observed->awaiting_adoption = false;
+  observed->pid = e.pid;
+  run_round_for(now, e.name, actions);
 }
 
 void Decider::State::on(Microseconds now, const event::StatusSeen& e, Actions& actions) {
-  Seen* s = process(e.name, e.run);
-  if (!s || s->pending) return;
-  s->status = e;
-  s->fresh = true;
-  s->missed = false;
-  s->answered_at = now;
+  Observed* observed = find_process(e.name, e.run);
+  if (!observed || observed->awaiting_adoption) return;
+  observed->status = e;
+  observed->status_in_step = true;
+  observed->status_missed = false;
+  observed->answered_at = now;
   if (!e.ready) {
-    s->ready_since = 0;
-  } else if (s->ready_since == 0) {
-    s->ready_since = now;
+    observed->ready_since = 0;
+  } else if (observed->ready_since == 0) {
+    observed->ready_since = now;
   }
-  if (e.fence > kept.instances.find(e.name)->second.fence) s->fenced = std::max(s->fenced, e.fence);
-  note_phase(now, e.name);
-  drive_instance(now, e.name, actions);
+  if (e.fence > recorded.instances.find(e.name)->second.fence)
+    observed->foreign_fence = std::max(observed->foreign_fence, e.fence);
+  update_phase(now, e.name);
+  run_round_for(now, e.name, actions);
 }
 
 void Decider::State::on(Microseconds now, const event::StatusMissed& e, Actions& actions) {
-  Seen* s = process(e.name, e.run);
-  if (!s || s->pending) return;
-  s->missed = true;
-  note_phase(now, e.name);
-  drive_instance(now, e.name, actions);
+  Observed* observed = find_process(e.name, e.run);
+  if (!observed || observed->awaiting_adoption) return;
+  observed->status_missed = true;
+  update_phase(now, e.name);
+  run_round_for(now, e.name, actions);
 }
 
 void Decider::State::on(Microseconds now, const event::Answered& e, Actions& actions) {
-  Seen* s = process(e.name, e.run);
-  if (!s || s->pending) return;
-  if (e.call == Call::fence && e.result != event::Answered::Result::fenced) s->fence_answered = true;
-  if (e.result == event::Answered::Result::failed) s->ask_why = e.why;
+  Observed* observed = find_process(e.name, e.run);
+  if (!observed || observed->awaiting_adoption) return;
+  if (e.call == AdminCall::fence && e.result != event::Answered::Result::fenced)
+    observed->fence_answered = true;
+  if (e.result == event::Answered::Result::failed) observed->admin_error = e.why;
   // A late answer to the call of an earlier operation says nothing about this one.
-  if (e.result == event::Answered::Result::fenced && e.highest > kept.instances.find(e.name)->second.fence) {
-    s->fenced = std::max(s->fenced, e.highest);
+  if (e.result == event::Answered::Result::fenced &&
+      e.highest > recorded.instances.find(e.name)->second.fence) {
+    observed->foreign_fence = std::max(observed->foreign_fence, e.highest);
   }
-  drive_instance(now, e.name, actions);
+  run_round_for(now, e.name, actions);
 }
 
-void Decider::State::on(Microseconds now, const event::FolderGone& e, Actions& actions) {
-  auto at = kept.instances.find(e.name);
-  if (at == kept.instances.end() || !at->second.live) return;
-  seen[e.name].folder_gone = true;
-  drive_instance(now, e.name, actions);
+void Decider::State::on(Microseconds now, const event::StateFolderMissing& e, Actions& actions) {
+  auto at = recorded.instances.find(e.name);
+  if (at == recorded.instances.end() || !at->second.live) return;
+  observations[e.name].state_folder_missing = true;
+  run_round_for(now, e.name, actions);
 }
 
 void Decider::State::on(Microseconds now, const event::TimerExpired&, Actions& actions) {
   if (now >= timer_at) timer_at = 0;
-  drive_all(now, actions);
+  run_full_round(now, actions);
 }
 
 // ---- the outside ----
@@ -443,54 +456,54 @@
   state_->handle(now, event, actions);
 }
 
-Generation Decider::generation() const { return state_->kept.generation; }
-const FleetSpec& Decider::fleet() const { return state_->kept.fleet; }
+Generation Decider::generation() const { return state_->recorded.generation; }
+const FleetSpec& Decider::fleet() const { return state_->recorded.fleet; }
 
 InstanceView Decider::State::view(const InstanceRow& row) const {
   InstanceView view;
   view.row = &row;
-  const Seen& s = seen.find(row.name)->second;
-  view.phase = s.phase;
-  view.since = s.phase_since;
-  if (view.phase == Phase::backoff || view.phase == Phase::looping) view.next_start = s.next_start;
-  if (s.status && row.live && !s.end) {
-    view.ready = s.phase == Phase::ready;
-    view.held = s.status->held;
-    view.oldest_ms = s.status->oldest_ms;
-    view.generation = s.status->generation;
+  const Observed& observed = observations.find(row.name)->second;
+  view.phase = observed.phase;
+  view.since = observed.phase_since;
+  if (view.phase == Phase::backoff || view.phase == Phase::looping) view.next_start = observed.next_start;
+  if (observed.status && row.live && !observed.end) {
+    view.ready = observed.phase == Phase::ready;
+    view.held = observed.status->held;
+    view.oldest_ms = observed.status->oldest_ms;
+    view.generation = observed.status->generation;
   }
   if (auto at = open_steps.find(row.name); at != open_steps.end()) view.operation = at->second.first;
   return view;
 }
 
 std::optional<InstanceView> Decider::instance(std::string_view name) const {
-  auto at = state_->kept.instances.find(name);
-  if (at == state_->kept.instances.end()) return std::nullopt;
+  auto at = state_->recorded.instances.find(name);
+  if (at == state_->recorded.instances.end()) return std::nullopt;
   return state_->view(at->second);
 }
 
 std::vector<InstanceView> Decider::instances() const {
   std::vector<InstanceView> views;
-  for (const auto& [name, row] : state_->kept.instances) views.push_back(state_->view(row));
+  for (const auto& [name, row] : state_->recorded.instances) views.push_back(state_->view(row));
   return views;
 }
 
 std::vector<const Operation*> Decider::operations(std::size_t limit) const {
   std::vector<const Operation*> newest;
-  for (auto at = state_->kept.operations.rbegin();
-       at != state_->kept.operations.rend() && newest.size() < limit; ++at) {
+  for (auto at = state_->recorded.operations.rbegin();
+       at != state_->recorded.operations.rend() && newest.size() < limit; ++at) {
     newest.push_back(&at->second);
   }
   return newest;
 }
 
 const Operation* Decider::operation(OperationId id) const {
-  auto at = state_->kept.operations.find(id);
-  return at == state_->kept.operations.end() ? nullptr : &at->second;
+  auto at = state_->recorded.operations.find(id);
+  return at == state_->recorded.operations.end() ? nullptr : &at->second;
 }
 
 OperationId Decider::running_operation() const {
-  for (auto at = state_->kept.operations.rbegin(); at != state_->kept.operations.rend(); ++at) {
+  for (auto at = state_->recorded.operations.rbegin(); at != state_->recorded.operations.rend(); ++at) {
     if (at->second.state == OperationState::running) return at->first;
   }
   return 0;
--- a/fleet/decider.hpp
+++ b/fleet/decider.hpp
@@ -49,27 +49,27 @@
 enum class OperationState { running, done, failed, cancelled, superseded };
 enum class StepState { waiting, acting, done, failed, skipped };
 enum class Signum { term, kill };
-enum class Call { drain, undrain, fence };  // what was asked of an admin socket
+enum class AdminCall { drain, undrain, fence };  // what was asked of an admin socket
 
 // The words of the API, as docs/design/fleet.md writes them.
-std::string_view word(Desired value);
-std::string_view word(Phase value);
-std::string_view word(Kind value);
-std::string_view word(OperationState value);
-std::string_view word(StepState value);
+std::string_view name_of(Desired value);
+std::string_view name_of(Phase value);
+std::string_view name_of(Kind value);
+std::string_view name_of(OperationState value);
+std::string_view name_of(StepState value);
 
 // A configuration as far as the decisions need it: parts by name (`limits.disk_mb`) with their values as they
 // are to be shown in a diff. What they mean is the agent's affair.
-using Parts = std::map<std::string, std::string>;
+using ConfigParts = std::map<std::string, std::string>;
 
 struct InstanceSpec {
   std::string name;  // 1 to 64 characters of a-z 0-9 -, no two alike
-  Parts own;         // `listen` and what else is its own; a change restarts it
+  ConfigParts own;   // `listen` and what else is its own; a change restarts it
 };
 struct FleetSpec {
   int max_unavailable = 1;
-  Parts common;                         // in the configuration of each instance: a change restarts all
-  Parts loose;                          // the agent's own (the platform): shown in the diff, restarts nothing
+  ConfigParts common;                   // in the configuration of each instance: a change restarts all
+  ConfigParts agent_parts;              // the agent's own (the platform): shown in the diff, restarts nothing
   std::vector<InstanceSpec> instances;  // at most 1,000
   std::string text;                     // as applied; opaque, only kept and given back
 };
@@ -198,7 +198,7 @@
   enum class Result { ok, fenced, failed };
   std::string name;
   std::string run;  // that was asked
-  Call call = Call::fence;
+  AdminCall call = AdminCall::fence;
   Result result = Result::failed;
   OperationId highest = 0;  // fenced: the highest fence that it saw
   std::string why;          // failed
@@ -215,7 +215,7 @@
   std::string run;
   std::optional<OperationId> drained;  // as in Exited
 };
-struct FolderGone {
+struct StateFolderMissing {
   std::string name;
 };  // its state folder is no more
 struct TimerExpired {};
@@ -224,7 +224,7 @@
 using Event =
     std::variant<event::Command, event::Cancel, event::Recorded, event::RecordFailed, event::Spawned,
                  event::SpawnFailed, event::Exited, event::StatusSeen, event::StatusMissed, event::Answered,
-                 event::Adopted, event::NotFound, event::FolderGone, event::TimerExpired>;
+                 event::Adopted, event::NotFound, event::StateFolderMissing, event::TimerExpired>;
 
 // ---- actions ----
 
@@ -321,7 +321,7 @@
 struct SetTimer {
   Microseconds at = 0;
 };  // in place of the earlier one
-struct Tell {
+struct Reply {
   RequestId request = 0;
   Verdict verdict;
 };
@@ -335,31 +335,32 @@
 
 using Action = std::variant<action::Record, action::WriteConfig, action::Spawn, action::Signal,
                             action::AskDrain, action::AskUndrain, action::AskFence, action::Removed,
-                            action::SetTimer, action::Tell, action::OperationChanged, action::Log>;
+                            action::SetTimer, action::Reply, action::OperationChanged, action::Log>;
 
 // ---- the decider ----
 
 struct Tuning {
-  Microseconds backoff_first = 500'000;     // before a crashed instance starts again, doubling, with jitter
-  Microseconds backoff_most = 30'000'000;   // (half to all of it)
+  Microseconds backoff_initial = 500'000;   // before a crashed instance starts again, doubling, with jitter
+  Microseconds backoff_max = 30'000'000;    // (half to all of it)
   Microseconds backoff_reset = 60'000'000;  // ready for so long, the next crash is a first one
-  int loop_crashes = 5;                     // so many crashes ...
-  Microseconds loop_within = 60'000'000;    // ... in this time are told as looping
+  int loop_crash_count = 5;                 // so many crashes ...
+  Microseconds loop_window = 60'000'000;    // ... in this time are told as looping
   Microseconds stalled_after = 3'000'000;   // no answer of its admin socket
-  Microseconds stalled_kill = 10'000'000;   // then ended by SIGKILL; in an operation's step at stalled_after
-  Microseconds first_answer = 30'000'000;   // of one that starts: reading its store may take long
-  Microseconds ready_within = 30'000'000;   // a step fails where its instance is not ready by then
-  int step_crashes = 3;                     // or crashed so often
-  Microseconds term_grace = 5'000'000;      // from SIGTERM to SIGKILL
-  Microseconds ask_again = 1'000'000;       // admin calls without effect are repeated
-  Microseconds record_again = 1'000'000;    // decisions whose record failed are taken up again
-  Microseconds tick =
+  Microseconds stalled_kill_after =
+      10'000'000;  // then ended by SIGKILL; in an operation's step at stalled_after
+  Microseconds first_status_timeout = 30'000'000;  // of one that starts: reading its store may take long
+  Microseconds ready_timeout = 30'000'000;         // a step fails where its instance is not ready by then
+  int step_crash_limit = 3;                        // or crashed so often
+  Microseconds term_grace = 5'000'000;             // from SIGTERM to SIGKILL
+  Microseconds admin_retry_delay = 1'000'000;      // admin calls without effect are repeated
+  Microseconds record_retry_delay = 1'000'000;     // decisions whose record failed are taken up again
+  Microseconds timer_interval =
       500'000;  // a timer is asked for at least so often while a process or operation is there
-  Microseconds late =
+  Microseconds suspend_threshold =
       2'000'000;  // a timer later than this: the machine slept, and no one was silent meanwhile
   std::size_t operations_kept = 200;  // that ended
-  std::size_t commands_waiting = 64;
-  std::size_t instances_most = 1000;
+  std::size_t max_pending_commands = 64;
+  std::size_t max_instances = 1000;
 };
 
 // What an instance is seen as now; I of the API together with its row.
--- a/fleet/words.cpp
+++ b/fleet/enum_names.cpp
@@ -3,7 +3,7 @@
 namespace heronvane::fleet {
 
 // No default: a new value warns here.
-std::string_view word(Desired value) {
+std::string_view name_of(Desired value) {
   switch (value) {
     case Desired::running:
       return "running";
@@ -15,7 +15,7 @@
   return "";
 }
 
-std::string_view word(Phase value) {
+std::string_view name_of(Phase value) {
   switch (value) {
     case Phase::absent:
       return "absent";
@@ -43,7 +43,7 @@
   return "";
 }
 
-std::string_view word(Kind value) {
+std::string_view name_of(Kind value) {
   switch (value) {
     case Kind::up:
       return "up";
@@ -63,7 +63,7 @@
   return "";
 }
 
-std::string_view word(OperationState value) {
+std::string_view name_of(OperationState value) {
   switch (value) {
     case OperationState::running:
       return "running";
@@ -79,7 +79,7 @@
   return "";
 }
 
-std::string_view word(StepState value) {
+std::string_view name_of(StepState value) {
   switch (value) {
     case StepState::waiting:
       return "waiting";
--- a/fleet/fleet_file.cpp
+++ b/fleet/fleet_file.cpp
@@ -32,7 +32,7 @@
 }
 
 // Each leaf by its path, as it is shown in a diff.
-void flatten(const Value& v, const std::string& path, Parts& parts) {
+void flatten(const Value& v, const std::string& path, ConfigParts& parts) {
   if (v.IsObject() && v.MemberCount() > 0) {
     for (const auto& m : v.GetObject()) flatten(m.value, path + "." + name_of(m.name), parts);
   } else if (v.IsArray() && !v.Empty() &&
@@ -93,7 +93,7 @@
   spec.text = to_text(v);
   spec.max_unavailable = wire::optional_field(v, "max_unavailable", path, wire::as_int, 1);
   if (spec.max_unavailable < 1) throw std::runtime_error("fleet.max_unavailable: must be 1 or more");
-  spec.loose["max_unavailable"] = std::to_string(spec.max_unavailable);
+  spec.agent_parts["max_unavailable"] = std::to_string(spec.max_unavailable);
   f.program_ = wire::optional_field(v, "program", path, wire::as_string, "heronvane");
   if (f.program_.empty()) throw std::runtime_error("fleet.program: must not be empty");
   spec.common["program"] = f.program_;
@@ -160,7 +160,7 @@
       p.partners = "{\"endpoints\":" + to_text(wire::as_array(*partners, "fleet.platform.partners")) + "}";
     const std::string trouble = p.partners.empty() ? "" : read_partners(p.partners).trouble();
     if (!trouble.empty()) throw std::runtime_error("fleet.platform.partners: " + trouble);
-    flatten(*platform, "platform", spec.loose);
+    flatten(*platform, "platform", spec.agent_parts);
     f.platform_ = std::move(p);
   }
   f.discovery_ = wire::optional_field(v, "discovery", path, wire::as_string, "");
--- a/fleet/instance_folder.cpp
+++ b/fleet/instance_folder.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-constexpr std::size_t kMostDrainedFile = 4096;
+constexpr std::size_t kMaxDrainedFileBytes = 4096;
 
 [[noreturn]] void fail(const std::string& what) {
   throw std::system_error(errno, std::generic_category(), what);
@@ -41,39 +41,39 @@
 }  // namespace
 
 void replace_file(const std::string& file, const std::string& text) {
-  const std::string fresh = file + ".new";
+  const std::string temporary = file + ".new";
   {
-    const File out(fresh, O_WRONLY | O_CREAT | O_TRUNC);
-    if (out.get() < 0) fail(fresh);
-    for (std::size_t at = 0; at < text.size();) {
-      const ssize_t n = ::write(out.get(), text.data() + at, text.size() - at);
-      if (n < 0 && errno != EINTR) fail(fresh);
-      if (n > 0) at += static_cast<std::size_t>(n);
+    const File out(temporary, O_WRONLY | O_CREAT | O_TRUNC);
+    if (out.get() < 0) fail(temporary);
+    for (std::size_t offset = 0; offset < text.size();) {
+      const ssize_t written = ::write(out.get(), text.data() + offset, text.size() - offset);
+      if (written < 0 && errno != EINTR) fail(temporary);
+      if (written > 0) offset += static_cast<std::size_t>(written);
     }
-    if (::fsync(out.get()) != 0) fail(fresh);
+    if (::fsync(out.get()) != 0) fail(temporary);
   }
-  if (::rename(fresh.c_str(), file.c_str()) != 0) fail(file);
+  if (::rename(temporary.c_str(), file.c_str()) != 0) fail(file);
 }
 
-void rotate_file(const std::string& file, std::uint64_t most) {
-  struct stat about {};
-  if (::stat(file.c_str(), &about) != 0 || static_cast<std::uint64_t>(about.st_size) <= most) return;
-  const std::string old = file + ".1", fresh = file + ".1.new";
-  bool whole = false;
+void rotate_file(const std::string& file, std::uint64_t max_bytes) {
+  struct stat info {};
+  if (::stat(file.c_str(), &info) != 0 || static_cast<std::uint64_t>(info.st_size) <= max_bytes) return;
+  const std::string rotated = file + ".1", temporary = file + ".1.new";
+  bool copied = false;
   {
-    const File in(file, O_RDONLY), out(fresh, O_WRONLY | O_CREAT | O_TRUNC);
+    const File in(file, O_RDONLY), out(temporary, O_WRONLY | O_CREAT | O_TRUNC);
     if (in.get() >= 0 && out.get() >= 0) {
       ssize_t n = 0;
       while ((n = ::sendfile(out.get(), in.get(), nullptr, 1 << 20)) > 0) {
       }
-      whole = n == 0;
+      copied = n == 0;
     }
   }
-  if (whole)
-    ::rename(fresh.c_str(), old.c_str());
+  if (copied)
+    ::rename(temporary.c_str(), rotated.c_str());
   else
-    ::unlink(fresh.c_str());
-  [[maybe_unused]] const int cut = ::truncate(file.c_str(), 0);
+    ::unlink(temporary.c_str());
+  [[maybe_unused]] const int truncated = ::truncate(file.c_str(), 0);
 }
 
 InstanceFolder::InstanceFolder(const std::string& data, std::string name)
@@ -93,8 +93,8 @@
 }
 
 bool InstanceFolder::has_state() const {
-  struct stat about {};
-  if (::stat(state().c_str(), &about) == 0) return S_ISDIR(about.st_mode);
+  struct stat info {};
+  if (::stat(state().c_str(), &info) == 0) return S_ISDIR(info.st_mode);
   // Guards against ending a relay that is well because a disk did not answer: only these tell that it is
   // gone.
   return errno != ENOENT && errno != ENOTDIR;
@@ -103,21 +103,22 @@
 std::optional<OperationId> InstanceFolder::drained(const std::string& run) const {
   std::ifstream in(state() + "/drained", std::ios::binary);
   if (!in) return {};
-  std::string text(kMostDrainedFile, '\0');
+  std::string text(kMaxDrainedFileBytes, '\0');
   in.read(text.data(), static_cast<std::streamsize>(text.size()));
   text.resize(static_cast<std::size_t>(in.gcount()));
   try {
-    const auto v = parse_json(text);
-    if (!v.IsObject() || !v.HasMember("run") || !v["run"].IsString() || v["run"].GetString() != run)
+    const auto document = parse_json(text);
+    if (!document.IsObject() || !document.HasMember("run") || !document["run"].IsString() ||
+        document["run"].GetString() != run)
       return {};
-    if (!v.HasMember("fence") || !v["fence"].IsUint64()) return {};
-    return v["fence"].GetUint64();
+    if (!document.HasMember("fence") || !document["fence"].IsUint64()) return {};
+    return document["fence"].GetUint64();
   } catch (const std::exception&) {
     return {};
   }
 }
 
-void InstanceFolder::rotate(std::uint64_t most) const { rotate_file(log(), most); }
+void InstanceFolder::rotate(std::uint64_t max_bytes) const { rotate_file(log(), max_bytes); }
 
 void InstanceFolder::remove() const {
   std::error_code ignored;
--- a/fleet/instance_folder.hpp
+++ b/fleet/instance_folder.hpp
@@ -28,7 +28,7 @@
   std::optional<OperationId> drained(const std::string& run) const;
   // Past `most` bytes the log is copied to log.1 and cut: the relay goes on writing to the same file. What it
   // writes between the two is lost; where there is no room for the copy, all of it is.
-  void rotate(std::uint64_t most) const;
+  void rotate(std::uint64_t max_bytes) const;
   void remove() const;
 
  private:
@@ -38,6 +38,6 @@
 // In place of what was there, whole or not at all. Throws std::system_error.
 void replace_file(const std::string& file, const std::string& text);
 // Past `most` bytes to FILE.1 by copying, then cut.
-void rotate_file(const std::string& file, std::uint64_t most);
+void rotate_file(const std::string& file, std::uint64_t max_bytes);
 
 }  // namespace heronvane::fleet
--- a/fleet/json.cpp
+++ b/fleet/json.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr int kMostDepth = 64;
+constexpr int kMaxDepth = 64;
 
 bool too_deep(std::string_view text) {
   int depth = 0;
@@ -19,7 +19,7 @@
     } else if (c == '"') {
       quoted = true;
     } else if (c == '{' || c == '[') {
-      if (++depth > kMostDepth) return true;
+      if (++depth > kMaxDepth) return true;
     } else if (c == '}' || c == ']') {
       depth--;
     }
@@ -30,19 +30,20 @@
 }  // namespace
 
 rapidjson::Document parse_json(std::string_view text) {
-  if (too_deep(text)) throw JsonError("JSON: nested deeper than " + std::to_string(kMostDepth));
-  rapidjson::Document v;
-  v.Parse<rapidjson::kParseIterativeFlag | rapidjson::kParseValidateEncodingFlag>(text.data(), text.size());
-  if (v.HasParseError())
-    throw JsonError("JSON: " + std::string(rapidjson::GetParseError_En(v.GetParseError())) + " at byte " +
-                    std::to_string(v.GetErrorOffset()));
-  return v;
+  if (too_deep(text)) throw JsonError("JSON: nested deeper than " + std::to_string(kMaxDepth));
+  rapidjson::Document document;
+  document.Parse<rapidjson::kParseIterativeFlag | rapidjson::kParseValidateEncodingFlag>(text.data(),
+                                                                                         text.size());
+  if (document.HasParseError())
+    throw JsonError("JSON: " + std::string(rapidjson::GetParseError_En(document.GetParseError())) +
+                    " at byte " + std::to_string(document.GetErrorOffset()));
+  return document;
 }
 
-std::string to_text(const rapidjson::Value& v) {
+std::string to_text(const rapidjson::Value& document) {
   rapidjson::StringBuffer b;
   JsonWriter w(b);
-  v.Accept(w);
+  document.Accept(w);
   return text_of(b);
 }
 
--- a/fleet/main.cpp
+++ b/fleet/main.cpp
@@ -28,9 +28,9 @@
 using heronvane::log;
 using namespace heronvane::fleet;
 
-constexpr std::uint64_t kMostLog = 10'000'000;
-constexpr auto kLookAtLog = std::chrono::seconds(10);
-constexpr auto kRelaysGrace = std::chrono::seconds(10);
+constexpr std::uint64_t kMaxLogBytes = 10'000'000;
+constexpr auto kLogCheckInterval = std::chrono::seconds(10);
+constexpr auto kRelayStopGrace = std::chrono::seconds(10);
 
 constexpr const char* kHelp =
     R"(heronvane-agent: keeps the heronvane relays of one machine.
@@ -60,50 +60,50 @@
   bool foreground = false, stop_relays = false;
 };
 
-class Usage : public std::runtime_error {
+class UsageError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
 // Nothing: it was asked for --help or --version, and told.
-std::optional<Arguments> read_arguments(int count, char** words) {
+std::optional<Arguments> read_arguments(int argc, char** argv) {
   Arguments a;
-  for (int i = 1; i < count; i++) {
-    const std::string word = words[i];
+  for (int i = 1; i < argc; i++) {
+    const std::string argument = argv[i];
     const auto value = [&]() -> std::string {
-      if (i + 1 >= count || *words[i + 1] == '\0') throw Usage(word + " needs a value");
-      return words[++i];
+      if (i + 1 >= argc || *argv[i + 1] == '\0') throw UsageError(argument + " needs a value");
+      return argv[++i];
     };
-    if (word == "--help" || word == "-h") {
+    if (argument == "--help" || argument == "-h") {
       std::fputs(kHelp, stdout);
       return {};
     }
-    if (word == "--version") {
+    if (argument == "--version") {
       std::puts("heronvane-agent " HERONVANE_VERSION);
       return {};
     }
-    if (word == "--data")
+    if (argument == "--data")
       a.data = value();
-    else if (word == "--listen-tls")
+    else if (argument == "--listen-tls")
       a.listen_tls = value();
-    else if (word == "--cert")
+    else if (argument == "--cert")
       a.tls.certificate = value();
-    else if (word == "--key")
+    else if (argument == "--key")
       a.tls.key = value();
-    else if (word == "--client-ca")
+    else if (argument == "--client-ca")
       a.tls.client_ca = value();
-    else if (word == "--foreground")
+    else if (argument == "--foreground")
       a.foreground = true;
-    else if (word == "--stop-relays")
+    else if (argument == "--stop-relays")
       a.stop_relays = true;
     else
-      throw Usage(word + ": no such option");
+      throw UsageError(argument + ": no such option");
   }
-  if (a.data.empty()) throw Usage("--data is missing");
+  if (a.data.empty()) throw UsageError("--data is missing");
   const bool all = !a.tls.certificate.empty() && !a.tls.key.empty() && !a.tls.client_ca.empty();
   const bool any = !a.tls.certificate.empty() || !a.tls.key.empty() || !a.tls.client_ca.empty();
-  if (!a.listen_tls.empty() && !all) throw Usage("--listen-tls needs --cert, --key and --client-ca");
-  if (a.listen_tls.empty() && any) throw Usage("--cert, --key and --client-ca go with --listen-tls");
+  if (!a.listen_tls.empty() && !all) throw UsageError("--listen-tls needs --cert, --key and --client-ca");
+  if (a.listen_tls.empty() && any) throw UsageError("--cert, --key and --client-ca go with --listen-tls");
   // It leaves the folder that it was started in.
   a.data = std::filesystem::absolute(a.data).lexically_normal().string();
   if (a.data.size() > 1 && a.data.back() == '/') a.data.pop_back();
@@ -116,24 +116,25 @@
 class Background {
  public:
   // Returns in the child alone; the parent ends with the child's word.
-  void enter() {
-    int ends[2];
-    if (::pipe2(ends, O_CLOEXEC) != 0) throw std::runtime_error(std::string("pipe: ") + std::strerror(errno));
+  void daemonize() {
+    int pipe_ends[2];
+    if (::pipe2(pipe_ends, O_CLOEXEC) != 0)
+      throw std::runtime_error(std::string("pipe: ") + std::strerror(errno));
     const pid_t child = ::fork();
     if (child < 0) throw std::runtime_error(std::string("fork: ") + std::strerror(errno));
     if (child > 0) {
-      ::close(ends[1]);
+      ::close(pipe_ends[1]);
       char byte = 0;
-      const auto n = ::read(ends[0], &byte, 1);
+      const auto n = ::read(pipe_ends[0], &byte, 1);
       ::_exit(n == 1 ? 0 : 1);
     }
-    ::close(ends[0]);
-    word_ = ends[1];
+    ::close(pipe_ends[0]);
+    status_pipe_ = pipe_ends[1];
     ::setsid();
   }
   // From here on it logs to the file alone.
-  void stands(const std::string& file) {
-    if (word_ < 0) return;
+  void report_started(const std::string& file) {
+    if (status_pipe_ < 0) return;
     const int null = ::open("/dev/null", O_RDWR | O_CLOEXEC);
     const int out = ::open(file.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
     if (null < 0 || out < 0) throw std::runtime_error(file + ": " + std::strerror(errno));
@@ -142,13 +143,13 @@
     ::dup2(out, STDERR_FILENO);
     ::close(null);
     ::close(out);
-    [[maybe_unused]] const auto n = ::write(word_, "y", 1);
-    ::close(word_);
-    word_ = -1;
+    [[maybe_unused]] const auto n = ::write(status_pipe_, "y", 1);
+    ::close(status_pipe_);
+    status_pipe_ = -1;
   }
 
  private:
-  int word_ = -1;
+  int status_pipe_ = -1;
 };
 
 // Each instance takes a descriptor. Returns the soft limit as it was, which the relays get.
@@ -166,8 +167,8 @@
 std::function<void()> kill_point() {
   const char* const at = std::getenv("HERONVANE_AGENT_KILL_AT");
   if (at == nullptr) return {};
-  return [left = std::atol(at)]() mutable {
-    if (--left == 0) ::raise(SIGKILL);
+  return [remaining = std::atol(at)]() mutable {
+    if (--remaining == 0) ::raise(SIGKILL);
   };
 }
 #endif
@@ -176,23 +177,23 @@
   // Descriptors below 3 that are closed would go to the database.
   heronvane::open_standard_streams();
   Background background;
-  if (!arguments.foreground) background.enter();
+  if (!arguments.foreground) background.daemonize();
   std::signal(SIGPIPE, SIG_IGN);
   std::signal(SIGXFSZ, SIG_IGN);
   net::io_context io(1);
-  net::signal_set ends(io, SIGTERM, SIGINT), hangs(io, SIGHUP);
+  net::signal_set stop_signals(io, SIGTERM, SIGINT), hangup_signals(io, SIGHUP);
   AgentOptions options;
   options.data = arguments.data;
   options.relay_descriptors = raise_descriptor_limit();
   options.own_program = std::filesystem::read_symlink("/proc/self/exe").string();
 #ifdef HERONVANE_AGENT_KILL_POINTS
-  options.point = kill_point();
+  options.on_step = kill_point();
   if (const char* pages = std::getenv("HERONVANE_AGENT_MOST_PAGES"))
-    options.database.most_pages = std::atoi(pages);
+    options.database.max_pages = std::atoi(pages);
   if (std::getenv("HERONVANE_AGENT_HASTE") != nullptr) {
-    options.tuning.stalled_kill = 6'000'000;
+    options.tuning.stalled_kill_after = 6'000'000;
     options.tuning.term_grace = 500'000;
-    options.tuning.backoff_first = 50'000;
+    options.tuning.backoff_initial = 50'000;
   }
 #endif
   Agent agent(io, options);
@@ -203,26 +204,26 @@
     server.listen_tls(heronvane::read_address(arguments.listen_tls, "--listen-tls"), arguments.tls);
   if (::chdir("/") != 0) throw std::runtime_error(std::string("/: ") + std::strerror(errno));
   const std::string own_log = arguments.data + "/agent.log";
-  background.stands(own_log);
+  background.report_started(own_log);
   heronvane::LostLineReporter lost_line_reporter(io);
-  net::steady_timer look(io);
-  const std::function<void()> keep_log_short = [&] {
-    rotate_file(own_log, kMostLog);
-    look.expires_after(kLookAtLog);
-    look.async_wait([&](error_code bad) {
-      if (!bad) keep_log_short();
+  net::steady_timer log_timer(io);
+  const std::function<void()> rotate_own_log = [&] {
+    rotate_file(own_log, kMaxLogBytes);
+    log_timer.expires_after(kLogCheckInterval);
+    log_timer.async_wait([&](error_code bad) {
+      if (!bad) rotate_own_log();
     });
   };
-  if (!arguments.foreground) keep_log_short();
-  ends.async_wait([&](error_code bad, int) {
+  if (!arguments.foreground) rotate_own_log();
+  stop_signals.async_wait([&](error_code bad, int) {
     if (bad) return;
     if (!arguments.stop_relays) return io.stop();
     log("agent: ends, and the relays with it");
-    agent.stop_relays(kRelaysGrace, [&io] { io.stop(); });
+    agent.stop_relays(kRelayStopGrace, [&io] { io.stop(); });
   });
   // A terminal that goes away ends no agent.
   const std::function<void()> ignore_hangups = [&] {
-    hangs.async_wait([&](error_code bad, int) {
+    hangup_signals.async_wait([&](error_code bad, int) {
       if (!bad) ignore_hangups();
     });
   };
@@ -235,13 +236,13 @@
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int argc, char** argv) {
   try {
-    const auto arguments = read_arguments(count, words);
+    const auto arguments = read_arguments(argc, argv);
     if (!arguments) return 0;
     run(*arguments);
     return 0;
-  } catch (const Usage& e) {
+  } catch (const UsageError& e) {
     std::fprintf(stderr, "heronvane-agent: %s\nheronvane-agent --help tells how it is used\n", e.what());
     return 2;
   } catch (const std::exception& e) {
--- a/fleet/plan.cpp
+++ b/fleet/plan.cpp
@@ -16,30 +16,31 @@
 }
 
 // FNV-1a; the length goes in first, so that no two lists of parts run into each other.
-void mix(std::uint64_t& hash, std::string_view text) {
+void hash_append(std::uint64_t& hash, std::string_view text) {
   auto byte = [&](std::uint64_t value) { hash = (hash ^ (value & 0xff)) * 0x100000001b3ULL; };
   for (int shift = 0; shift < 32; shift += 8) byte(text.size() >> shift);
   for (char c : text) byte(static_cast<unsigned char>(c));
 }
 
-void differing(const std::string& whose, const Parts& before, const Parts& after,
-               std::vector<std::string>& lines) {
+void append_differences(const std::string& prefix, const ConfigParts& before, const ConfigParts& after,
+                        std::vector<std::string>& lines) {
   for (const auto& [part, value] : before) {
     auto at = after.find(part);
     if (at == after.end()) {
-      lines.push_back("~ " + whose + part + " " + value + " -> none");
+      lines.push_back("~ " + prefix + part + " " + value + " -> none");
     } else if (at->second != value) {
-      lines.push_back("~ " + whose + part + " " + value + " -> " + at->second);
+      lines.push_back("~ " + prefix + part + " " + value + " -> " + at->second);
     }
   }
   for (const auto& [part, value] : after) {
-    if (!before.contains(part)) lines.push_back("~ " + whose + part + " none -> " + value);
+    if (!before.contains(part)) lines.push_back("~ " + prefix + part + " none -> " + value);
   }
 }
 
-std::optional<std::string> malformed(const FleetSpec& fleet, std::size_t most) {
+std::optional<std::string> find_error(const FleetSpec& fleet, std::size_t max_instances) {
   if (fleet.max_unavailable < 1) return "max_unavailable must be 1 or more";
-  if (fleet.instances.size() > most) return "more than " + std::to_string(most) + " instances";
+  if (fleet.instances.size() > max_instances)
+    return "more than " + std::to_string(max_instances) + " instances";
   std::set<std::string_view> names;
   for (const InstanceSpec& spec : fleet.instances) {
     if (!valid_name(spec.name))
@@ -58,41 +59,41 @@
 
 // Instances that come are first, so that what runs is touched only once they are ready; those that go are
 // last.
-void plan_apply(const Durable& kept, const FleetSpec& fleet, Operation& operation) {
+void plan_apply(const Durable& recorded, const FleetSpec& fleet, Operation& operation) {
   std::vector<Step> changed;
   for (const InstanceSpec& spec : fleet.instances) {
-    auto at = kept.instances.find(spec.name);
-    const InstanceSpec* before = find(kept.fleet, spec.name);
-    if (at == kept.instances.end() || at->second.removing ||
+    auto at = recorded.instances.find(spec.name);
+    const InstanceSpec* before = find(recorded.fleet, spec.name);
+    if (at == recorded.instances.end() || at->second.removing ||
         (at->second.config == 0 && at->second.run.empty() && at->second.desired == Desired::stopped)) {
       operation.steps.push_back(step(spec.name, Work::add));
       if (!before) operation.diff.push_back("+ " + spec.name);
     } else if (at->second.digest != config_digest(fleet, spec.name)) {
       changed.push_back(
           step(spec.name, at->second.desired == Desired::running ? Work::restart : Work::rewrite));
-      if (before && config_digest(kept.fleet, spec.name) == config_digest(fleet, spec.name)) {
+      if (before && config_digest(recorded.fleet, spec.name) == config_digest(fleet, spec.name)) {
         operation.diff.push_back("~ " + spec.name + " still has the configuration of generation " +
                                  std::to_string(at->second.config));
       }
     }
-    if (before) differing(spec.name + ": ", before->own, spec.own, operation.diff);
+    if (before) append_differences(spec.name + ": ", before->own, spec.own, operation.diff);
   }
   std::move(changed.begin(), changed.end(), std::back_inserter(operation.steps));
-  for (const auto& [name, row] : kept.instances) {
+  for (const auto& [name, row] : recorded.instances) {
     if (find(fleet, name)) continue;
     operation.steps.push_back(step(name, Work::remove));
     operation.diff.push_back("- " + name);
   }
-  differing("", kept.fleet.common, fleet.common, operation.diff);
-  differing("", kept.fleet.loose, fleet.loose, operation.diff);
-  if (kept.fleet.max_unavailable != fleet.max_unavailable) {
-    operation.diff.push_back("~ max_unavailable " + std::to_string(kept.fleet.max_unavailable) + " -> " +
+  append_differences("", recorded.fleet.common, fleet.common, operation.diff);
+  append_differences("", recorded.fleet.agent_parts, fleet.agent_parts, operation.diff);
+  if (recorded.fleet.max_unavailable != fleet.max_unavailable) {
+    operation.diff.push_back("~ max_unavailable " + std::to_string(recorded.fleet.max_unavailable) + " -> " +
                              std::to_string(fleet.max_unavailable));
   }
 }
 
 // Why it can't be done to that instance; empty: it can. `all` passes over what was put aside on purpose.
-std::string obstacle(Kind kind, const InstanceRow& row, bool all) {
+std::string refusal_reason(Kind kind, const InstanceRow& row, bool all) {
   if (row.removing && kind != Kind::down) return "goes out of the fleet";  // down gives that up
   switch (kind) {
     case Kind::up:
@@ -116,7 +117,7 @@
   return "";
 }
 
-Work work(Kind kind) {
+Work work_for(Kind kind) {
   switch (kind) {
     case Kind::up:
       return Work::start;
@@ -146,21 +147,21 @@
   const InstanceSpec* spec = find(fleet, name);
   if (!spec) return "";
   std::uint64_t hash = 0xcbf29ce484222325ULL;
-  for (const Parts* parts : {&fleet.common, &spec->own}) {
+  for (const ConfigParts* parts : {&fleet.common, &spec->own}) {
     for (const auto& [part, value] : *parts) {
-      mix(hash, part);
-      mix(hash, value);
+      hash_append(hash, part);
+      hash_append(hash, value);
     }
-    mix(hash, "");
+    hash_append(hash, "");
   }
   char text[17];
   std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(hash));
   return text;
 }
 
-std::variant<Plan, Verdict> plan(const Durable& kept, const event::Command& command,
-                                 std::size_t instances_most) {
-  const bool whole = command.kind == Kind::apply || command.kind == Kind::rollback;
+std::variant<Plan, Verdict> plan(const Durable& recorded, const event::Command& command,
+                                 std::size_t max_instances) {
+  const bool whole_fleet = command.kind == Kind::apply || command.kind == Kind::rollback;
   if (command.max_unavailable && *command.max_unavailable < 1) {
     return verdict::Malformed{"max_unavailable must be 1 or more"};
   }
@@ -169,61 +170,63 @@
   Operation& operation = made.operation;
   operation.kind = command.kind;
   operation.by = command.by;
-  std::set<std::string> touched;
+  std::set<std::string> affected;
   std::vector<std::string> stale;
-  if (whole) {
+  if (whole_fleet) {
     if (!command.fleet && command.kind == Kind::apply) return verdict::Malformed{"no fleet is given"};
     if (!command.fleet) {
       return verdict::Refused{"no fleet of generation " + std::to_string(command.to) + " is recorded"};
     }
-    if (auto why = malformed(*command.fleet, instances_most)) return verdict::Malformed{*why};
-    plan_apply(kept, *command.fleet, operation);
+    if (auto why = find_error(*command.fleet, max_instances)) return verdict::Malformed{*why};
+    plan_apply(recorded, *command.fleet, operation);
     if (command.kind == Kind::rollback) operation.message = "to generation " + std::to_string(command.to);
     operation.max_unavailable = command.max_unavailable.value_or(command.fleet->max_unavailable);
-    for (const Step& s : operation.steps) touched.insert(s.instance);
+    for (const Step& planned : operation.steps) affected.insert(planned.instance);
   } else {
     std::set<std::string> names(command.names.begin(), command.names.end());
     if (command.all) {
       names.clear();
-      for (const auto& [name, row] : kept.instances) names.insert(name);
+      for (const auto& [name, row] : recorded.instances) names.insert(name);
     } else if (names.empty()) {
       return verdict::Malformed{"no instance is named"};
     }
     for (const std::string& name : names) {
       if (!valid_name(name)) return verdict::Malformed{"instance name `" + name.substr(0, 80) + "`"};
-      if (!kept.instances.contains(name)) return verdict::Unknown{name};
+      if (!recorded.instances.contains(name)) return verdict::Unknown{name};
     }
     operation.max_unavailable = command.max_unavailable.value_or(
-        command.kind == Kind::restart ? std::max(1, kept.fleet.max_unavailable) : 0);
+        command.kind == Kind::restart ? std::max(1, recorded.fleet.max_unavailable) : 0);
     for (const std::string& name : names) {
-      const InstanceRow& row = kept.instances.find(name)->second;
-      Step s = step(name, work(command.kind));
-      s.what = obstacle(command.kind, row, command.all);
-      if (!s.what.empty()) s.state = StepState::skipped;
-      if (s.what.empty() || !command.all) touched.insert(name);
+      const InstanceRow& row = recorded.instances.find(name)->second;
+      Step planned = step(name, work_for(command.kind));
+      planned.what = refusal_reason(command.kind, row, command.all);
+      if (!planned.what.empty()) planned.state = StepState::skipped;
+      if (planned.what.empty() || !command.all) affected.insert(name);
       if (command.against && row.changed > *command.against) stale.push_back(name);
-      operation.steps.push_back(std::move(s));
+      operation.steps.push_back(std::move(planned));
     }
   }
 
-  for (const auto& [id, other] : kept.operations) {
+  for (const auto& [id, other] : recorded.operations) {
     if (other.state != OperationState::running) continue;
     verdict::Conflict conflict{id, other.kind, other.by, other.created, {}};
-    for (const Step& s : other.steps) {
-      if (!ended(s.state) && touched.contains(s.instance)) conflict.names.push_back(s.instance);
+    for (const Step& planned : other.steps) {
+      if (!ended(planned.state) && affected.contains(planned.instance))
+        conflict.names.push_back(planned.instance);
     }
     // Two changes of the fleet itself are never under way together, whatever they touch.
-    const bool both = whole && (other.kind == Kind::apply || other.kind == Kind::rollback);
-    if (conflict.names.empty() && !both) continue;
+    const bool both_change_fleet = whole_fleet && (other.kind == Kind::apply || other.kind == Kind::rollback);
+    if (conflict.names.empty() && !both_change_fleet) continue;
     if (!command.supersede) return conflict;
     made.supersedes.insert(id);
   }
-  if (command.against && (*command.against > kept.generation ||
-                          (whole && *command.against != kept.generation) || !stale.empty())) {
-    return verdict::Stale{kept.generation, stale};
+  if (command.against && (*command.against > recorded.generation ||
+                          (whole_fleet && *command.against != recorded.generation) || !stale.empty())) {
+    return verdict::Stale{recorded.generation, stale};
   }
-  for (const Step& s : operation.steps) {
-    if (s.state == StepState::skipped && !command.all) return verdict::Refused{s.instance + " " + s.what};
+  for (const Step& planned : operation.steps) {
+    if (planned.state == StepState::skipped && !command.all)
+      return verdict::Refused{planned.instance + " " + planned.what};
   }
   return made;
 }
--- a/fleet/plan.hpp
+++ b/fleet/plan.hpp
@@ -32,7 +32,7 @@
 inline bool ended(StepState state) { return state != StepState::waiting && state != StepState::acting; }
 
 // The plan, or why there is none (any verdict but Accepted, Plan, Ended, Storage and Busy).
-std::variant<Plan, Verdict> plan(const Durable& now_kept, const event::Command& command,
-                                 std::size_t instances_most);
+std::variant<Plan, Verdict> plan(const Durable& recorded, const event::Command& command,
+                                 std::size_t max_instances);
 
 }  // namespace heronvane::fleet
--- a/fleet/platform_host.cpp
+++ b/fleet/platform_host.cpp
@@ -42,7 +42,7 @@
       // Where none was kept yet, one that is above any told before.
       if (o.index == 0) o.index = unix_seconds();
       PlatformCallbacks c;
-      c.keep_index = [this](std::int64_t index) { return database_.keep_platform_index(index); };
+      c.keep_index = [this](std::int64_t index) { return database_.save_platform_index(index); };
       c.log = [](const std::string& line) { heronvane::log(line); };
       server_ = std::make_unique<PlatformServer>(io_, *finals_, std::move(o), std::move(c));
       listens_ = part_->listen;
--- a/fleet/process.cpp
+++ b/fleet/process.cpp
@@ -48,7 +48,7 @@
 
 // "" where it can't be read. A process may be reaped between the opening and the reading, which fails then: a
 // stream's iterators would throw that, its operator doesn't.
-std::string whole_file(const std::string& path) {
+std::string read_file(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   std::ostringstream all;
   all << in.rdbuf();
@@ -58,16 +58,16 @@
 std::string proc(pid_t pid, const char* name) { return "/proc/" + std::to_string(pid) + "/" + name; }
 
 // Only what may be called between fork and exec.
-[[noreturn]] void run(const char* program, char* const* arguments, char* const* environment,
-                      const char* folder, const char* log, rlim_t descriptors, int report) {
-  const auto fail = [report] {
+[[noreturn]] void exec_child(const char* program, char* const* arguments, char* const* environment,
+                             const char* folder, const char* log, rlim_t descriptors, int error_pipe) {
+  const auto fail = [error_pipe] {
     const int why = errno;
-    [[maybe_unused]] const auto n = ::write(report, &why, sizeof why);
+    [[maybe_unused]] const auto n = ::write(error_pipe, &why, sizeof why);
     ::_exit(127);
   };
-  struct sigaction by_default {};
-  by_default.sa_handler = SIG_DFL;
-  for (int s = 1; s < NSIG; s++) ::sigaction(s, &by_default, nullptr);
+  struct sigaction default_action {};
+  default_action.sa_handler = SIG_DFL;
+  for (int s = 1; s < NSIG; s++) ::sigaction(s, &default_action, nullptr);
   sigset_t none;
   ::sigemptyset(&none);
   ::sigprocmask(SIG_SETMASK, &none, nullptr);
@@ -83,12 +83,12 @@
   if (in < 0 || out < 0) fail();
   // Numbers above the streams, so that none of the copies below closes what is still needed.
   const int high_in = ::fcntl(in, F_DUPFD_CLOEXEC, 10), high_out = ::fcntl(out, F_DUPFD_CLOEXEC, 10);
-  const int high_report = ::fcntl(report, F_DUPFD_CLOEXEC, 10);
-  if (high_in < 0 || high_out < 0 || high_report < 0) fail();
-  report = high_report;
-  const auto fail_high = [high_report] {
+  const int high_error_pipe = ::fcntl(error_pipe, F_DUPFD_CLOEXEC, 10);
+  if (high_in < 0 || high_out < 0 || high_error_pipe < 0) fail();
+  error_pipe = high_error_pipe;
+  const auto fail_high = [high_error_pipe] {
     const int why = errno;
-    [[maybe_unused]] const auto n = ::write(high_report, &why, sizeof why);
+    [[maybe_unused]] const auto n = ::write(high_error_pipe, &why, sizeof why);
     ::_exit(127);
   };
   if (::dup2(high_in, STDIN_FILENO) < 0 || ::dup2(high_out, STDOUT_FILENO) < 0 ||
@@ -104,14 +104,14 @@
 }  // namespace
 
 std::string boot_id() {
-  std::string id = whole_file("/proc/sys/kernel/random/boot_id");
+  std::string id = read_file("/proc/sys/kernel/random/boot_id");
   while (!id.empty() && id.back() == '\n') id.pop_back();
   return id;
 }
 
 std::optional<ProcessId> identify(pid_t pid) {
   if (pid <= 0) return {};
-  const std::string stat = whole_file(proc(pid, "stat"));
+  const std::string stat = read_file(proc(pid, "stat"));
   // The name in brackets may hold anything, brackets too.
   const auto name_end = stat.rfind(')');
   if (name_end == std::string::npos || name_end + 2 >= stat.size()) return {};
@@ -131,10 +131,10 @@
 }
 
 std::error_code start_detached(const Command& command, pid_t& pid) {
-  std::vector<std::string> words{command.program};
-  words.insert(words.end(), command.arguments.begin(), command.arguments.end());
+  std::vector<std::string> arguments_read{command.program};
+  arguments_read.insert(arguments_read.end(), command.arguments.begin(), command.arguments.end());
   std::vector<char*> arguments, environment;
-  for (auto& w : words) arguments.push_back(w.data());
+  for (auto& w : arguments_read) arguments.push_back(w.data());
   arguments.push_back(nullptr);
   for (char** e = environ; *e != nullptr; e++) {
     const std::string_view entry(*e);
@@ -144,26 +144,26 @@
   }
   environment.push_back(nullptr);
 
-  int ends[2];
-  if (::pipe2(ends, O_CLOEXEC) != 0) return last_error();
-  Descriptor from(ends[0]), to(ends[1]);
+  int pipe_ends[2];
+  if (::pipe2(pipe_ends, O_CLOEXEC) != 0) return last_error();
+  Descriptor read_end(pipe_ends[0]), write_end(pipe_ends[1]);
   // No handler of the caller's may run in the child.
   sigset_t all, before;
   ::sigfillset(&all);
   ::pthread_sigmask(SIG_SETMASK, &all, &before);
   const pid_t child = ::fork();
   if (child == 0)
-    run(command.program.c_str(), arguments.data(), environment.data(), command.folder.c_str(),
-        command.log.c_str(), command.descriptors, to.get());
+    exec_child(command.program.c_str(), arguments.data(), environment.data(), command.folder.c_str(),
+               command.log.c_str(), command.descriptors, write_end.get());
   const auto forked = last_error();
   ::pthread_sigmask(SIG_SETMASK, &before, nullptr);
   if (child < 0) return forked;
-  to.reset();
+  write_end.reset();
   int why = 0;
-  ssize_t got = 0;
-  do got = ::read(from.get(), &why, sizeof why);
-  while (got < 0 && errno == EINTR);
-  if (got == sizeof why) {
+  ssize_t bytes_read = 0;
+  do bytes_read = ::read(read_end.get(), &why, sizeof why);
+  while (bytes_read < 0 && errno == EINTR);
+  if (bytes_read == sizeof why) {
     while (::waitpid(child, nullptr, 0) < 0 && errno == EINTR) {
     }
     return {why, std::generic_category()};
@@ -172,7 +172,7 @@
   return {};
 }
 
-std::unique_ptr<Process> Process::open(boost::asio::io_context& io, const ProcessId& id, Ended ended,
+std::unique_ptr<Process> Process::open(boost::asio::io_context& io, const ProcessId& id, EndHandler ended,
                                        std::error_code& error) {
   Descriptor descriptor(open_pidfd(id.pid));
   if (descriptor.get() < 0) {
@@ -192,10 +192,10 @@
   return std::unique_ptr<Process>(new Process(io, id, descriptor.release(), std::move(ended)));
 }
 
-Process::Process(boost::asio::io_context& io, ProcessId id, int descriptor, Ended ended)
+Process::Process(boost::asio::io_context& io, ProcessId id, int descriptor, EndHandler ended)
     : id_(std::move(id)),
       descriptor_(io, descriptor),
-      ended_(std::move(ended)),
+      on_end_(std::move(ended)),
       alive_(std::make_shared<bool>(true)) {
   watch();
 }
@@ -206,14 +206,14 @@
   descriptor_.async_wait(boost::asio::posix::descriptor_base::wait_read, [this, alive = alive_](
                                                                              boost::system::error_code bad) {
     if (!*alive || bad) return;
-    Ending ending;
+    ExitStatus ending;
     siginfo_t info{};
     if (::waitid(P_PIDFD, static_cast<id_t>(descriptor_.native_handle()), &info, WEXITED | WNOHANG) == 0) {
       if (info.si_pid == 0) return watch();
       ending.known = true;
       (info.si_code == CLD_EXITED ? ending.status : ending.signal) = info.si_status;
     }
-    const auto ended = std::move(ended_);
+    const auto ended = std::move(on_end_);
     ended(ending);
   });
 }
@@ -224,35 +224,36 @@
 }
 
 std::optional<std::string> argument_of(pid_t pid, const std::string& option) {
-  std::string line = whole_file(proc(pid, "cmdline"));
+  std::string line = read_file(proc(pid, "cmdline"));
   // One that begins its program just now has none for a moment.
-  for (int again = 0; line.empty() && again < 20 && identify(pid); again++) {
+  for (int attempt = 0; line.empty() && attempt < 20 && identify(pid); attempt++) {
     char program[8];
     if (::readlink(proc(pid, "exe").c_str(), program, sizeof program) < 0) return {};  // the kernel's own
     ::usleep(200);
-    line = whole_file(proc(pid, "cmdline"));
+    line = read_file(proc(pid, "cmdline"));
   }
-  std::vector<std::string_view> words;
+  std::vector<std::string_view> arguments_read;
   for (std::string_view rest(line); !rest.empty();) {
     const auto end = std::min(rest.find('\0'), rest.size());
-    words.push_back(rest.substr(0, end));
+    arguments_read.push_back(rest.substr(0, end));
     rest.remove_prefix(std::min(end + 1, rest.size()));
   }
-  for (std::size_t i = 1; i + 1 < words.size(); i++)
-    if (words[i] == option) return std::string(words[i + 1]);
+  for (std::size_t i = 1; i + 1 < arguments_read.size(); i++)
+    if (arguments_read[i] == option) return std::string(arguments_read[i + 1]);
   return {};
 }
 
 std::multimap<std::string, ProcessId> find_by_option(const std::string& option) {
   std::multimap<std::string, ProcessId> found;
-  const std::unique_ptr<DIR, int (*)(DIR*)> all(::opendir("/proc"), ::closedir);
-  if (!all) return found;
-  while (const dirent* entry = ::readdir(all.get())) {
+  const std::unique_ptr<DIR, int (*)(DIR*)> directory(::opendir("/proc"), ::closedir);
+  if (!directory) return found;
+  while (const dirent* entry = ::readdir(directory.get())) {
     pid_t pid = 0;
     const char* const end = entry->d_name + std::strlen(entry->d_name);
     if (std::from_chars(entry->d_name, end, pid).ptr != end || pid <= 0) continue;
-    struct stat about {};
-    if (::fstatat(::dirfd(all.get()), entry->d_name, &about, 0) != 0 || about.st_uid != ::geteuid()) continue;
+    struct stat info {};
+    if (::fstatat(::dirfd(directory.get()), entry->d_name, &info, 0) != 0 || info.st_uid != ::geteuid())
+      continue;
     // Looked at before and after, lest the arguments be another's.
     const auto before = identify(pid);
     if (!before) continue;
--- a/fleet/process.hpp
+++ b/fleet/process.hpp
@@ -47,7 +47,7 @@
 std::error_code start_detached(const Command& command, pid_t& pid);
 
 // How a process ended. Of one that is no child of the caller the system tells nothing.
-struct Ending {
+struct ExitStatus {
   bool known = false;
   int status = 0;  // meant where signal is 0
   int signal = 0;
@@ -56,11 +56,11 @@
 // One process that is watched. Not copied; letting it go ends the watch, not the process.
 class Process {
  public:
-  using Ended = std::function<void(Ending)>;
+  using EndHandler = std::function<void(ExitStatus)>;
 
   // nullptr with `error`: no such process any more (also where the pid is another's now), or no descriptor.
   // `ended` is called once, from the loop, and not after this object is gone; it may let it go.
-  static std::unique_ptr<Process> open(boost::asio::io_context& io, const ProcessId& id, Ended ended,
+  static std::unique_ptr<Process> open(boost::asio::io_context& io, const ProcessId& id, EndHandler ended,
                                        std::error_code& error);
   ~Process();
   Process(const Process&) = delete;
@@ -71,12 +71,12 @@
   std::error_code signal(int number);
 
  private:
-  Process(boost::asio::io_context& io, ProcessId id, int descriptor, Ended ended);
+  Process(boost::asio::io_context& io, ProcessId id, int descriptor, EndHandler ended);
   void watch();
 
   ProcessId id_;
   boost::asio::posix::stream_descriptor descriptor_;
-  Ended ended_;
+  EndHandler on_end_;
   std::shared_ptr<bool> alive_;
 };
 
--- a/fleet/steps.cpp
+++ b/fleet/steps.cpp
@@ -9,24 +9,24 @@
 
 using Work = Step::Work;
 
-bool takes_away(Work work) {
+bool reduces_availability(Work work) {
   return work == Work::restart || work == Work::stop || work == Work::drain || work == Work::remove;
 }
 
-bool drains(Work work) { return work == Work::drain || work == Work::remove; }
+bool is_drain(Work work) { return work == Work::drain || work == Work::remove; }
 
 std::string seconds(Microseconds time) { return std::to_string(time / 1'000'000) + " s"; }
 
-constexpr std::string_view waits = "waits: more instances are down than max_unavailable";
+constexpr std::string_view kWaitsMessage = "waits: more instances are down than max_unavailable";
 
 }  // namespace
 
 bool Decider::State::available(Microseconds now, const InstanceRow& row) const {
-  auto at = seen.find(row.name);
-  if (at == seen.end()) return false;
-  const Seen& s = at->second;
-  return row.live && !s.pending && !s.end && !ending(row) && s.status && s.status->ready &&
-         !s.status->draining && !stalled(now, s);
+  auto at = observations.find(row.name);
+  if (at == observations.end()) return false;
+  const Observed& observed = at->second;
+  return row.live && !observed.awaiting_adoption && !observed.end && !ending(row) && observed.status &&
+         observed.status->ready && !observed.status->draining && !stalled(now, observed);
 }
 
 const Step* Decider::State::acting(const std::string& name) const {
@@ -40,13 +40,13 @@
 void Decider::State::drive_operation(Microseconds now, OperationId id) {
   const Operation& operation = working.operations.at(id);
   for (std::size_t i = 0; i < operation.steps.size(); ++i) {
-    if (operation.steps[i].state == StepState::acting) judge(now, id, i);
+    if (operation.steps[i].state == StepState::acting) check_step(now, id, i);
   }
   auto any = [&](StepState state) {
     return std::any_of(operation.steps.begin(), operation.steps.end(),
-                       [&](const Step& s) { return s.state == state; });
+                       [&](const Step& step) { return step.state == state; });
   };
-  if (!any(StepState::failed)) begin_what_may(now, id);
+  if (!any(StepState::failed)) begin_eligible_steps(now, id);
   // What acts may come to its end; nothing further begins.
   if (any(StepState::failed)) {
     for (std::size_t i = 0; i < operation.steps.size(); ++i) {
@@ -58,7 +58,7 @@
   Operation& ends = edit(id);
   ends.ended = now;
   ends.state = any(StepState::failed) ? OperationState::failed : OperationState::done;
-  if (ends.message == waits) ends.message.clear();
+  if (ends.message == kWaitsMessage) ends.message.clear();
   for (const Step& step : ends.steps) {
     if (step.state != StepState::failed) continue;
     ends.message = step.instance + ": " + step.what;
@@ -74,17 +74,17 @@
   step.since = now;
 }
 
-void Decider::State::begin_what_may(Microseconds now, OperationId id) {
+void Decider::State::begin_eligible_steps(Microseconds now, OperationId id) {
   const Operation& operation = working.operations.at(id);
-  std::set<std::string_view> acts_here;
-  int taking = 0;
-  bool coming = false;  // steps that give instances have not ended yet
+  std::set<std::string_view> acting_instances;
+  int unavailable_steps = 0;
+  bool additions_open = false;  // steps that give instances have not ended yet
   for (const Step& step : operation.steps) {
-    if (step.state == StepState::acting) acts_here.insert(step.instance);
-    if (step.state == StepState::acting && takes_away(step.work)) ++taking;
-    if (!fleet::ended(step.state) && !takes_away(step.work)) coming = true;
+    if (step.state == StepState::acting) acting_instances.insert(step.instance);
+    if (step.state == StepState::acting && reduces_availability(step.work)) ++unavailable_steps;
+    if (!fleet::ended(step.state) && !reduces_availability(step.work)) additions_open = true;
   }
-  std::optional<int> down;  // beside this operation
+  std::optional<int> unavailable_elsewhere;  // beside this operation
   bool blocked = false;
   for (std::size_t i = 0; i < operation.steps.size(); ++i) {
     const Step& step = operation.steps[i];
@@ -95,35 +95,36 @@
                   "is not there");
       continue;
     }
-    if (seen[step.instance].pending || seen[step.instance].end) continue;
-    if (takes_away(step.work)) {
-      if (coming) continue;
+    if (observations[step.instance].awaiting_adoption || observations[step.instance].end) continue;
+    if (reduces_availability(step.work)) {
+      if (additions_open) continue;
       if (operation.max_unavailable > 0) {
-        if (taking >= operation.max_unavailable) break;
-        if (!down) {
-          down = 0;
+        if (unavailable_steps >= operation.max_unavailable) break;
+        if (!unavailable_elsewhere) {
+          unavailable_elsewhere = 0;
           for (const auto& [name, row] : working.instances) {
-            if (row.desired == Desired::running && !available(now, row) && !acts_here.contains(name)) ++*down;
+            if (row.desired == Desired::running && !available(now, row) && !acting_instances.contains(name))
+              ++*unavailable_elsewhere;
           }
         }
         // One that is down itself makes nothing worse: this may be what mends it.
-        if (available(now, at->second) && *down > operation.max_unavailable) {
+        if (available(now, at->second) && *unavailable_elsewhere > operation.max_unavailable) {
           blocked = true;
           continue;
         }
       }
-      ++taking;
+      ++unavailable_steps;
     }
-    begin(now, id, i);
+    begin_step(now, id, i);
   }
   if (blocked && operation.message.empty()) {
-    edit(id).message = waits;
-  } else if (!blocked && operation.message == waits) {
+    edit(id).message = kWaitsMessage;
+  } else if (!blocked && operation.message == kWaitsMessage) {
     edit(id).message.clear();
   }
 }
 
-void Decider::State::begin(Microseconds now, OperationId id, std::size_t index) {
+void Decider::State::begin_step(Microseconds now, OperationId id, std::size_t index) {
   Step& step = edit(id).steps[index];
   const std::string name = step.instance;
   InstanceRow& row = edit(name);
@@ -137,7 +138,7 @@
     return;
   }
   if (step.work == Work::restart && row.desired != Desired::running) {
-    finish_step(now, id, index, StepState::failed, "is " + std::string(word(row.desired)));
+    finish_step(now, id, index, StepState::failed, "is " + std::string(name_of(row.desired)));
     return;
   }
   step.state = StepState::acting;
@@ -153,15 +154,16 @@
     case Work::restart: {
       row.desired = Desired::running;
       row.removing = row.ended_drained = false;
-      const Seen& s = seen[name];
-      const bool other = row.config != row.wanted || (s.status && s.status->generation != row.config);
-      const bool anew = step.work == Work::restart || (step.work != Work::start && other);
-      if (anew && row.live) row.retire = row.run;
-      if (anew || !row.live) {
+      const Observed& observed = observations[name];
+      const bool config_differs =
+          row.config != row.wanted || (observed.status && observed.status->generation != row.config);
+      const bool needs_new_run = step.work == Work::restart || (step.work != Work::start && config_differs);
+      if (needs_new_run && row.live) row.retire = row.run;
+      if (needs_new_run || !row.live) {
         row.config = row.wanted;
         row.digest = config_digest(working.fleet, name);
       }
-      step.what = anew && row.live ? "ends its run" : "starts";
+      step.what = needs_new_run && row.live ? "ends its run" : "starts";
       break;
     }
     case Work::stop:
@@ -180,33 +182,34 @@
     case Work::rewrite:
       break;
   }
-  begun.insert(name);
-  hooks.push_back([this, name](Microseconds at, Actions&) {
-    Seen& s = seen[name];
-    s.crashes.clear();
-    s.backoffs = s.step_crashes = s.asks = 0;
-    s.next_start = s.ask_from = s.ask_next = 0;
-    s.looping = s.fresh = s.fence_answered = s.step_started = false;
-    s.step_why.clear();
-    s.ask_why.clear();
-    s.step_from = at;
-    note_phase(at, name);
+  begun_instances.insert(name);
+  recorded_hooks.push_back([this, name](Microseconds at, Actions&) {
+    Observed& observed = observations[name];
+    observed.crashes.clear();
+    observed.backoffs = observed.step_crashes = observed.admin_attempts = 0;
+    observed.next_start = observed.first_admin_call_at = observed.next_admin_call_at = 0;
+    observed.looping = observed.status_in_step = observed.fence_answered = observed.started_in_step = false;
+    observed.last_crash.clear();
+    observed.admin_error.clear();
+    observed.step_timer_start = at;
+    update_phase(at, name);
   });
 }
 
-bool Decider::State::reached(Microseconds now, const InstanceRow& row, const Step& step) const {
-  const Seen& s = seen.find(row.name)->second;
+bool Decider::State::goal_reached(Microseconds now, const InstanceRow& row, const Step& step) const {
+  const Observed& observed = observations.find(row.name)->second;
   switch (step.work) {
     case Work::start:
-      return s.fresh && available(now, row);
+      return observed.status_in_step && available(now, row);
     case Work::undrain:
       // On the same run the fence must be there: else a drain still on its way could come after.
-      return s.fresh && available(now, row) && (row.run != step.run_before || s.status->fence >= row.fence);
+      return observed.status_in_step && available(now, row) &&
+             (row.run != step.run_before || observed.status->fence >= row.fence);
     case Work::add:
-      return s.fresh && available(now, row) && s.status->generation == row.config;
+      return observed.status_in_step && available(now, row) && observed.status->generation == row.config;
     case Work::restart:
-      return s.fresh && available(now, row) && row.run != step.run_before &&
-             s.status->generation == row.config;
+      return observed.status_in_step && available(now, row) && row.run != step.run_before &&
+             observed.status->generation == row.config;
     case Work::stop:
       return !row.live;
     case Work::drain:
@@ -219,7 +222,7 @@
   return false;
 }
 
-void Decider::State::judge(Microseconds now, OperationId id, std::size_t index) {
+void Decider::State::check_step(Microseconds now, OperationId id, std::size_t index) {
   const Step& step = working.operations.at(id).steps[index];
   const Work work = step.work;
   auto at = working.instances.find(step.instance);
@@ -230,34 +233,37 @@
     return;
   }
   const InstanceRow& row = at->second;
-  Seen& s = seen[step.instance];
-  if (s.pending) return;
-  if (s.step_from == 0) s.step_from = now;
+  Observed& observed = observations[step.instance];
+  if (observed.awaiting_adoption) return;
+  if (observed.step_timer_start == 0) observed.step_timer_start = now;
   auto fail = [&](std::string why) { finish_step(now, id, index, StepState::failed, std::move(why)); };
-  if (reached(now, row, step)) {
+  if (goal_reached(now, row, step)) {
     std::string what = "ready";
     if (work == Work::stop) what = "stopped";
-    if (drains(work)) what = row.run.empty() ? "never started, 0 held" : "drained, 0 held";
+    if (is_drain(work)) what = row.run.empty() ? "never started, 0 held" : "drained, 0 held";
     finish_step(now, id, index, StepState::done, std::move(what));
     return;
   }
-  if (s.fenced > row.fence) return fail("fenced: another has acted on it, fence " + std::to_string(s.fenced));
-  if (work != Work::stop && s.step_crashes >= tuning.step_crashes) {
-    return fail("crashed " + std::to_string(s.step_crashes) + " times: " + s.step_why);
+  if (observed.foreign_fence > row.fence)
+    return fail("fenced: another has acted on it, fence " + std::to_string(observed.foreign_fence));
+  if (work != Work::stop && observed.step_crashes >= tuning.step_crash_limit) {
+    return fail("crashed " + std::to_string(observed.step_crashes) + " times: " + observed.last_crash);
   }
-  if (work != Work::stop && !drains(work) && row.desired != Desired::running) {
+  if (work != Work::stop && !is_drain(work) && row.desired != Desired::running) {
     return fail("was drained by another");
   }
-  if (drains(work) && row.live && s.status && s.status->draining)
-    s.step_from = now;  // may take what it takes
-  if (now - s.step_from < tuning.ready_within) return;
-  const std::string within = " within " + seconds(tuning.ready_within);
+  if (is_drain(work) && row.live && observed.status && observed.status->draining)
+    observed.step_timer_start = now;  // may take what it takes
+  if (now - observed.step_timer_start < tuning.ready_timeout) return;
+  const std::string within = " within " + seconds(tuning.ready_timeout);
   if (work == Work::stop) return fail("does not end" + within);
-  if (drains(work)) return fail("does not drain" + within + (s.ask_why.empty() ? "" : ": " + s.ask_why));
+  if (is_drain(work))
+    return fail("does not drain" + within +
+                (observed.admin_error.empty() ? "" : ": " + observed.admin_error));
   std::string why = "not ready" + within;
-  if (s.status && s.status->generation != row.config && available(now, row)) {
-    why +=
-        ": generation " + std::to_string(s.status->generation) + " runs, not " + std::to_string(row.config);
+  if (observed.status && observed.status->generation != row.config && available(now, row)) {
+    why += ": generation " + std::to_string(observed.status->generation) + " runs, not " +
+           std::to_string(row.config);
   }
   fail(why);
 }
--- a/tests/fleet/commands_test.cpp
+++ b/tests/fleet/commands_test.cpp
@@ -63,14 +63,14 @@
   EXPECT_TRUE(of<action::Record>(actions)[0].fleet.has_value());
   for (int i = 0; i < 20; ++i) decider.handle(now += second, event::TimerExpired{}, actions);
   EXPECT_EQ(of<action::Record>(actions).size(), 1U);  // one is out at a time
-  EXPECT_TRUE(of<action::Tell>(actions).empty());
+  EXPECT_TRUE(of<action::Reply>(actions).empty());
   EXPECT_EQ(decider.generation(), 0U);
   EXPECT_TRUE(decider.instances().empty());
   // The operation; then its step; then the run: each recorded before what it tells of.
   actions.clear();
   decider.handle(now, event::Recorded{1}, actions);
-  ASSERT_EQ(of<action::Tell>(actions).size(), 1U);
-  EXPECT_TRUE(std::holds_alternative<verdict::Accepted>(of<action::Tell>(actions)[0].verdict));
+  ASSERT_EQ(of<action::Reply>(actions).size(), 1U);
+  EXPECT_TRUE(std::holds_alternative<verdict::Accepted>(of<action::Reply>(actions)[0].verdict));
   ASSERT_EQ(of<action::Record>(actions).size(), 1U);
   EXPECT_EQ(of<action::Record>(actions)[0].operations.at(0).steps.at(0).state, StepState::acting);
   EXPECT_TRUE(of<action::Spawn>(actions).empty());
@@ -245,7 +245,7 @@
 TEST_F(Three, ADryRunTellsThePlanAndTheDiffAndDoesNothing) {
   FleetSpec other = fleet_of({"n0", "n1", "n3"});
   other.instances[1].own["listen"] = "127.0.0.1:9000";
-  other.loose["platform.listen"] = "127.0.0.1:8500";
+  other.agent_parts["platform.listen"] = "127.0.0.1:8500";
   other.max_unavailable = 2;
   event::Command dry = apply_of(other);
   dry.dry_run = true;
--- a/tests/fleet/decider_test.cpp
+++ b/tests/fleet/decider_test.cpp
@@ -297,7 +297,7 @@
   const std::string run = world.processes["n0"].run;
   std::vector<Action> actions;
   Decider& decider = world.decider();
-  decider.handle(world.now, event::FolderGone{"n0"}, actions);
+  decider.handle(world.now, event::StateFolderMissing{"n0"}, actions);
   ASSERT_FALSE(actions.empty());
   auto* record = std::get_if<action::Record>(&actions[0]);
   ASSERT_NE(record, nullptr);
--- a/tests/fleet/fake_backend.hpp
+++ b/tests/fleet/fake_backend.hpp
@@ -79,7 +79,7 @@
           }
           if (r->fleet) fleets[r->generation] = *r->fleet;
           events.push_back(event::Recorded{r->record});
-        } else if (const auto* t = std::get_if<action::Tell>(&a)) {
+        } else if (const auto* t = std::get_if<action::Reply>(&a)) {
           const auto done = requests_[t->request];
           requests_.erase(t->request);
           done(t->verdict);
--- a/tests/fleet/fleet_file_test.cpp
+++ b/tests/fleet/fleet_file_test.cpp
@@ -80,7 +80,7 @@
       R"({"platform":{"listen":"127.0.0.1:8500","partners":[{"name":"s","address":"127.0.0.1:5","group":7}]},)" +
       kTwo + "}");
   EXPECT_EQ(one.spec().common, two.spec().common);
-  EXPECT_NE(one.spec().loose, two.spec().loose);
+  EXPECT_NE(one.spec().agent_parts, two.spec().agent_parts);
 }
 
 TEST(FleetFileTest, SlipsAreNamed) {
--- a/tests/fleet/interleavings_test.cpp
+++ b/tests/fleet/interleavings_test.cpp
@@ -154,7 +154,7 @@
     if (model[name].perhaps_anew && row.fence == 0 && row.desired == Desired::stopped) continue;
     EXPECT_EQ(row.fence, model[name].by)
         << name << " was last acted on by another than the last that was accepted";
-    EXPECT_EQ(word(row.desired), word(model[name].desired)) << name << ": its last change was lost";
+    EXPECT_EQ(name_of(row.desired), name_of(model[name].desired)) << name << ": its last change was lost";
   }
   explained_refusals(world);
 }
@@ -162,10 +162,10 @@
 // What happened, for whoever looks at a failure.
 void tell_all(const World& world) {
   for (const auto& [id, operation] : world.database.operations) {
-    std::printf("%d %s %s by %d:", static_cast<int>(id), std::string(word(operation.kind)).c_str(),
-                std::string(word(operation.state)).c_str(), static_cast<int>(operation.superseded_by));
+    std::printf("%d %s %s by %d:", static_cast<int>(id), std::string(name_of(operation.kind)).c_str(),
+                std::string(name_of(operation.state)).c_str(), static_cast<int>(operation.superseded_by));
     for (const Step& step : operation.steps) {
-      std::printf(" [%s %s %s]", step.instance.c_str(), std::string(word(step.state)).c_str(),
+      std::printf(" [%s %s %s]", step.instance.c_str(), std::string(name_of(step.state)).c_str(),
                   step.what.c_str());
     }
     std::printf("\n");
@@ -175,7 +175,7 @@
   }
   std::printf("\n");
   for (const auto& [name, row] : world.database.instances) {
-    std::printf("%s %s fence %d live %d %s\n", name.c_str(), std::string(word(row.desired)).c_str(),
+    std::printf("%s %s fence %d live %d %s\n", name.c_str(), std::string(name_of(row.desired)).c_str(),
                 static_cast<int>(row.fence), row.live, row.last_exit.c_str());
   }
 }
@@ -261,13 +261,13 @@
                                   "unknown",  "ended",    "storage", "busy",    "plan"};
   for (const auto& [index, count] : tally.verdicts) std::printf("%s %d, ", verdicts[index], count);
   for (const auto& [state, count] : tally.ends)
-    std::printf("%s %d, ", std::string(word(state)).c_str(), count);
+    std::printf("%s %d, ", std::string(name_of(state)).c_str(), count);
   std::printf("starts %d, kills of the agent %d, acts %d\n", tally.starts, tally.kills, tally.acts);
   for (std::size_t index : {0U, 1U, 2U, 3U, 5U, 7U, 9U})
     EXPECT_GT(tally.verdicts[index], 20) << verdicts[index];
   for (OperationState state : {OperationState::done, OperationState::failed, OperationState::cancelled,
                                OperationState::superseded}) {
-    EXPECT_GT(tally.ends[state], 20) << word(state);
+    EXPECT_GT(tally.ends[state], 20) << name_of(state);
   }
 }
 
--- a/tests/fleet/process_test.cpp
+++ b/tests/fleet/process_test.cpp
@@ -34,16 +34,16 @@
     return {std::istreambuf_iterator<char>(in), {}};
   }
   // Starts it and waits for its end.
-  Ending run(const std::string& script) {
+  ExitStatus run(const std::string& script) {
     pid_t pid = 0;
     EXPECT_FALSE(start_detached(shell(script), pid));
     return await(identify(pid).value_or(ProcessId{pid, 0, ""}));
   }
-  Ending await(const ProcessId& id, int signal = 0) {
+  ExitStatus await(const ProcessId& id, int signal = 0) {
     std::error_code bad;
-    std::optional<Ending> ending;
+    std::optional<ExitStatus> ending;
     const auto process = Process::open(
-        io, id, [&](Ending e) { ending = e; }, bad);
+        io, id, [&](ExitStatus e) { ending = e; }, bad);
     EXPECT_FALSE(bad) << bad.message();
     if (!process) return {};
     if (signal != 0) {
@@ -52,7 +52,7 @@
     io.restart();
     io.run_for(std::chrono::seconds(30));
     EXPECT_TRUE(ending);
-    return ending.value_or(Ending{});
+    return ending.value_or(ExitStatus{});
   }
 
   boost::asio::io_context io;
@@ -125,13 +125,13 @@
   std::error_code bad;
   id->start_time += 1;
   EXPECT_EQ(Process::open(
-                io, *id, [](Ending) {}, bad),
+                io, *id, [](ExitStatus) {}, bad),
             nullptr);
   EXPECT_EQ(bad, std::errc::no_such_process);
   id->start_time -= 1;
   id->boot = "another";
   EXPECT_EQ(Process::open(
-                io, *id, [](Ending) {}, bad),
+                io, *id, [](ExitStatus) {}, bad),
             nullptr);
   EXPECT_FALSE(identify(0));
   EXPECT_FALSE(identify(-1));
@@ -168,7 +168,7 @@
   std::error_code bad;
   bool ended = false;
   const auto process = Process::open(
-      io, identify(pid).value_or(ProcessId{pid, 0, ""}), [&](Ending) { ended = true; }, bad);
+      io, identify(pid).value_or(ProcessId{pid, 0, ""}), [&](ExitStatus) { ended = true; }, bad);
   ASSERT_TRUE(process);
   io.run_for(std::chrono::seconds(30));
   ASSERT_TRUE(ended);
--- a/tests/fleet/world.cpp
+++ b/tests/fleet/world.cpp
@@ -400,7 +400,7 @@
 }
 
 template <class Ask>
-void World::call(const Ask& a, Call call) {
+void World::call(const Ask& a, AdminCall call) {
   const InstanceRow* r = row(a.name);
   expect(r && r->fence == a.fence, "a call to " + a.name + " with another fence than recorded");
   at(now + some(ms), [this, life = life_, a, call] {
@@ -414,11 +414,11 @@
         answer.highest = folder.fence;
       } else {
         folder.fence = a.fence;
-        if (call == Call::drain && !folder.drain) {
+        if (call == AdminCall::drain && !folder.drain) {
           folder.drain = process->second.draining = true;
           start_draining(a.name);
         }
-        if (call == Call::undrain) folder.drain = process->second.draining = false;
+        if (call == AdminCall::undrain) folder.drain = process->second.draining = false;
       }
     }
     if (life == life_) later(answer.result == event::Answered::Result::failed ? second : ms, answer);
@@ -429,19 +429,19 @@
   note("drain " + a.name);
   expect(row(a.name) && row(a.name)->desired == Desired::drained,
          "AskDrain of " + a.name + " not as recorded");
-  call(a, Call::drain);
+  call(a, AdminCall::drain);
 }
 
 void World::act(const action::AskUndrain& a) {
   note("undrain " + a.name);
   expect(row(a.name) && row(a.name)->desired == Desired::running,
          "AskUndrain of " + a.name + " not as recorded");
-  call(a, Call::undrain);
+  call(a, AdminCall::undrain);
 }
 
 void World::act(const action::AskFence& a) {
   note("fence " + a.name);
-  call(a, Call::fence);
+  call(a, AdminCall::fence);
 }
 
 void World::act(const action::Removed& a) {
@@ -458,7 +458,7 @@
   });
 }
 
-void World::act(const action::Tell& a) {
+void World::act(const action::Reply& a) {
   expect(!verdicts.contains(a.request), "request " + std::to_string(a.request) + " told twice");
   if (auto* yes = std::get_if<verdict::Accepted>(&a.verdict)) {
     auto recorded = database.operations.find(yes->operation.id);
--- a/tests/fleet/world.hpp
+++ b/tests/fleet/world.hpp
@@ -141,11 +141,11 @@
   void act(const action::AskFence& a);
   void act(const action::Removed& a);
   void act(const action::SetTimer& a);
-  void act(const action::Tell& a);
+  void act(const action::Reply& a);
   void act(const action::OperationChanged&) {}
   void act(const action::Log&) {}
   template <class Ask>
-  void call(const Ask& a, Call call);
+  void call(const Ask& a, AdminCall call);
   void start_draining(const std::string& name);
   void check_rows();
   void check_done(const Step& step);
