--- a/fleet/agent.cpp
+++ b/fleet/agent.cpp
@@ -27,10 +27,10 @@
 
 namespace {
 
-constexpr std::size_t kMaxStatusBytes = 256 << 10;  // bytes, for showing
+constexpr std::size_t kMaxStatusBytes = 256 << 10;  // a longer status answer is not kept for display
 constexpr auto kLockTimeout = std::chrono::seconds(2);
 
-// Variables that would tell a relay what its options tell, or are meant for the agent alone.
+// Environment variables that a relay must not inherit: they duplicate its options or are for the agent alone.
 const std::vector<std::string>& hidden_variables() {
   static const std::vector<std::string> names{
       "LB_CONFIG",     "LB_STATE",       "HERONVANE_SETTINGS",     "NOTIFY_SOCKET",
@@ -45,8 +45,8 @@
       .count();
 }
 
-// A slip of the hand must not close /var or /tmp to all others: only a folder of the agent's own gets its
-// mode.
+// Whether the folder holds files that are not an agent's. The agent sets mode 0700 on its data folder, which
+// must not happen to /var or /tmp named by mistake.
 bool has_foreign_entries(const std::string& path, std::error_code& bad) {
   bool any = false;
   for (std::filesystem::directory_iterator at(path, bad), end; !bad && at != end; at.increment(bad)) {
@@ -62,7 +62,7 @@
   return (static_cast<std::uint64_t>(random()) << 32) | random();
 }
 
-// What a list of many relays shows of their copies.
+// The part of a status answer's `copies` that a list of many instances shows, as JSON; empty: no copies.
 std::string copies_summary(const rapidjson::Value& status) {
   const auto* const copies = wire::find_member(status, "copies");
   if (copies == nullptr || !copies->IsObject()) return {};
@@ -115,14 +115,15 @@
     throw std::runtime_error(path + ": another heronvane-agent has it" +
                              (has_pid ? ", pid " + std::to_string(std::atol(pid)) : ""));
   }
-  // For operators who want to end it. The lock holds without, where the disk is full.
+  // The pid is for operators. On a full disk it is missing; the lock holds all the same.
   const std::string pid = std::to_string(::getpid()) + "\n";
   [[maybe_unused]] const bool written =
       ::ftruncate(lock_, 0) == 0 && ::pwrite(lock_, pid.data(), pid.size(), 0) > 0;
 }
 
 DataFolder::~DataFolder() {
-  [[maybe_unused]] const int emptied = ::ftruncate(lock_, 0);  // the pid may become another process's
+  [[maybe_unused]] const int emptied =
+      ::ftruncate(lock_, 0);  // else it would name a pid that the kernel may reuse
   ::close(lock_);
 }
 
@@ -228,12 +229,12 @@
   try {
     const auto fleet = fleet_of(a.generation);
     if (!fleet)
-      throw std::runtime_error("no fleet of generation " + std::to_string(a.generation) + " is kept");
+      throw std::runtime_error("generation " + std::to_string(a.generation) + " is not in the database");
     instance.folder.write_config(*fleet, a.generation);
     instance.config_error.clear();
   } catch (const std::exception& e) {
     instance.config_error = e.what();
-    heronvane::log("instance " + a.name + ": its configuration: " + e.what());
+    heronvane::log("instance " + a.name + ": configuration not written: " + e.what());
   }
   notify_step();
 }
@@ -253,14 +254,14 @@
     events_.push_back(event::SpawnFailed{a.name, a.run, why});
 }
 
-// Empty: it stands; else why not.
+// Starts the instance's process. Returns an empty string, or the reason of the failure.
 std::string Agent::spawn(Instance& instance, const action::Spawn& a) {
-  if (instance.process) return "its earlier process still stands";
+  if (instance.process) return "an earlier process of the instance is still running";
   if (!instance.config_error.empty()) return instance.config_error;
   instance.folder.make();
   const InstanceRow* row = decider_.instance(a.name) ? decider_.instance(a.name)->row : nullptr;
   const auto fleet = fleet_of(row != nullptr && row->config > 0 ? row->config : decider_.generation());
-  if (!fleet) return "no fleet is kept for it";
+  if (!fleet) return "the fleet of its generation is not in the database";
   Command c;
   c.program = find_program(fleet->program());
   if (c.program.empty()) return fleet->program() + ": no such program beside the agent's own or in PATH";
@@ -268,7 +269,8 @@
   c.log = instance.folder.log();
   c.hidden = hidden_variables();
   c.descriptors = options_.relay_descriptors;
-  // A Unix socket's path is bounded: where the whole one is too long, the one from its own folder serves.
+  // A Unix socket's path has a limited length. If the absolute path is too long, use one relative to its
+  // folder.
   const std::string at = instance.folder.state().size() < 90 ? instance.folder.path() + "/" : "";
   c.arguments = {"--config",   at + "config.json",   "--state", at + "state",
                  "--settings", at + "settings.toml", "--run",   a.run};
@@ -280,7 +282,8 @@
   auto process = Process::open(
       io_, id, [this, name = a.name, run = a.run](ExitStatus e) { process_ended(name, run, e); }, bad);
   if (!process) {
-    // Without a descriptor it could be neither watched nor signalled; as a child its pid is still its own.
+    // Without a pidfd the process can be neither watched nor signalled safely. It is an unreaped child, so
+    // its pid can't have been reused yet.
     ::kill(pid, SIGKILL);
     ::waitpid(pid, nullptr, 0);
     return "pidfd: " + bad.message();
@@ -355,7 +358,7 @@
 void Agent::perform(const action::Removed& a) {
   const auto it = instances_.find(a.name);
   if (it != instances_.end() && it->second->process) {
-    heronvane::log("instance " + a.name + ": its folder stays, a process stands in it");
+    heronvane::log("instance " + a.name + ": folder kept, a process still uses it");
     return;
   }
   instances_.erase(a.name);
@@ -399,8 +402,8 @@
 
 // ---- processes ----
 
-// Looks for the run of each row that is told to live: first where it was last seen, then among all processes,
-// since the agent may have been killed between a start and its record.
+// Looks for the process of each row with `live`: first by its recorded process id, then by run among all
+// processes, since the agent may have been killed between a start and its record.
 void Agent::adopt(const std::vector<InstanceRow>& rows) {
   const auto recorded = database_.processes();
   std::optional<std::multimap<std::string, ProcessId>> all;
@@ -462,7 +465,7 @@
   if (ending.known)
     handle_event(event::Exited{name, run, ending.status, ending.signal, drained});
   else
-    handle_event(event::NotFound{name, run, drained});  // not a child: how it ended nobody tells
+    handle_event(event::NotFound{name, run, drained});  // not a child: its exit status is unknown
 }
 
 void Agent::poll_status(const std::string& name) {
@@ -489,7 +492,8 @@
 
 void Agent::status_answered(const std::string& name, const AdminAnswer& a) {
   Instance& instance = instance_for(name);
-  // The agent's own want must not end relays that are well.
+  // The request was not sent, for lack of descriptors or memory in the agent: that must not end a healthy
+  // relay.
   if (a.not_put) return schedule_status_poll(instance, options_.status_interval);
   event::StatusSeen e;
   e.name = name;
@@ -508,7 +512,7 @@
         e.held = wire::optional_field(*held, "total", "status.held", wire::as_uint64, 0);
         e.oldest_ms = wire::optional_field(*held, "oldest_ms", "status.held", wire::as_int64, 0);
       }
-      // One of another run answers in this one's folder: this one does not.
+      // An answer of another run does not count as one of this process.
       seen = e.run == instance.run;
       if (seen) {
         instance.status = a.body.size() <= kMaxStatusBytes ? a.body : "";
@@ -517,7 +521,7 @@
       }
     }
   } catch (const std::exception& bad) {
-    heronvane::log("instance " + name + ": its status: " + bad.what());
+    heronvane::log("instance " + name + ": status answer not readable: " + bad.what());
   }
   const auto process_number = instance.process_number;
   if (seen)
--- a/fleet/agent.hpp
+++ b/fleet/agent.hpp
@@ -1,6 +1,7 @@
-// The agent: gathers what happens on this machine, asks the decider, carries out what it says.
+// The agent: passes the events of this machine to the decider and performs the actions that it returns.
 //
-// It owns its data folder while it lives. Its end, by any way, touches no relay. One thread.
+// It holds the lock of its data folder while it runs. The relays run on when it ends or is killed, unless
+// stop_relays() was called. One thread.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -27,23 +28,24 @@
 namespace heronvane::fleet {
 
 struct AgentOptions {
-  std::string data;         // an absolute path; made where it is not there
-  std::string own_program;  // beside it relays' programs are looked for
+  std::string data;         // absolute path of the data folder; created if missing
+  std::string own_program;  // path; relay programs are looked up in its folder first
   Tuning tuning;
   DatabaseOptions database;
-  std::uint64_t log_bytes = 10'000'000;  // of an instance's log before it is rotated
-  std::chrono::milliseconds status_interval{1'000};
-  std::chrono::milliseconds status_interval_busy{100};  // of instances that start, drain or stop
-  std::uint64_t relay_descriptors = 0;  // the relays' soft limit of open files; 0: the agent's own
-  // Called at each step that lasts or acts, for tests that end the agent there.
+  std::uint64_t log_bytes = 10'000'000;                 // an instance's log larger than this is rotated
+  std::chrono::milliseconds status_interval{1'000};     // from a status answer to the next request
+  std::chrono::milliseconds status_interval_busy{100};  // for instances that start, drain or stop
+  std::uint64_t relay_descriptors = 0;  // the relays' soft limit of open files; 0: the agent's
+  // Called before and after each database write, after each config write and spawn, and before each signal
+  // and admin call. Tests kill the agent there.
   std::function<void()> on_step;
 };
 
-// The data folder, for one agent at a time.
+// The lock on the data folder: one agent at a time.
 class DataFolder {
  public:
-  // Throws std::runtime_error: in use, or it can't be made. Waits a moment for children of an agent that was
-  // killed, which hold its lock until they run their program.
+  // Throws std::runtime_error: the folder is in use or holds other files, or it can't be created. Waits up to
+  // 2 s, since children of a killed agent hold its lock until they execute their program.
   explicit DataFolder(const std::string& path);
   ~DataFolder();
   DataFolder(const DataFolder&) = delete;
@@ -55,15 +57,15 @@
 
 class Agent : public ApiBackend {
  public:
-  // Opens the folder and its database and looks for the processes of the instances. Throws std::exception.
+  // Opens the folder and its database. Throws std::exception.
   Agent(boost::asio::io_context& io, AgentOptions options);
   ~Agent() override;
   Agent(const Agent&) = delete;
   Agent& operator=(const Agent&) = delete;
 
-  // Takes up the work: what was found goes to the decider.
+  // Looks for the processes of the recorded instances, passes the result to the decider and begins work.
   void start();
-  // From now on nothing is started; ends all relays (SIGTERM, past `grace` SIGKILL), then calls `done`.
+  // Starts nothing from now on. Sends SIGTERM to all relays, SIGKILL after `grace`, then calls `done`.
   void stop_relays(std::chrono::milliseconds grace, std::function<void()> done);
 
   const Decider& decider() const override { return decider_; }
@@ -121,19 +123,19 @@
   Microseconds started_;
   std::chrono::steady_clock::time_point started_steady_;
   PlatformHost platform_;
-  std::string applied_platform_text_;       // the fleet whose platform stands, as its text
-  std::vector<InstanceRow> restored_rows_;  // rows that stood when the agent began, until start()
+  std::string applied_platform_text_;       // text of the fleet whose platform is applied
+  std::vector<InstanceRow> restored_rows_;  // the rows read at construction; empty after start()
   Decider decider_;
   std::map<std::string, std::unique_ptr<Instance>> instances_;
   std::deque<Event> events_;
-  bool fleet_changed_ = true;  // the fleet may have become another
+  bool fleet_changed_ = true;  // a fleet may have been recorded since apply_platform()
   bool processing_events_ = false, stopping_ = false;
   std::function<void()> on_relays_ended_;
   boost::asio::steady_timer timer_, kill_timer_;
   RequestId last_request_ = 0;
   std::map<RequestId, std::function<void(Verdict)>> requests_;
   std::map<OperationId, std::vector<std::weak_ptr<LineStream>>> followers_;
-  std::map<Generation, std::shared_ptr<const Fleet>> fleets_;  // a few, as last used
+  std::map<Generation, std::shared_ptr<const Fleet>> fleets_;  // cache of at most kCachedFleets
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/fleet/agent_api.cpp
+++ b/fleet/agent_api.cpp
@@ -1,4 +1,4 @@
-// What the API asks of the agent.
+// The agent's implementation of ApiBackend.
 #include <unistd.h>
 
 #include <algorithm>
@@ -103,7 +103,7 @@
   search->answer_received();
 }
 
-// One after the other: the first that holds its log does it.
+// Asks the instances one after the other, until one that holds a copy of the relay's log takes over.
 void Agent::take_over(const std::string& relay, std::function<void(TakeOverView)> done) {
   struct Search {
     std::vector<std::pair<std::string, std::string>> remaining;  // instance, state folder
--- a/fleet/agent_instance.hpp
+++ b/fleet/agent_instance.hpp
@@ -1,4 +1,4 @@
-// What the agent knows of one instance besides what is decided. For the agent's own files alone.
+// The agent's own state of one instance, beside the decider's. For agent.cpp and agent_api.cpp alone.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -16,14 +16,15 @@
 
   std::string name;
   InstanceFolder folder;
-  std::string run;  // of the process
+  std::string run;  // of `process`
   std::unique_ptr<Process> process;
-  std::string config_error;  // of the last attempt to write it
+  std::string config_error;  // of the last write_config(); empty: it succeeded
   boost::asio::steady_timer timer;
-  std::uint64_t process_number = 0;  // counts processes: answers to an earlier one's questions say nothing
+  std::uint64_t process_number =
+      0;  // changes at each start and end: answers of an earlier process are dropped
   bool state_folder_seen = false;
-  std::string status;       // as last told
-  std::string copies_json;  // of it, in short, as JSON; empty: none are kept
+  std::string status;       // last status answer, JSON; empty: none, or longer than kMaxStatusBytes
+  std::string copies_json;  // summary of its member `copies`, JSON; empty: it has none
   Microseconds status_at = 0;
 };
 
--- a/fleet/commands.cpp
+++ b/fleet/commands.cpp
@@ -51,7 +51,7 @@
       if (at == working.instances.end()) continue;
       auto listen = spec.own.find("listen");
       const std::string address = listen == spec.own.end() ? "" : listen->second;
-      // What an earlier change wanted and did not bring about is wanted no more.
+      // This change replaces the goal of an earlier one that was not reached.
       if (at->second.listen == address && at->second.wanted == at->second.config) continue;
       InstanceRow& row = edit(spec.name);
       row.listen = address;
@@ -69,7 +69,7 @@
       row.wanted = generation;
     }
     if (step.work == Work::add) {
-      row.removing = false;  // else its row could go before the step begins
+      row.removing = false;  // else its row could be deleted before the step begins
       for (const InstanceSpec& spec : working.fleet.instances) {
         if (spec.name != step.instance) continue;
         auto listen = spec.own.find("listen");
@@ -84,7 +84,8 @@
   });
 }
 
-// What is begun is left to become what its rows desire; the operation judges it no more.
+// Ends an operation before its steps have. Instances whose steps have begun still converge to their rows'
+// desired state.
 void Decider::State::end_early(Microseconds now, Operation& operation, OperationState state) {
   operation.state = state;
   operation.ended = now;
@@ -93,7 +94,7 @@
       step.state = StepState::skipped;
     } else if (step.state == StepState::acting) {
       step.state = StepState::failed;
-      step.what = "left as it was begun";
+      step.what = "operation ended before this step";
     } else {
       continue;
     }
--- a/fleet/converge.cpp
+++ b/fleet/converge.cpp
@@ -1,5 +1,5 @@
-// Each instance made what its row desires. What is seen changes a row only here and in steps, so that it is
-// recorded; the notes of it are dropped once that stands.
+// Brings each instance to the desired state in its row. Observations change rows only here and in steps.cpp,
+// so that the changes are recorded; an observation is cleared once the record is acknowledged.
 #include <algorithm>
 #include <utility>
 
@@ -49,8 +49,8 @@
   ++observed.step_crashes;
 }
 
-// Fences of others are kept under the next operation: an agent that lost its database is not shut out for
-// good.
+// Raises the last operation id to a fence seen at a relay, so that the next operation gets a higher one. Else
+// an agent that lost its database would be fenced for good.
 void Decider::State::raise_last_operation(OperationId fence) {
   if (fence <= working.last_operation) return;
   working.last_operation = fence;
@@ -79,10 +79,10 @@
     if (row.desired != Desired::running) {
       row.ended_drained = true;
     } else if (*end.drained > row.fence) {
-      // Someone else drained it, later than any operation of this agent: it stays ended.
+      // Drained by another client after this agent's last operation on it: it stays down.
       row.desired = Desired::drained;
       row.ended_drained = true;
-      log(name + " was drained by another, fence " + std::to_string(*end.drained));
+      log(name + " was drained by another client, fence " + std::to_string(*end.drained));
     }
   }
   const bool crash = !asked && !end.drained && !end.unobserved;
@@ -142,11 +142,13 @@
     const bool silent = observed.status_missed && now - observed.answered_at >= timeout;
     if (!silent && !observed.state_folder_missing) return true;
     edit(row.name).retire = row.run;
-    log(row.name + (silent ? " has not answered: ended" : " has lost its folder: ended"));
+    log(row.name +
+        (silent ? " does not answer on its admin socket: ending it" : " has no state folder: ending it"));
     recorded_hooks.push_back(
         [this, name = row.name](Microseconds, Actions&) { observations[name].ended_by_agent = true; });
   }
-  if (observed.foreign_fence > row.fence && !observed.ended_by_agent && step) return false;  // the step fails
+  if (observed.foreign_fence > row.fence && !observed.ended_by_agent && step)
+    return false;  // check_step() fails the step
   auto signal = [&](Signum which) {
     recorded_hooks.push_back(
         [this, name = row.name, run = row.run, which](Microseconds at, Actions& actions) {
@@ -189,7 +191,7 @@
   if (observed.status->draining || (undrain && observed.status->fence < row.fence)) {
     call_admin(now, row, AdminCall::undrain);
   } else if (row.drain_kept && observed.status->fence >= row.fence) {
-    edit(row.name).drain_kept = false;  // no earlier drain can come after that fence
+    edit(row.name).drain_kept = false;  // a drain with a lower fence is refused from now on
   }
 }
 
--- a/fleet/database.cpp
+++ b/fleet/database.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Raised by one for each change of the tables; each step of migrate() leads to the next.
+// Raised by one for each change of the tables; migrate() has one step for each version.
 constexpr int kSchemaVersion = 1;
 
 constexpr const char* kSchema = R"(
@@ -42,7 +42,7 @@
   return static_cast<Enum>(v);
 }
 
-// Lines hold no line breaks: each is made of names and JSON.
+// A line never contains a line break: it consists of names and JSON.
 std::string join(const std::vector<std::string>& lines) {
   std::string all;
   for (const auto& l : lines) all.append(l).append(1, '\n');
@@ -122,11 +122,11 @@
   db_.reset(opened);
   if (result != SQLITE_OK)
     throw DatabaseError("database: " + file + ": " +
-                        (opened == nullptr ? "no memory" : sqlite3_errmsg(opened)));
+                        (opened == nullptr ? "out of memory" : sqlite3_errmsg(opened)));
   ::chmod(file.c_str(), 0600);
   sqlite3_extended_result_codes(opened, 1);
   sqlite3_busy_timeout(opened, 2'000);
-  // Looked at before anything is written: a newer program's file stays as it is.
+  // migrate() checks the version before it writes, so that a newer program's file stays unchanged.
   migrate();
   if (options_.max_pages > 0) limit_pages(options_.max_pages);
 }
@@ -143,9 +143,9 @@
   const auto version = user_version.number();
   user_version.bind();
   if (version > kSchemaVersion)
-    throw DatabaseError("database: its version is " + std::to_string(version) +
-                        ", this program knows up to " + std::to_string(kSchemaVersion) +
-                        ": run the newer heronvane-agent");
+    throw DatabaseError("database: schema version " + std::to_string(version) + ", newer than " +
+                        std::to_string(kSchemaVersion) +
+                        ", the highest that this program supports: run the newer heronvane-agent");
   execute("PRAGMA journal_mode=WAL");
   execute("PRAGMA synchronous=FULL");
   execute("PRAGMA foreign_keys=ON");
@@ -166,7 +166,7 @@
     execute("COMMIT");
     return {};
   } catch (const std::exception& e) {
-    // Some errors have rolled it back already.
+    // After some errors SQLite has rolled back already.
     if (sqlite3_get_autocommit(db_.get()) == 0)
       sqlite3_exec(db_.get(), "ROLLBACK", nullptr, nullptr, nullptr);
     return e.what();
@@ -192,7 +192,7 @@
 
 void Database::write_operation(Microseconds now, const Operation& operation) {
   const std::string subject = "operation " + std::to_string(operation.id);
-  std::map<std::int64_t, std::int64_t> before;  // states of its steps
+  std::map<std::int64_t, std::int64_t> before;  // state of each step, by position
   std::optional<std::int64_t> state;
   {
     Statement query(db_.get(), "SELECT state FROM operations WHERE id=?");
@@ -267,7 +267,7 @@
   Statement(db_.get(), "DELETE FROM history WHERE number<=(SELECT max(number) FROM history)-?")
       .bind(options_.history_kept)
       .step();
-  // Whatever an instance runs with or shall run with stays: the newest fleet that is not above its
+  // Keeps each fleet that an instance runs with or should run with: the newest one that is not above its
   // generation.
   Statement(db_.get(),
             "DELETE FROM fleets WHERE generation<=(SELECT generation FROM fleets ORDER BY generation DESC "
@@ -282,7 +282,7 @@
   Restored restored;
   {
     Statement query(db_.get(), "SELECT generation, last_operation FROM state");
-    if (!query.step()) throw DatabaseError("database: it has no state");
+    if (!query.step()) throw DatabaseError("database: table state has no row");
     restored.generation = query.count();
     restored.last_operation = query.count();
   }
--- a/fleet/database.hpp
+++ b/fleet/database.hpp
@@ -1,7 +1,7 @@
-// What the agent must still know after it was killed: an SQLite file. One thread uses it.
+// The agent's persistent state, in an SQLite file. Used by one thread.
 //
-// Each record is one transaction that lasts (WAL, synchronous FULL) once save() has returned no error. A full
-// or broken disk is told as an error and changes nothing; only opening throws.
+// Each record is one transaction, durable (WAL, synchronous FULL) once save() has returned no error. On a
+// full or failing disk save() returns an error and changes nothing.
 #pragma once
 
 #include <cstdint>
@@ -26,10 +26,10 @@
 };
 
 struct DatabaseOptions {
-  int max_pages = 0;            // of the file, each 4,096 bytes; 0: no bound
-  int operations_kept = 1'000;  // that ended
-  int fleets_kept = 100;        // versions of the fleet that no instance needs
-  int history_kept = 20'000;    // lines
+  int max_pages = 0;            // largest file size, in pages of 4,096 bytes; 0: no limit
+  int operations_kept = 1'000;  // ended operations
+  int fleets_kept = 100;        // newest fleets; older ones stay while an instance needs them
+  int history_kept = 20'000;    // newest lines
 };
 
 struct HistoryLine {
@@ -42,30 +42,31 @@
  public:
   using ReadFleet = std::function<FleetSpec(const std::string& text)>;
 
-  // Makes the file where there is none. Throws DatabaseError: no database, one of a newer version, damaged,
-  // or it can't be written.
+  // Creates the file if missing. Throws DatabaseError: not a database, a newer schema version, damaged, or
+  // not writable.
   explicit Database(const std::string& file, DatabaseOptions options = {});
   ~Database();
   Database(const Database&) = delete;
   Database& operator=(const Database&) = delete;
 
-  // Writes all of it or nothing. `processes`: by name, of rows whose run stands, who they are. Empty: it
-  // lasts; else why not.
+  // Writes the record in one transaction. `processes`: by instance name, the process of each row whose run is
+  // alive. Returns an empty string once the record is durable, else the error; then nothing was written.
   std::string save(Microseconds now, const action::Record& record,
                    const std::map<std::string, ProcessId>& processes);
 
-  // Throws DatabaseError, and what `read` throws.
+  // Reads the state; `read` parses the text of the last fleet. Throws DatabaseError and what `read` throws.
   Restored restore(const ReadFleet& read);
-  // As last saved: who the process of each instance's run was.
+  // The last saved process of each instance whose run was alive, by instance name.
   std::map<std::string, ProcessId> processes();
-  // The fleet that was in force at that generation, as applied; nothing where it is none or no longer kept.
+  // The text of the fleet in force at that generation; nullopt if there was none or it was deleted.
   std::optional<std::string> fleet_at(Generation generation);
-  // The highest index that the platform told; 0: none yet.
+  // The highest index that the platform has published; 0: none.
   std::int64_t platform_index();
-  bool save_platform_index(std::int64_t index);  // false: it does not last
+  bool save_platform_index(std::int64_t index);  // false: not written
   // Newest first.
   std::vector<HistoryLine> history(int limit);
 
+  // Largest file size, in pages; 0: no limit.
   void limit_pages(int most);
 
  private:
--- a/fleet/decider.cpp
+++ b/fleet/decider.cpp
@@ -38,12 +38,12 @@
     if (operation.state != OperationState::running) continue;
     update_open_steps(operation);
     for (const Step& step : operation.steps) {
-      // Of a removed one the row goes before its step is done.
+      // The row of a removed instance is deleted before its step ends.
       if (fleet::ended(step.state) || recorded.instances.contains(step.instance) ||
           step.work == Step::Work::remove)
         continue;
-      repairs.push_back("operation " + std::to_string(id) + " has a step of " + step.instance +
-                        ", which is not there");
+      repairs.push_back("operation " + std::to_string(id) + ": instance " + step.instance +
+                        " of an open step has no row");
     }
   }
   prune_operations();
@@ -57,7 +57,7 @@
   return z ^ (z >> 31);
 }
 
-// The time goes in: a seed that was used before draws no run again.
+// `now` is mixed in, so that a repeated seed does not repeat a run id.
 std::string Decider::State::new_run_id(Microseconds now) {
   random ^= static_cast<std::uint64_t>(now);
   std::uint64_t value = next_random();
@@ -92,7 +92,8 @@
   set_timer(now, actions);
 }
 
-// A timer that comes late tells that the machine slept, or this agent: instances had no chance to answer.
+// A late timer means that the machine or the agent was suspended. The instances had no chance to answer, so
+// their time limits are moved by that time.
 void Decider::State::detect_suspend(Microseconds now, Actions& actions) {
   if (timer_at == 0 || now <= timer_at + tuning.suspend_threshold) return;
   const Microseconds suspended_for = now - timer_at;
@@ -104,7 +105,8 @@
     }
   }
   timer_at = now;
-  actions.push_back(action::Log{"awake after " + std::to_string(suspended_for / 1'000'000) + " s"});
+  actions.push_back(
+      action::Log{"resumed after a suspension of " + std::to_string(suspended_for / 1'000'000) + " s"});
 }
 
 void Decider::State::run_round_for(Microseconds now, const std::string& name, Actions& actions) {
@@ -117,7 +119,7 @@
   run_round(now, actions);
 }
 
-// One round of decisions, where no record is out. What it decides is one transaction.
+// One round of decisions, if no record is unacknowledged. Its changes form one transaction.
 void Decider::State::run_round(Microseconds now, Actions& actions) {
   if (record_pending) return;
   bool recording = false;
@@ -136,7 +138,7 @@
     }
     if (all) {
       for (const auto& [name, at] : open_steps) operations.insert(at.first);
-      // One without open steps has but to end.
+      // An operation without open steps only has to be ended.
       for (const auto& [id, operation] : recorded.operations) {
         if (operation.state == OperationState::running) operations.insert(id);
       }
@@ -217,7 +219,7 @@
       observations[name];
     }
   }
-  // The superseded first: what superseded them has the higher id.
+  // Superseded operations come first: the operation that supersedes them has a higher id.
   for (OperationId id : dirty_operations) {
     const Operation& operation = working.operations.at(id);
     update_open_steps(operation);
@@ -265,12 +267,12 @@
   if (pending_request) actions.push_back(action::Reply{*pending_request, verdict::Storage{why}});
   pending_request.reset();
   if (retry_record_at == 0)
-    actions.push_back(action::Log{"nothing is done before it can be recorded: " + why});
+    actions.push_back(action::Log{"database write failed, no change until one succeeds: " + why});
   retry_record_at = now + tuning.record_retry_delay;
   all_due = true;
 }
 
-// Ended operations beyond the last ones; the database has them.
+// Drops the oldest ended operations beyond operations_kept; they stay in the database.
 void Decider::State::prune_operations() {
   std::size_t ended_count = 0;
   for (const auto& [id, operation] : recorded.operations)
@@ -309,7 +311,7 @@
   actions.push_back(action::SetTimer{at});
 }
 
-// ---- what is seen ----
+// ---- events ----
 
 Observed* Decider::State::find_process(const std::string& name, const std::string& run) {
   auto at = recorded.instances.find(name);
@@ -353,7 +355,7 @@
 void Decider::State::on(Microseconds now, const event::RecordFailed& e, Actions& actions) {
   if (!record_pending || e.record != last_record) return;
   revert(now, e.why, actions);
-  if (!queue.empty()) run_round(now, actions);  // each is tried, and told
+  if (!queue.empty()) run_round(now, actions);  // each waiting command is tried and answered
 }
 
 void Decider::State::on(Microseconds now, const event::Spawned& e, Actions& actions) {
@@ -424,7 +426,7 @@
   if (e.call == AdminCall::fence && e.result != event::Answered::Result::fenced)
     observed->fence_answered = true;
   if (e.result == event::Answered::Result::failed) observed->admin_error = e.why;
-  // A late answer to the call of an earlier operation says nothing about this one.
+  // A late answer to an earlier operation's call carries a lower fence and is ignored.
   if (e.result == event::Answered::Result::fenced &&
       e.highest > recorded.instances.find(e.name)->second.fence) {
     observed->foreign_fence = std::max(observed->foreign_fence, e.highest);
@@ -444,7 +446,7 @@
   run_full_round(now, actions);
 }
 
-// ---- the outside ----
+// ---- public interface ----
 
 Decider::Decider(Restored state, std::uint64_t seed, Tuning tuning)
     : state_(std::make_unique<State>(std::move(state), seed, tuning)) {}
--- a/fleet/decider.hpp
+++ b/fleet/decider.hpp
@@ -1,16 +1,17 @@
 // heronvane's fleet: the decisions of an agent that keeps relays on one machine.
 //
-// The agent feeds one Decider what it sees (commands, ends of processes, answers of admin sockets, records
-// that stand) and carries out the actions that come back, in order. The decider never blocks, does no input
-// or output, reads no clock and starts no thread: equal state, seed and events give equal actions.
+// The agent passes events to one Decider (commands, process exits, answers from admin sockets, completed
+// database writes) and performs the actions that it returns, in order. The decider never blocks, does no
+// input or output, reads no clock and starts no thread: equal state, seed and events give equal actions.
 //
-// What lasts is Restored: after the agent was killed, a Decider made of exactly the rows whose records were
-// acknowledged goes on. An action that touches a process comes out only after Recorded for the record that
-// tells of it. One record is out at a time; decisions that come up meanwhile wait for its end.
+// Restored is the persistent state. After the agent was killed, a new Decider continues from exactly the rows
+// of the acknowledged records. An action that affects a process is returned only after Recorded has arrived
+// for the record that describes it. At most one record is unacknowledged at a time; further decisions wait
+// until it is acknowledged or fails.
 //
 // All times and durations are in microseconds. Time counts from the epoch on a clock that never goes back
-// while the agent lives (the wall clock at its start, then the steady clock). Recorded times are for showing;
-// no decision hangs on them.
+// while the agent runs (the wall clock at its start, then the steady clock). Recorded times are for display;
+// no decision depends on them.
 #pragma once
 
 #include <cstddef>
@@ -26,9 +27,9 @@
 namespace heronvane::fleet {
 
 using Microseconds = std::int64_t;
-using OperationId = std::uint64_t;  // also the fence that its admin calls carry; 0: none
-using RecordId = std::uint64_t;     // ascending while one Decider lives; begins at 1 again in the next
-using RequestId = std::uint64_t;    // the agent's own, given back in Tell
+using OperationId = std::uint64_t;  // also the fencing token of its admin calls; 0: none
+using RecordId = std::uint64_t;     // ascending within one Decider; a new Decider starts at 1 again
+using RequestId = std::uint64_t;    // assigned by the agent, returned in Reply
 using Generation = std::uint64_t;
 
 enum class Desired { running, drained, stopped };
@@ -49,118 +50,119 @@
 enum class OperationState { running, done, failed, cancelled, superseded };
 enum class StepState { waiting, acting, done, failed, skipped };
 enum class Signum { term, kill };
-enum class AdminCall { drain, undrain, fence };  // what was asked of an admin socket
+enum class AdminCall { drain, undrain, fence };  // requests to a relay's admin socket
 
-// The words of the API, as docs/design/fleet.md writes them.
+// The value's name in the API, as in docs/design/fleet.md.
 std::string_view name_of(Desired value);
 std::string_view name_of(Phase value);
 std::string_view name_of(Kind value);
 std::string_view name_of(OperationState value);
 std::string_view name_of(StepState value);
 
-// A configuration as far as the decisions need it: parts by name (`limits.disk_mb`) with their values as they
-// are to be shown in a diff. What they mean is the agent's affair.
+// A configuration as the decider sees it: parts by name (`limits.disk_mb`), with their values in the form
+// that a diff shows. The decider only compares them; the agent interprets them.
 using ConfigParts = std::map<std::string, std::string>;
 
 struct InstanceSpec {
-  std::string name;  // 1 to 64 characters of a-z 0-9 -, no two alike
-  ConfigParts own;   // `listen` and what else is its own; a change restarts it
+  std::string name;  // 1 to 64 characters of a-z 0-9 -, unique
+  ConfigParts own;   // `listen` and other settings of this instance alone; a change restarts it
 };
 struct FleetSpec {
   int max_unavailable = 1;
-  ConfigParts common;                   // in the configuration of each instance: a change restarts all
-  ConfigParts agent_parts;              // the agent's own (the platform): shown in the diff, restarts nothing
+  ConfigParts common;       // in the configuration of every instance; a change restarts all
+  ConfigParts agent_parts;  // settings of the agent (the platform); in the diff, but restart nothing
   std::vector<InstanceSpec> instances;  // at most 1,000
-  std::string text;                     // as applied; opaque, only kept and given back
+  std::string text;                     // the fleet file as applied; stored and returned unread
 };
 
-// ---- rows that last ----
+// ---- persistent rows ----
 
 struct InstanceRow {
   std::string name;
-  std::string listen;  // own["listen"], for showing
+  std::string listen;  // own["listen"], for display
   Desired desired = Desired::stopped;
-  Generation changed = 0;      // of the last accepted change that names it: what staleness is judged by
-  Generation wanted = 0;       // of the fleet whose configuration it shall run with
-  Generation config = 0;       // of the fleet whose configuration its next start gets; 0: none yet
-  std::string digest;          // of the parts that configuration was made of
-  OperationId fence = 0;       // of the last operation that acted on it
-  std::string run;             // last run started or about to be; empty: never started
-  bool live = false;           // that run was to be started and its end has not been seen
-  int pid = 0;                 // of the run; 0: not seen yet (it may live all the same)
-  std::string retire;          // this run shall end and another start in its place; empty: none
-  bool drain_kept = false;     // its store may hold a drain: started to run, it gets --undrain
-  bool ended_drained = false;  // it ended by a drain and stays ended until undrained
-  bool removing = false;       // goes out of the fleet once it is drained
-  std::uint64_t restarts = 0;  // starts that no operation asked for
-  std::string last_exit;       // "status 1", "signal 9", "drained", "gone" (ended while no agent looked)
+  Generation changed = 0;      // generation of the last accepted change that names it; decides staleness
+  Generation wanted = 0;       // generation of the fleet whose configuration it should run with
+  Generation config = 0;       // generation whose configuration its next start gets; 0: none yet
+  std::string digest;          // of the parts that this configuration was made from
+  OperationId fence = 0;       // fencing token: the last operation that acted on it
+  std::string run;             // id of the last run, started or about to be started; empty: never started
+  bool live = false;           // the run was recorded for a start and its end has not been seen
+  int pid = 0;                 // of the run; 0: not known yet (the process may exist)
+  std::string retire;          // id of a run that has to end and be replaced by a new one; empty: none
+  bool drain_kept = false;     // its store may hold a drain mark: a start to run passes --undrain
+  bool ended_drained = false;  // it exited after a drain and stays down until undrained
+  bool removing = false;       // is removed from the fleet once drained
+  std::uint64_t restarts = 0;  // starts after an exit that no operation requested
+  std::string last_exit;       // "status 1", "signal 9", "drained", "gone" (exit not observed)
 };
 
 struct Step {
   std::string instance;
   StepState state = StepState::waiting;
-  std::string what;  // for people
+  std::string what;  // progress or result, for display
   Microseconds since = 0;
-  std::string run_before;  // the run that stood when it began to act
-  // What an acting step does; of apply and rollback it differs by instance.
+  std::string run_before;  // the live run when the step began; empty: none
+  // The kind of change. The steps of one apply or rollback differ by instance.
   enum class Work { start, stop, drain, undrain, restart, add, remove, rewrite } work = Work::start;
 };
 struct Operation {
-  OperationId id = 0;  // 0 in the plan of a dry run
+  OperationId id = 0;  // 0 in a dry run's plan
   Kind kind = Kind::up;
   std::string by;
   OperationState state = OperationState::running;
-  Generation generation = 0;  // that it made
-  int max_unavailable = 0;    // 0: no bound
+  Generation generation = 0;  // the generation that it created
+  int max_unavailable = 0;    // instances that it may have down at once; 0: no limit
   Microseconds created = 0;
   Microseconds ended = 0;
   std::string message;
   OperationId superseded_by = 0;
   std::vector<Step> steps;        // in the order in which they begin
-  std::vector<std::string> diff;  // apply, rollback: lines for people
+  std::vector<std::string> diff;  // apply, rollback: lines for display
 };
 
-// What the database gives back. Rows in any order.
+// The state read from the database. Rows in any order.
 struct Restored {
   Generation generation = 0;
   OperationId last_operation = 0;
-  FleetSpec fleet;  // the last one applied
+  FleetSpec fleet;  // the last applied fleet
   std::vector<InstanceRow> instances;
-  std::vector<Operation> operations;  // all that run, and of the ended at least the last 200 where there are
+  std::vector<Operation>
+      operations;  // all running ones, and at least the last 200 ended ones, if that many exist
 };
 
 // ---- events ----
 
 namespace event {
-// A change is asked for. Ends in exactly one Tell.
+// A request for a change. Answered by exactly one Reply.
 struct Command {
   RequestId request = 0;
   Kind kind = Kind::up;
-  bool all = false;                // apply, rollback: neither all nor names counts
-  std::vector<std::string> names;  // no order; twice the same is once
-  std::optional<Generation> against;
+  bool all = false;                   // all instances; apply and rollback ignore both all and names
+  std::vector<std::string> names;     // in any order; duplicates count once
+  std::optional<Generation> against;  // stale if what it names has changed since (apply, rollback: anything)
   std::string by;
   std::optional<int> max_unavailable;  // at least 1
   bool supersede = false;
   bool dry_run = false;
-  // apply: the fleet. rollback: the fleet that generation `to` had, read by the agent from its database;
-  // empty where there is none such, and refused then.
+  // apply: the new fleet. rollback: the fleet of generation `to`, read by the agent from its database; empty
+  // if none is stored, and the command is then refused.
   std::optional<FleetSpec> fleet;
   Generation to = 0;
 };
-// Ends in exactly one Tell: Accepted with the operation as cancelled, Ended or Unknown. Steps that act leave
-// their instances to become what is desired of them; nothing is taken back.
+// Answered by exactly one Reply: Accepted with the cancelled operation, Ended or Unknown. Steps that have
+// begun are not undone: their instances still converge to the desired state.
 struct Cancel {
   RequestId request = 0;
   OperationId operation = 0;
 };
 struct Recorded {
   RecordId record = 0;
-};  // it lasts; records are acknowledged in their order
+};  // the record is durable; records are acknowledged in order
 struct RecordFailed {
   RecordId record = 0;
   std::string why;
-};  // nothing of it lasts
+};  // nothing of the record was written
 struct Spawned {
   std::string name;
   int pid = 0;
@@ -170,13 +172,13 @@
   std::string name;
   std::string run;
   std::string why;
-};  // no process of that run stands
+};  // no process of that run exists
 struct Exited {
   std::string name;
   std::string run;
-  int status = 0;  // meant where signal is 0
+  int status = 0;  // exit status; valid if signal is 0
   int signal = 0;
-  std::optional<OperationId> drained;  // fence in the file `drained`, where the file names this run
+  std::optional<OperationId> drained;  // the fence in the file `drained`, if that file names this run
 };
 struct StatusSeen {
   std::string name;
@@ -192,19 +194,19 @@
 struct StatusMissed {
   std::string name;
   std::string run;
-};  // asked, and not answered in time or not at all
-// The answer to an AskDrain, AskUndrain or AskFence; `failed` also where none came.
+};  // a status request that got no answer, or none in time
+// The result of an AskDrain, AskUndrain or AskFence; `failed` also if no answer came.
 struct Answered {
   enum class Result { ok, fenced, failed };
   std::string name;
-  std::string run;  // that was asked
+  std::string run;  // the run that was called
   AdminCall call = AdminCall::fence;
   Result result = Result::failed;
-  OperationId highest = 0;  // fenced: the highest fence that it saw
-  std::string why;          // failed
+  OperationId highest = 0;  // fenced: the highest fence that the relay has seen
+  std::string why;          // failed: the reason
 };
-// After the agent's start, exactly one of these for each row with `live`. The search goes by the run and not
-// by the pid alone: the agent may have been killed between the start and its record.
+// After the agent's start, each row with `live` gets exactly one Adopted or NotFound. The agent searches by
+// run and not by pid alone, since it may have been killed between a process start and its record.
 struct Adopted {
   std::string name;
   int pid = 0;
@@ -217,7 +219,7 @@
 };
 struct StateFolderMissing {
   std::string name;
-};  // its state folder is no more
+};  // its state folder no longer exists
 struct TimerExpired {};
 }  // namespace event
 
@@ -228,11 +230,11 @@
 
 // ---- actions ----
 
-// How a request ended.
+// The result of a request.
 namespace verdict {
 struct Accepted {
   Operation operation;
-};  // its record stands
+};  // its record is durable
 struct Conflict {
   OperationId with = 0;
   Kind kind = Kind::up;
@@ -243,62 +245,63 @@
 struct Stale {
   Generation generation = 0;
   std::vector<std::string> names;
-};  // now, and what changed since
+};  // the current generation, and the instances changed since `against`
 struct Refused {
   std::string why;
-};  // can't be done: why
+};  // not possible in the current state: why
 struct Malformed {
   std::string why;
-};  // a name, number or field that no command can have
+};  // an invalid name, number or field
 struct Unknown {
   std::string what;
-};  // no such instance or operation
+};  // no instance or operation of that name or id
 struct Ended {
   Operation operation;
-};  // Cancel of what has ended
+};  // Cancel of an operation that has already ended
 struct Storage {
   std::string why;
-};               // it could not be recorded, nothing is changed
-struct Busy {};  // too many commands wait for the database
+};               // the record failed; nothing has changed
+struct Busy {};  // max_pending_commands are waiting already
 struct Plan {
   Operation operation;
-};  // dry run: what would be, id 0
+};  // dry run: the operation that would be made, with id 0
 }  // namespace verdict
 using Verdict =
     std::variant<verdict::Accepted, verdict::Conflict, verdict::Stale, verdict::Refused, verdict::Malformed,
                  verdict::Unknown, verdict::Ended, verdict::Storage, verdict::Busy, verdict::Plan>;
 
 namespace action {
-// To be written in one transaction and answered by Recorded or RecordFailed; the next comes only after that.
-// Rows replace those of the same key. Where the agent sees no answer it can't go on.
+// To be written in one transaction and answered by Recorded or RecordFailed; the next Record follows only
+// after that answer. Rows replace those of the same key. Without an answer the decider makes no further
+// progress.
 struct Record {
   RecordId record = 0;
-  std::vector<Operation> operations;  // whole, with their steps
+  std::vector<Operation> operations;  // complete, with their steps
   std::vector<InstanceRow> instances;
-  std::vector<std::string> removed;  // instance rows that go
-  Generation generation = 0;         // as it is then
+  std::vector<std::string> removed;  // names of instance rows to delete
+  Generation generation = 0;         // the value after this record
   OperationId last_operation = 0;
-  std::optional<FleetSpec> fleet;  // applied with `generation`; kept by it, for WriteConfig and rollback
+  std::optional<FleetSpec> fleet;  // applied as `generation`; stored under it for WriteConfig and rollback
 };
-// Its configuration is to be that of the fleet recorded for `generation`; whole or not at all. Comes before
-// each Spawn; writing it again does no harm. Where it can't be written, the Spawn after it is SpawnFailed.
+// Write the instance's configuration from the fleet recorded for `generation`, atomically. Precedes each
+// Spawn; writing it again is harmless. If it can't be written, answer the following Spawn with SpawnFailed.
 struct WriteConfig {
   std::string name;
   Generation generation = 0;
 };
-// Answered by Spawned or SpawnFailed. No earlier run of that instance stands.
+// Answered by Spawned or SpawnFailed. No earlier run of that instance is alive.
 struct Spawn {
   std::string name;
   std::string run;
   std::optional<OperationId> undrain;
 };
-// Nothing where that run has ended.
+// No effect if that run has ended.
 struct Signal {
   std::string name;
   std::string run;
   Signum signal = Signum::term;
 };
-// Answered by Answered. Repeats do no harm.
+// AskDrain, AskUndrain, AskFence: answered by Answered; repeats are harmless.
 struct AskDrain {
   std::string name;
   std::string run;
@@ -314,20 +317,20 @@
   std::string run;
   OperationId fence = 0;
 };
-// The folder of an instance that is drained and out of the fleet may go; its row is gone.
+// The instance was drained and left the fleet; its row is deleted and its folder may be deleted.
 struct Removed {
   std::string name;
 };
 struct SetTimer {
   Microseconds at = 0;
-};  // in place of the earlier one
+};  // replaces the earlier timer
 struct Reply {
   RequestId request = 0;
   Verdict verdict;
 };
 struct OperationChanged {
   OperationId operation = 0;
-};  // for those that follow it; recorded changes only
+};  // for followers of the operation; only after the change was recorded
 struct Log {
   std::string text;
 };
@@ -340,63 +343,69 @@
 // ---- the decider ----
 
 struct Tuning {
-  Microseconds backoff_initial = 500'000;   // before a crashed instance starts again, doubling, with jitter
-  Microseconds backoff_max = 30'000'000;    // (half to all of it)
-  Microseconds backoff_reset = 60'000'000;  // ready for so long, the next crash is a first one
-  int loop_crash_count = 5;                 // so many crashes ...
-  Microseconds loop_window = 60'000'000;    // ... in this time are told as looping
-  Microseconds stalled_after = 3'000'000;   // no answer of its admin socket
-  Microseconds stalled_kill_after =
-      10'000'000;  // then ended by SIGKILL; in an operation's step at stalled_after
-  Microseconds first_status_timeout = 30'000'000;  // of one that starts: reading its store may take long
-  Microseconds ready_timeout = 30'000'000;         // a step fails where its instance is not ready by then
-  int step_crash_limit = 3;                        // or crashed so often
-  Microseconds term_grace = 5'000'000;             // from SIGTERM to SIGKILL
-  Microseconds admin_retry_delay = 1'000'000;      // admin calls without effect are repeated
-  Microseconds record_retry_delay = 1'000'000;     // decisions whose record failed are taken up again
-  Microseconds timer_interval =
-      500'000;  // a timer is asked for at least so often while a process or operation is there
-  Microseconds suspend_threshold =
-      2'000'000;  // a timer later than this: the machine slept, and no one was silent meanwhile
-  std::size_t operations_kept = 200;  // that ended
-  std::size_t max_pending_commands = 64;
+  // Delay before a crashed instance restarts: doubled from backoff_initial to backoff_max, then drawn between
+  // half of it and all of it. After backoff_reset in the state ready the doubling starts over.
+  Microseconds backoff_initial = 500'000;
+  Microseconds backoff_max = 30'000'000;
+  Microseconds backoff_reset = 60'000'000;
+  // An instance that crashes loop_crash_count times within loop_window is in the phase looping.
+  int loop_crash_count = 5;
+  Microseconds loop_window = 60'000'000;
+  // An instance whose admin socket does not answer is stalled after stalled_after and gets SIGKILL after
+  // stalled_kill_after, or already after stalled_after if an operation's step acts on it.
+  Microseconds stalled_after = 3'000'000;
+  Microseconds stalled_kill_after = 10'000'000;
+  Microseconds first_status_timeout = 30'000'000;  // for the first answer: reading its store may take long
+  // A step fails if its instance is not ready after ready_timeout or has crashed step_crash_limit times.
+  Microseconds ready_timeout = 30'000'000;
+  int step_crash_limit = 3;
+  Microseconds term_grace = 5'000'000;          // from SIGTERM to SIGKILL
+  Microseconds admin_retry_delay = 1'000'000;   // before the first repeat of an admin call; doubles
+  Microseconds record_retry_delay = 1'000'000;  // after a failed record
+  Microseconds timer_interval = 500'000;  // longest time to the next timer, while there is work or a row
+  // A timer that expires later than this means that the machine or the agent was suspended: that time does
+  // not count as silence of the instances.
+  Microseconds suspend_threshold = 2'000'000;
+  std::size_t operations_kept = 200;      // ended operations kept in memory
+  std::size_t max_pending_commands = 64;  // commands and cancels that wait for a record
   std::size_t max_instances = 1000;
 };
 
-// What an instance is seen as now; I of the API together with its row.
+// The current state of an instance; with its row, the instance object of the API.
 struct InstanceView {
   const InstanceRow* row = nullptr;
   Phase phase = Phase::absent;
-  Microseconds since = 0;       // in that phase
-  Microseconds next_start = 0;  // backoff, looping: when it starts again; else 0
+  Microseconds since = 0;       // time at which the phase began
+  Microseconds next_start = 0;  // backoff, looping: time of the next start; else 0
   bool ready = false;
-  std::uint64_t held = 0;  // as last told
+  std::uint64_t held = 0;  // messages held, as last reported
   std::int64_t oldest_ms = 0;
-  Generation generation = 0;  // that its process told; 0: none
-  OperationId operation = 0;  // that has a step for it not ended yet
+  Generation generation = 0;  // of the configuration that its process reported; 0: none
+  OperationId operation = 0;  // with an open step for this instance; 0: none
 };
 
 class Decider {
  public:
-  // Rows that contradict themselves (a step of an instance that is not there) are mended and told by Log in
-  // the first handle().
+  // Contradictions in the rows (a step of an instance that has no row) are repaired and logged by the first
+  // handle().
   Decider(Restored state, std::uint64_t seed, Tuning tuning = {});
   ~Decider();
   Decider(Decider&&) noexcept;
   Decider& operator=(Decider&&) noexcept;
 
-  // `now` never goes back. Actions are appended. The first call may come with any event; the agent sends
-  // TimerExpired once at its start. Events of unknown names or old runs change nothing.
+  // Handles one event and appends the resulting actions to `actions`. `now` must never decrease. The first
+  // call may be for any event; the agent sends TimerExpired once at its start. Events about unknown instances
+  // or earlier runs are ignored.
   void handle(Microseconds now, const Event& event, std::vector<Action>& actions);
 
-  // Views of what is recorded, valid until the next handle().
+  // Views of the recorded state, valid until the next handle().
   Generation generation() const;
   const FleetSpec& fleet() const;
-  std::vector<InstanceView> instances() const;  // by name
+  std::vector<InstanceView> instances() const;  // sorted by name
   std::optional<InstanceView> instance(std::string_view name) const;
   std::vector<const Operation*> operations(std::size_t limit) const;  // newest first
-  const Operation* operation(OperationId id) const;                   // nullptr: unknown or forgotten
-  OperationId running_operation() const;                              // the newest that runs; 0: none
+  const Operation* operation(OperationId id) const;  // nullptr: unknown, or ended and no longer kept
+  OperationId running_operation() const;             // the newest running one; 0: none
 
  private:
   struct State;
--- a/fleet/default_settings.hpp
+++ b/fleet/default_settings.hpp
@@ -1,5 +1,5 @@
-// The settings object that relays get where the operator names none: two classes, of which pay-and-order must
-// not take effect twice, and two kinds of destination. deploy/settings.example.json holds the same.
+// The relays' settings object if the operator gives none: two classes, of which pay-and-order is not
+// idempotent, and two kinds of destination. Must equal deploy/settings.example.json.
 #pragma once
 
 namespace heronvane::fleet {
--- a/fleet/enum_names.cpp
+++ b/fleet/enum_names.cpp
@@ -2,7 +2,7 @@
 
 namespace heronvane::fleet {
 
-// No default: a new value warns here.
+// No default case, so that the compiler warns about a value without a name.
 std::string_view name_of(Desired value) {
   switch (value) {
     case Desired::running:
--- a/fleet/instance_folder.cpp
+++ b/fleet/instance_folder.cpp
@@ -95,8 +95,7 @@
 bool InstanceFolder::has_state() const {
   struct stat info {};
   if (::stat(state().c_str(), &info) == 0) return S_ISDIR(info.st_mode);
-  // Guards against ending a relay that is well because a disk did not answer: only these tell that it is
-  // gone.
+  // Other errors may come from a failing disk: they must not end a healthy relay.
   return errno != ENOENT && errno != ENOTDIR;
 }
 
--- a/fleet/instance_folder.hpp
+++ b/fleet/instance_folder.hpp
@@ -18,26 +18,28 @@
   std::string state() const { return path_ + "/state"; }
   std::string log() const { return path_ + "/log"; }
 
-  // Both files, each whole or not at all. Throws std::exception.
+  // Writes settings.toml and config.json, each atomically. Creates the folder. Throws std::exception.
   void write_config(const Fleet& fleet, Generation generation) const;
-  // Throws std::exception where they can't be made.
+  // Creates the folder and its state folder. Throws std::exception.
   void make() const;
-  // Whether the state folder is there, as far as can be told: false only where it is known to be gone.
+  // Whether the state folder exists; false only if it certainly does not (ENOENT, ENOTDIR, not a folder).
   bool has_state() const;
-  // The fence in the state folder's file `drained`, where it names this run.
+  // The fence in the state folder's file `drained`; nullopt if the file is missing, unreadable or of another
+  // run.
   std::optional<OperationId> drained(const std::string& run) const;
-  // Past `most` bytes the log is copied to log.1 and cut: the relay goes on writing to the same file. What it
-  // writes between the two is lost; where there is no room for the copy, all of it is.
+  // Copies a log larger than `max_bytes` to log.1 and truncates it; the relay keeps writing to the same file.
+  // Lines written between the copy and the truncation are lost. If the disk has no space for the copy, the
+  // whole log is.
   void rotate(std::uint64_t max_bytes) const;
-  void remove() const;
+  void remove() const;  // deletes the folder with all files; errors are ignored
 
  private:
   std::string name_, path_;
 };
 
-// In place of what was there, whole or not at all. Throws std::system_error.
+// Replaces the file's content atomically (FILE.new, fsync, rename). Throws std::system_error.
 void replace_file(const std::string& file, const std::string& text);
-// Past `most` bytes to FILE.1 by copying, then cut.
+// If the file is larger than `max_bytes`: copies it to FILE.1 and truncates it.
 void rotate_file(const std::string& file, std::uint64_t max_bytes);
 
 }  // namespace heronvane::fleet
--- a/fleet/json.hpp
+++ b/fleet/json.hpp
@@ -1,4 +1,4 @@
-// JSON from outside, read with bounds, and JSON text written. No input or output here.
+// Parses untrusted JSON with limits, and writes JSON text. No input or output.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -15,14 +15,14 @@
 
 using JsonWriter = rapidjson::Writer<rapidjson::StringBuffer>;
 
-// What is wrong, on one line.
+// what() is one line.
 class JsonError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// Throws JsonError: no JSON, no valid UTF-8, or nested deeper than 64 (what is nested is walked by
-// recursion).
+// Throws JsonError: not JSON, not valid UTF-8, or nested deeper than 64 levels (later code recurses over the
+// values).
 rapidjson::Document parse_json(std::string_view text);
 
 std::string to_text(const rapidjson::Value& v);
@@ -33,7 +33,7 @@
 inline void key(JsonWriter& w, std::string_view s) {
   w.Key(s.data(), static_cast<rapidjson::SizeType>(s.size()));
 }
-// `json` must be whole JSON.
+// `json` must be a complete JSON value.
 inline void raw(JsonWriter& w, std::string_view json) {
   w.RawValue(json.data(), json.size(), rapidjson::kObjectType);
 }
--- a/fleet/main.cpp
+++ b/fleet/main.cpp
@@ -1,4 +1,5 @@
-// heronvane-agent: keeps the relays of one machine. SIGTERM and SIGINT end it; the relays run on.
+// heronvane-agent: manages the relays of one machine. SIGTERM and SIGINT end it; the relays run on unless
+// --stop-relays is given.
 #include <fcntl.h>
 #include <sys/resource.h>
 #include <unistd.h>
@@ -42,7 +43,7 @@
                         --key and --client-ca
   --cert FILE           its certificate with the chain, PEM
   --key FILE            the certificate's key, PEM
-  --client-ca FILE      signs the certificates of those who may ask, PEM
+  --client-ca FILE      CA of the clients' certificates, PEM
   --foreground          stay in the foreground and log to standard error, not to
                         FOLDER/agent.log
   --stop-relays         at SIGTERM end the relays too; without it they run on
@@ -65,7 +66,7 @@
   using std::runtime_error::runtime_error;
 };
 
-// Nothing: it was asked for --help or --version, and told.
+// nullopt: --help or --version was given, and its text printed.
 std::optional<Arguments> read_arguments(int argc, char** argv) {
   Arguments a;
   for (int i = 1; i < argc; i++) {
@@ -104,7 +105,7 @@
   const bool any = !a.tls.certificate.empty() || !a.tls.key.empty() || !a.tls.client_ca.empty();
   if (!a.listen_tls.empty() && !all) throw UsageError("--listen-tls needs --cert, --key and --client-ca");
   if (a.listen_tls.empty() && any) throw UsageError("--cert, --key and --client-ca go with --listen-tls");
-  // It leaves the folder that it was started in.
+  // Paths are made absolute, since the agent changes its working directory to /.
   a.data = std::filesystem::absolute(a.data).lexically_normal().string();
   if (a.data.size() > 1 && a.data.back() == '/') a.data.pop_back();
   for (auto* file : {&a.tls.certificate, &a.tls.key, &a.tls.client_ca})
@@ -112,10 +113,11 @@
   return a;
 }
 
-// The half that goes on in the background tells the one that was started how its start went.
+// Continues in a child process. The parent exits when the child has started or failed.
 class Background {
  public:
-  // Returns in the child alone; the parent ends with the child's word.
+  // Returns in the child only. The parent exits with 0 after report_started(), with 1 if the child ended
+  // before.
   void daemonize() {
     int pipe_ends[2];
     if (::pipe2(pipe_ends, O_CLOEXEC) != 0)
@@ -132,7 +134,7 @@
     status_pipe_ = pipe_ends[1];
     ::setsid();
   }
-  // From here on it logs to the file alone.
+  // Reports success to the parent; standard output and error go to `file` from now on.
   void report_started(const std::string& file) {
     if (status_pipe_ < 0) return;
     const int null = ::open("/dev/null", O_RDWR | O_CLOEXEC);
@@ -152,7 +154,8 @@
   int status_pipe_ = -1;
 };
 
-// Each instance takes a descriptor. Returns the soft limit as it was, which the relays get.
+// Each instance takes a descriptor of the agent. Returns the previous soft limit, which the relays get; 0:
+// unknown.
 std::uint64_t raise_descriptor_limit() {
   rlimit files{};
   if (::getrlimit(RLIMIT_NOFILE, &files) != 0) return 0;
@@ -163,7 +166,7 @@
 }
 
 #ifdef HERONVANE_AGENT_KILL_POINTS
-// Ends the agent at the n-th step that lasts or acts, as a power cut would.
+// For tests: kills the agent with SIGKILL at the n-th call of AgentOptions::on_step.
 std::function<void()> kill_point() {
   const char* const at = std::getenv("HERONVANE_AGENT_KILL_AT");
   if (at == nullptr) return {};
@@ -174,7 +177,7 @@
 #endif
 
 void run(const Arguments& arguments) {
-  // Descriptors below 3 that are closed would go to the database.
+  // If a descriptor below 3 were closed, the database would be opened on it.
   heronvane::open_standard_streams();
   Background background;
   if (!arguments.foreground) background.daemonize();
@@ -218,10 +221,10 @@
   stop_signals.async_wait([&](error_code bad, int) {
     if (bad) return;
     if (!arguments.stop_relays) return io.stop();
-    log("agent: ends, and the relays with it");
+    log("agent: stopping all relays, then exiting");
     agent.stop_relays(kRelayStopGrace, [&io] { io.stop(); });
   });
-  // A terminal that goes away ends no agent.
+  // SIGHUP of a closed terminal does not end the agent.
   const std::function<void()> ignore_hangups = [&] {
     hangup_signals.async_wait([&](error_code bad, int) {
       if (!bad) ignore_hangups();
@@ -243,7 +246,7 @@
     run(*arguments);
     return 0;
   } catch (const UsageError& e) {
-    std::fprintf(stderr, "heronvane-agent: %s\nheronvane-agent --help tells how it is used\n", e.what());
+    std::fprintf(stderr, "heronvane-agent: %s\nheronvane-agent --help shows the usage\n", e.what());
     return 2;
   } catch (const std::exception& e) {
     std::fprintf(stderr, "heronvane-agent: %s\n", e.what());
--- a/fleet/plan.cpp
+++ b/fleet/plan.cpp
@@ -15,7 +15,7 @@
   return at == fleet.instances.end() ? nullptr : &*at;
 }
 
-// FNV-1a; the length goes in first, so that no two lists of parts run into each other.
+// FNV-1a; each text is preceded by its length, so that different lists of parts give different input.
 void hash_append(std::uint64_t& hash, std::string_view text) {
   auto byte = [&](std::uint64_t value) { hash = (hash ^ (value & 0xff)) * 0x100000001b3ULL; };
   for (int shift = 0; shift < 32; shift += 8) byte(text.size() >> shift);
@@ -57,8 +57,8 @@
   return made;
 }
 
-// Instances that come are first, so that what runs is touched only once they are ready; those that go are
-// last.
+// Added instances come first, so that running ones are changed only when those are ready; removed instances
+// come last.
 void plan_apply(const Durable& recorded, const FleetSpec& fleet, Operation& operation) {
   std::vector<Step> changed;
   for (const InstanceSpec& spec : fleet.instances) {
@@ -92,9 +92,10 @@
   }
 }
 
-// Why it can't be done to that instance; empty: it can. `all` passes over what was put aside on purpose.
+// Why the command can't act on that instance; empty: it can. With `all`, a drain skips stopped instances.
 std::string refusal_reason(Kind kind, const InstanceRow& row, bool all) {
-  if (row.removing && kind != Kind::down) return "goes out of the fleet";  // down gives that up
+  if (row.removing && kind != Kind::down)
+    return "is being removed from the fleet";  // down aborts the removal
   switch (kind) {
     case Kind::up:
       if (row.desired == Desired::drained) return "is drained: undrain it";
@@ -214,7 +215,7 @@
       if (!ended(planned.state) && affected.contains(planned.instance))
         conflict.names.push_back(planned.instance);
     }
-    // Two changes of the fleet itself are never under way together, whatever they touch.
+    // Two changes of the fleet itself conflict, whichever instances they affect.
     const bool both_change_fleet = whole_fleet && (other.kind == Kind::apply || other.kind == Kind::rollback);
     if (conflict.names.empty() && !both_change_fleet) continue;
     if (!command.supersede) return conflict;
--- a/fleet/plan.hpp
+++ b/fleet/plan.hpp
@@ -1,4 +1,4 @@
-// What a command would do: judged against the rows alone, nothing is changed.
+// Plans a command from the recorded rows alone; changes nothing.
 #pragma once
 
 #include <map>
@@ -11,7 +11,7 @@
 
 namespace heronvane::fleet {
 
-// What lasts, by key.
+// The persistent state, by key.
 struct Durable {
   Generation generation = 0;
   OperationId last_operation = 0;
@@ -22,16 +22,16 @@
 
 struct Plan {
   Operation operation;               // id and generation 0
-  std::set<OperationId> supersedes;  // running ones in its way, where the command takes precedence
+  std::set<OperationId> supersedes;  // running operations that the command ends, if it may supersede
 };
 
-// Of the parts that its configuration is made of; empty where the fleet has no such instance.
+// Digest of the parts that form the instance's configuration; empty if the fleet has no such instance.
 std::string config_digest(const FleetSpec& fleet, std::string_view name);
 bool valid_name(std::string_view name);
 
 inline bool ended(StepState state) { return state != StepState::waiting && state != StepState::acting; }
 
-// The plan, or why there is none (any verdict but Accepted, Plan, Ended, Storage and Busy).
+// The plan, or the reason for a refusal (any verdict but Accepted, Plan, Ended, Storage and Busy).
 std::variant<Plan, Verdict> plan(const Durable& recorded, const event::Command& command,
                                  std::size_t max_instances);
 
--- a/fleet/process.cpp
+++ b/fleet/process.cpp
@@ -22,7 +22,7 @@
 
 namespace {
 
-// The system calls themselves: glibc 2.36 declares its own without extern "C".
+// Direct system calls, since glibc 2.36 declares its wrappers without extern "C".
 int open_pidfd(pid_t pid) { return static_cast<int>(::syscall(SYS_pidfd_open, pid, 0)); }
 int signal_pidfd(int fd, int number) {
   return static_cast<int>(::syscall(SYS_pidfd_send_signal, fd, number, nullptr, 0));
@@ -46,8 +46,8 @@
   int fd_;
 };
 
-// "" where it can't be read. A process may be reaped between the opening and the reading, which fails then: a
-// stream's iterators would throw that, its operator doesn't.
+// The file's content; "" if it can't be read. Reading fails if the process is reaped after the open: stream
+// iterators would throw then, operator<< does not.
 std::string read_file(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   std::ostringstream all;
@@ -57,7 +57,8 @@
 
 std::string proc(pid_t pid, const char* name) { return "/proc/" + std::to_string(pid) + "/" + name; }
 
-// Only what may be called between fork and exec.
+// Runs in the child between fork and exec: async-signal-safe calls only. Writes errno to `error_pipe` on
+// failure.
 [[noreturn]] void exec_child(const char* program, char* const* arguments, char* const* environment,
                              const char* folder, const char* log, rlim_t descriptors, int error_pipe) {
   const auto fail = [error_pipe] {
@@ -81,7 +82,7 @@
   const int in = ::open("/dev/null", O_RDONLY | O_CLOEXEC);
   const int out = ::open(log, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
   if (in < 0 || out < 0) fail();
-  // Numbers above the streams, so that none of the copies below closes what is still needed.
+  // Move the descriptors above 2, so that no dup2 below closes one that is still needed.
   const int high_in = ::fcntl(in, F_DUPFD_CLOEXEC, 10), high_out = ::fcntl(out, F_DUPFD_CLOEXEC, 10);
   const int high_error_pipe = ::fcntl(error_pipe, F_DUPFD_CLOEXEC, 10);
   if (high_in < 0 || high_out < 0 || high_error_pipe < 0) fail();
@@ -94,7 +95,7 @@
   if (::dup2(high_in, STDIN_FILENO) < 0 || ::dup2(high_out, STDOUT_FILENO) < 0 ||
       ::dup2(high_out, STDERR_FILENO) < 0)
     fail_high();
-  // They close as the program begins, not before: the agent's lock is among them.
+  // Close all others at exec and not earlier: the agent's lock is among them.
   if (::close_range(STDERR_FILENO + 1, ~0U, CLOSE_RANGE_CLOEXEC) != 0) fail_high();
   ::execve(program, arguments, environment);
   fail_high();
@@ -112,12 +113,12 @@
 std::optional<ProcessId> identify(pid_t pid) {
   if (pid <= 0) return {};
   const std::string stat = read_file(proc(pid, "stat"));
-  // The name in brackets may hold anything, brackets too.
+  // The program name in parentheses may itself contain parentheses.
   const auto name_end = stat.rfind(')');
   if (name_end == std::string::npos || name_end + 2 >= stat.size()) return {};
   const char state = stat[name_end + 2];
   if (state == 'Z' || state == 'X' || state == 'x') return {};
-  // Field 22; the state is field 3.
+  // The start time is field 22; the state is field 3.
   std::size_t at = name_end + 2;
   for (int field = 3; field < 22; field++) {
     at = stat.find(' ', at);
@@ -147,7 +148,7 @@
   int pipe_ends[2];
   if (::pipe2(pipe_ends, O_CLOEXEC) != 0) return last_error();
   Descriptor read_end(pipe_ends[0]), write_end(pipe_ends[1]);
-  // No handler of the caller's may run in the child.
+  // The caller's signal handlers must not run in the child.
   sigset_t all, before;
   ::sigfillset(&all);
   ::pthread_sigmask(SIG_SETMASK, &all, &before);
@@ -179,8 +180,8 @@
     error = last_error();
     return nullptr;
   }
-  // The descriptor stands for whoever had the pid when it was opened; the look after that tells who it was. A
-  // child keeps its pid until it is waited for.
+  // The pidfd refers to the process that had the pid when it was opened, so identify() after that shows which
+  // one it is. A child keeps its pid until it is waited for.
   siginfo_t info{};
   const bool child =
       ::waitid(P_PIDFD, static_cast<id_t>(descriptor.get()), &info, WEXITED | WNOHANG | WNOWAIT) == 0;
@@ -225,10 +226,10 @@
 
 std::optional<std::string> argument_of(pid_t pid, const std::string& option) {
   std::string line = read_file(proc(pid, "cmdline"));
-  // One that begins its program just now has none for a moment.
+  // During exec the command line is empty for a moment.
   for (int attempt = 0; line.empty() && attempt < 20 && identify(pid); attempt++) {
     char program[8];
-    if (::readlink(proc(pid, "exe").c_str(), program, sizeof program) < 0) return {};  // the kernel's own
+    if (::readlink(proc(pid, "exe").c_str(), program, sizeof program) < 0) return {};  // a kernel thread
     ::usleep(200);
     line = read_file(proc(pid, "cmdline"));
   }
@@ -254,7 +255,7 @@
     struct stat info {};
     if (::fstatat(::dirfd(directory.get()), entry->d_name, &info, 0) != 0 || info.st_uid != ::geteuid())
       continue;
-    // Looked at before and after, lest the arguments be another's.
+    // Identified before and after, so that the arguments are not those of a process that reused the pid.
     const auto before = identify(pid);
     if (!before) continue;
     const auto value = argument_of(pid, option);
--- a/fleet/process.hpp
+++ b/fleet/process.hpp
@@ -1,7 +1,7 @@
-// Processes of the machine that the agent keeps: started apart from it, watched and signalled by descriptor.
+// Processes that the agent starts detached from itself, watches and signals by pidfd.
 //
-// A pid alone names nobody: the kernel gives it out again. A process is known by its pid, its start time and
-// the machine's boot, and once it is open by a descriptor of its own, which never turns into another's.
+// A pid alone does not identify a process, since the kernel reuses pids. A process is identified by its pid,
+// its start time and the machine's boot id; an open one by its pidfd, which never refers to another process.
 #pragma once
 
 #include <sys/types.h>
@@ -19,47 +19,50 @@
 
 namespace heronvane::fleet {
 
-// Outlasts the agent, not the boot.
+// Valid across restarts of the agent, not of the machine.
 struct ProcessId {
   pid_t pid = 0;
-  std::uint64_t start_time = 0;  // clock ticks after boot, as /proc tells it
-  std::string boot;              // of the machine; empty where the system does not tell
+  std::uint64_t start_time = 0;  // clock ticks after boot, from /proc/PID/stat
+  std::string boot;              // boot id of the machine; empty if the system has none
 
   bool operator==(const ProcessId&) const = default;
 };
 
+// The machine's boot id; empty if it can't be read.
 std::string boot_id();
-// Nothing where no process has that pid, or only the rest of one that has ended.
+// nullopt if no process has that pid, or only a zombie.
 std::optional<ProcessId> identify(pid_t pid);
 
 struct Command {
-  std::string program;                 // a path
-  std::vector<std::string> arguments;  // without the program's own name
-  std::string folder;                  // it runs there
-  std::string log;                     // standard output and error are appended to it
-  std::vector<std::string> hidden;     // variables of the environment that it does not get
-  std::uint64_t descriptors = 0;       // its soft limit of open files; 0: the caller's
+  std::string program;                 // path
+  std::vector<std::string> arguments;  // without argv[0]
+  std::string folder;                  // working directory
+  std::string log;                     // file to which standard output and error are appended
+  std::vector<std::string> hidden;     // environment variables that it does not inherit
+  std::uint64_t descriptors = 0;       // soft limit of open files; 0: the caller's
 };
 
-// Starts it in a session of its own, standard input from /dev/null, without any other descriptor, with
-// default signals. It runs on when the caller ends. Until it runs the program it keeps the caller's
-// descriptors, locks among them. Waits until the program runs or could not be run; then nothing stands of it.
+// Starts the program in its own session, with standard input from /dev/null, no other inherited descriptors
+// and default signal handling; it outlives the caller. Until exec the child holds the caller's descriptors,
+// including locks. Returns after exec, with `pid` set, or the error of fork, of the preparation or of exec;
+// the child is reaped then.
 std::error_code start_detached(const Command& command, pid_t& pid);
 
-// How a process ended. Of one that is no child of the caller the system tells nothing.
+// How a process ended. The kernel reports this for children of the caller only.
 struct ExitStatus {
-  bool known = false;
-  int status = 0;  // meant where signal is 0
+  bool known = false;  // false: not a child of the caller
+  int status = 0;      // exit status; valid if signal is 0
   int signal = 0;
 };
 
-// One process that is watched. Not copied; letting it go ends the watch, not the process.
+// One watched process. Destroying the object ends the watch, not the process.
 class Process {
  public:
   using EndHandler = std::function<void(ExitStatus)>;
 
-  // nullptr with `error`: no such process any more (also where the pid is another's now), or no descriptor.
-  // `ended` is called once, from the loop, and not after this object is gone; it may let it go.
+  // Returns nullptr and sets `error` if the process no longer exists (also if its pid was reused) or no pidfd
+  // is available. `ended` is called at most once, on the io_context's thread, never after this object is
+  // destroyed; it may destroy the object.
   static std::unique_ptr<Process> open(boost::asio::io_context& io, const ProcessId& id, EndHandler ended,
                                        std::error_code& error);
   ~Process();
@@ -67,7 +70,7 @@
   Process& operator=(const Process&) = delete;
 
   const ProcessId& id() const { return id_; }
-  // Reaches this process or none: no_such_process where it has ended.
+  // Sends the signal to this process, never to another; no_such_process if it has ended.
   std::error_code signal(int number);
 
  private:
@@ -80,9 +83,9 @@
   std::shared_ptr<bool> alive_;
 };
 
-// The word after the first `option` among the arguments of a process; nothing where there is none such.
+// The argument after the first `option` on the process's command line; nullopt if there is none.
 std::optional<std::string> argument_of(pid_t pid, const std::string& option);
-// All processes of this user that have such an argument, by that word.
+// All processes of this user whose command line has `option`, by the argument after it.
 std::multimap<std::string, ProcessId> find_by_option(const std::string& option);
 
 }  // namespace heronvane::fleet
--- a/fleet/state.hpp
+++ b/fleet/state.hpp
@@ -1,5 +1,5 @@
-// Inside of the decider. Two layers: steps of operations set what the rows desire; convergence makes the
-// processes so, and goes on where an operation was ended early.
+// Internals of the decider, in two layers: the steps of operations set the desired state in the rows, and
+// convergence brings the processes to that state, also after an operation was ended early.
 #pragma once
 
 #include <deque>
@@ -17,49 +17,48 @@
 
 namespace heronvane::fleet {
 
-// What is seen of an instance; lost with the agent. Times of 0: not so.
+// The volatile state of an instance, from events; lost when the agent ends. A time of 0: it has not happened.
 struct Observed {
-  // Its process: the run of the row.
-  bool awaiting_adoption = false;  // after the agent's start: neither Adopted nor NotFound has come
-  bool spawn_pending = false;      // Spawn is out
+  // Of its current process, the run in the row.
+  bool awaiting_adoption = false;  // after the agent's start: neither Adopted nor NotFound has arrived
+  bool spawn_pending = false;      // Spawn is not answered yet
   int pid = 0;
   Microseconds started = 0;
-  std::optional<event::StatusSeen> status;
-  bool status_in_step = false;   // that came since the step began
-  bool status_missed = false;    // the last question had no answer
-  Microseconds answered_at = 0;  // or the start
+  std::optional<event::StatusSeen> status;  // the last answer
+  bool status_in_step = false;              // `status` arrived after the current step began
+  bool status_missed = false;               // the last status request got no answer
+  Microseconds answered_at = 0;             // time of the last answer, or of the start
   Microseconds ready_since = 0;
   Microseconds term_sent_at = 0, kill_sent_at = 0;
-  bool ended_by_agent = false;  // it ends because of its state, not by an operator
+  bool ended_by_agent = false;  // ended by check_process() (silent, or no state folder), not by an operator
   bool state_folder_missing = false;
-  bool fence_answered = false;  // AskFence of this step: with ok or in vain
-  Microseconds first_admin_call_at = 0,
-               next_admin_call_at = 0;  // admin calls: the first, and when the next may go out
+  bool fence_answered = false;  // the step's AskFence was answered `ok` or `failed`
+  Microseconds first_admin_call_at = 0, next_admin_call_at = 0;  // next: not to be repeated earlier
   int admin_attempts = 0;
   std::string admin_error;
 
-  // An end that is not recorded yet.
+  // The end of the run, until it is recorded.
   struct End {
-    bool unobserved = false;  // how is not known
+    bool unobserved = false;  // the exit status is unknown
     std::string text;
     std::optional<OperationId> drained;
   };
   std::optional<End> end;
 
-  // Over its processes.
-  OperationId foreign_fence = 0;  // calls lower than this are refused
+  // Kept across processes.
+  OperationId foreign_fence = 0;  // highest fence of another client; the relay refuses lower ones
   std::deque<Microseconds> crashes;
   int backoffs = 0;
   Microseconds next_start = 0;
   bool looping = false;
-  Microseconds step_timer_start = 0;  // since then the step's limits are reckoned
+  Microseconds step_timer_start = 0;  // start of the step's ready_timeout
   bool started_in_step = false;
   int step_crashes = 0;
   std::string last_crash;
   Phase phase = Phase::absent;
   Microseconds phase_since = 0;
 
-  void new_run(Microseconds now);  // forgets what was the earlier process's
+  void new_run(Microseconds now);  // resets the fields of the current process
 };
 
 struct Decider::State {
@@ -71,32 +70,32 @@
 
   Tuning tuning;
   std::uint64_t random;
-  Durable recorded;  // what is recorded
-  Durable working;   // and what is decided beyond it, to be recorded
+  Durable recorded;  // as acknowledged by the database
+  Durable working;   // `recorded` and the changes of the next record
   std::map<std::string, Observed, std::less<>> observations;
   std::deque<Queued> queue;
-  std::vector<std::string> repairs;
+  std::vector<std::string> repairs;  // log lines of the constructor
 
-  // The record that is out, or in the making.
+  // The unacknowledged record, or the changes that the next one will hold.
   RecordId last_record = 0;
   bool record_pending = false;
   std::set<std::string> dirty_rows;
   std::set<OperationId> dirty_operations;
   bool dirty_fleet = false;
   bool dirty_counters = false;
-  std::vector<Hook> recorded_hooks;  // run once it stands
-  std::optional<RequestId> pending_request;
-  Microseconds retry_record_at = 0;       // after a failed one
-  std::set<std::string> begun_instances;  // steps begun in this round: they act once that stands
+  std::vector<Hook> recorded_hooks;          // run when the record is acknowledged
+  std::optional<RequestId> pending_request;  // the request in this record; gets Storage if the record fails
+  Microseconds retry_record_at = 0;          // after a failed record; 0: none failed
+  std::set<std::string> begun_instances;     // steps begun in this round; they act after the record
 
-  // What is to be looked at in the next round; all where something may be due anywhere.
+  // What the next round examines; `all_due`: every instance and running operation.
   bool all_due = true;
   std::set<std::string> due_instances;
   std::set<OperationId> due_operations;
-  // Steps not ended of running operations, as recorded: one of an instance at most.
+  // Steps of running operations that have not ended, as recorded; at most one per instance.
   std::map<std::string, std::pair<OperationId, std::size_t>, std::less<>> open_steps;
 
-  Microseconds timer_at = 0;
+  Microseconds timer_at = 0;  // expiry of the pending timer; 0: none
 
   void handle(Microseconds now, const Event& event, Actions& actions);
   void detect_suspend(Microseconds now, Actions& actions);
@@ -132,11 +131,11 @@
   void on(Microseconds now, const event::StateFolderMissing& e, Actions& actions);
   void on(Microseconds now, const event::TimerExpired& e, Actions& actions);
   void ended(Microseconds now, const std::string& name, Observed::End end, Actions& actions);
-  Observed* find_process(const std::string& name, const std::string& run);  // nullptr: not the run of the row
+  Observed* find_process(const std::string& name, const std::string& run);  // nullptr: not the row's live run
 
   // commands.cpp
-  bool decide(Microseconds now, const event::Command& command,
-              Actions& actions);  // true: there is something to record
+  // True: there is something to record.
+  bool decide(Microseconds now, const event::Command& command, Actions& actions);
   bool decide(Microseconds now, const event::Cancel& cancel, Actions& actions);
   void accept(Microseconds now, const event::Command& command, Plan made);
   void end_early(Microseconds now, Operation& operation, OperationState state);
@@ -144,7 +143,8 @@
   // converge.cpp
   void apply_observations(Microseconds now, const std::string& name);
   void converge(Microseconds now, const std::string& name);
-  bool check_process(Microseconds now, const InstanceRow& row, const Step* step);  // false: it shall end
+  bool check_process(Microseconds now, const InstanceRow& row,
+                     const Step* step);  // false: the process has to end
   void keep_draining(Microseconds now, const InstanceRow& row);
   void keep_running(Microseconds now, const InstanceRow& row, const Step* step);
   void start(Microseconds now, const std::string& name);
@@ -161,7 +161,7 @@
   bool goal_reached(Microseconds now, const InstanceRow& row, const Step& step) const;
   void begin_eligible_steps(Microseconds now, OperationId id);
   void finish_step(Microseconds now, OperationId id, std::size_t index, StepState state, std::string what);
-  const Step* acting(const std::string& name) const;  // the step that acts on it, or nullptr
+  const Step* acting(const std::string& name) const;  // the instance's acting step, or nullptr
   bool available(Microseconds now, const InstanceRow& row) const;
 };
 
--- a/fleet/steps.cpp
+++ b/fleet/steps.cpp
@@ -1,4 +1,4 @@
-// The steps of operations: when they may begin, what they change in a row, and how they end.
+// The steps of operations: when a step may begin, what it changes in its instance's row, and how it ends.
 #include <algorithm>
 #include <utility>
 
@@ -47,7 +47,7 @@
                        [&](const Step& step) { return step.state == state; });
   };
   if (!any(StepState::failed)) begin_eligible_steps(now, id);
-  // What acts may come to its end; nothing further begins.
+  // After a failure, acting steps may still end; no further step begins.
   if (any(StepState::failed)) {
     for (std::size_t i = 0; i < operation.steps.size(); ++i) {
       if (operation.steps[i].state == StepState::waiting)
@@ -78,13 +78,13 @@
   const Operation& operation = working.operations.at(id);
   std::set<std::string_view> acting_instances;
   int unavailable_steps = 0;
-  bool additions_open = false;  // steps that give instances have not ended yet
+  bool additions_open = false;  // open steps that add or start instances
   for (const Step& step : operation.steps) {
     if (step.state == StepState::acting) acting_instances.insert(step.instance);
     if (step.state == StepState::acting && reduces_availability(step.work)) ++unavailable_steps;
     if (!fleet::ended(step.state) && !reduces_availability(step.work)) additions_open = true;
   }
-  std::optional<int> unavailable_elsewhere;  // beside this operation
+  std::optional<int> unavailable_elsewhere;  // unavailable instances outside this operation
   bool blocked = false;
   for (std::size_t i = 0; i < operation.steps.size(); ++i) {
     const Step& step = operation.steps[i];
@@ -107,7 +107,7 @@
               ++*unavailable_elsewhere;
           }
         }
-        // One that is down itself makes nothing worse: this may be what mends it.
+        // A step of an unavailable instance lowers availability no further, and may repair it.
         if (available(now, at->second) && *unavailable_elsewhere > operation.max_unavailable) {
           blocked = true;
           continue;
@@ -131,7 +131,7 @@
   const bool of_apply = working.operations.at(id).kind != Kind::restart;
   if (step.work == Work::rewrite ||
       (step.work == Work::restart && of_apply && row.desired != Desired::running)) {
-    // Also of one that crashes while it should drain: the change may be what mends it.
+    // Also for an instance that crashes while it should drain: the change may repair it.
     row.config = row.wanted;
     row.digest = config_digest(working.fleet, name);
     finish_step(now, id, index, StepState::done, "takes effect at its next start");
@@ -145,7 +145,7 @@
   step.since = now;
   step.run_before = row.live ? row.run : "";
   row.fence = id;
-  // A stop that was under way may have reached its process: that run can't be counted on.
+  // An earlier stop may already have signalled the process, so that run has to be replaced.
   if (row.live && row.desired == Desired::stopped && step.work != Work::stop) row.retire = row.run;
   switch (step.work) {
     case Work::start:
@@ -202,7 +202,7 @@
     case Work::start:
       return observed.status_in_step && available(now, row);
     case Work::undrain:
-      // On the same run the fence must be there: else a drain still on its way could come after.
+      // On the same run the relay must have this fence: else a delayed drain could still take effect.
       return observed.status_in_step && available(now, row) &&
              (row.run != step.run_before || observed.status->fence >= row.fence);
     case Work::add:
@@ -215,7 +215,7 @@
     case Work::drain:
       return !row.live && row.ended_drained;
     case Work::remove:
-      return false;  // its row goes
+      return false;  // done when its row is deleted
     case Work::rewrite:
       return true;
   }
@@ -245,15 +245,15 @@
     return;
   }
   if (observed.foreign_fence > row.fence)
-    return fail("fenced: another has acted on it, fence " + std::to_string(observed.foreign_fence));
+    return fail("fenced: another client has used fence " + std::to_string(observed.foreign_fence));
   if (work != Work::stop && observed.step_crashes >= tuning.step_crash_limit) {
     return fail("crashed " + std::to_string(observed.step_crashes) + " times: " + observed.last_crash);
   }
   if (work != Work::stop && !is_drain(work) && row.desired != Desired::running) {
-    return fail("was drained by another");
+    return fail("was drained by another client");
   }
   if (is_drain(work) && row.live && observed.status && observed.status->draining)
-    observed.step_timer_start = now;  // may take what it takes
+    observed.step_timer_start = now;  // a drain in progress has no time limit
   if (now - observed.step_timer_start < tuning.ready_timeout) return;
   const std::string within = " within " + seconds(tuning.ready_timeout);
   if (work == Work::stop) return fail("does not end" + within);
--- a/tests/fleet/agent_harness.hpp
+++ b/tests/fleet/agent_harness.hpp
@@ -1,4 +1,4 @@
-// The real agent as a child process, among stand-ins of relays, in a folder of its own. A test waits for
+// Runs the real agent as a child process with stand-ins for relays, in its own folder. Tests wait for
 // conditions, never for a fixed time.
 #pragma once
 
@@ -30,10 +30,10 @@
 
 namespace heronvane::fleet::testing {
 
-constexpr auto kPatience = std::chrono::seconds(45);
+constexpr auto kTimeout = std::chrono::seconds(45);
 
 struct Answer {
-  unsigned status = 0;  // 0: no whole answer came
+  unsigned status = 0;  // 0: no complete answer
   std::string head, body;
   rapidjson::Document json() const {
     try {
@@ -57,8 +57,8 @@
   ::close(fd);
   return -1;
 }
-// All that comes until the other side closes.
-inline std::string converse(const std::string& path, const std::string& bytes) {
+// Sends `bytes` and returns all that is received until the peer closes.
+inline std::string send_and_receive(const std::string& path, const std::string& bytes) {
   const int fd = connect_to(path);
   if (fd < 0) return {};
   std::string all;
@@ -92,15 +92,15 @@
 }
 inline Answer ask(const std::string& path, const std::string& method, const std::string& target,
                   const std::string& body = "") {
-  return read_answer(converse(path, method + " " + target +
-                                        " HTTP/1.1\r\nHost: a\r\nConnection: close\r\nContent-Length: " +
-                                        std::to_string(body.size()) + "\r\n\r\n" + body));
+  return read_answer(send_and_receive(
+      path, method + " " + target + " HTTP/1.1\r\nHost: a\r\nConnection: close\r\nContent-Length: " +
+                std::to_string(body.size()) + "\r\n\r\n" + body));
 }
 
 class AgentTest : public ::testing::Test {
  protected:
   AgentTest() {
-    ::prctl(PR_SET_CHILD_SUBREAPER, 1);  // relays of agents that were killed become children of the test
+    ::prctl(PR_SET_CHILD_SUBREAPER, 1);  // relays of a killed agent become children of the test
     folder = (std::filesystem::temp_directory_path() / ("heronvane-agent-test-" + std::to_string(::getpid())))
                  .string();
     std::filesystem::remove_all(folder);
@@ -117,10 +117,10 @@
   std::string data() const { return folder + "/data"; }
   std::string socket() const { return data() + "/agent.sock"; }
 
-  void start_agent(std::vector<std::string> more = {}, bool wait = true) {
+  void start_agent(std::vector<std::string> extra = {}, bool wait = true) {
     std::vector<std::string> words{AGENT_PROGRAM, "--data", data()};
     if (foreground) words.push_back("--foreground");
-    words.insert(words.end(), more.begin(), more.end());
+    words.insert(words.end(), extra.begin(), extra.end());
     agent = ::fork();
     if (agent == 0) {
       ::prctl(PR_SET_PDEATHSIG, SIGKILL);
@@ -140,8 +140,8 @@
     ::waitpid(agent, nullptr, 0);
     agent = -1;
   }
-  // True: it has ended by a signal or with a status; then it is no more.
-  bool agent_gone(int* status = nullptr) {
+  // Whether the agent has ended; reaps it then and stores its wait status.
+  bool agent_ended(int* status = nullptr) {
     int how = 0;
     if (agent > 0 && ::waitpid(agent, &how, WNOHANG) != agent) return false;
     if (status != nullptr) *status = how;
@@ -152,20 +152,20 @@
   Answer get(const std::string& target) { return ask(socket(), "GET", target); }
   Answer post(const std::string& body) { return ask(socket(), "POST", "/v1/operations", body); }
 
-  std::string fleet(int count, const std::string& more = "") const {
+  std::string fleet(int count, const std::string& extra = "") const {
     std::string all;
     for (int i = 0; i < count; i++)
       all += std::string(i > 0 ? "," : "") + R"({"name":"n)" + std::to_string(i) +
              R"(","listen":"127.0.0.1:)" + std::to_string(20000 + i) + "\"}";
-    return R"({"program":")" + program + R"(","discovery":"127.0.0.1:1")" + more + R"(,"instances":[)" + all +
-           "]}";
+    return R"({"program":")" + program + R"(","discovery":"127.0.0.1:1")" + extra + R"(,"instances":[)" +
+           all + "]}";
   }
   static std::string apply(const std::string& fleet) {
     return R"({"kind":"apply","by":"test","fleet":)" + fleet + "}";
   }
 
-  // The operation that this request makes; 0 where it is refused.
-  std::uint64_t operate(const std::string& body) {
+  // The id of the operation that this request creates; 0 if it is refused.
+  std::uint64_t start_operation(const std::string& body) {
     const auto a = post(body);
     EXPECT_EQ(a.status, 202u) << body << "\n" << a.body;
     const auto v = a.json();
@@ -184,13 +184,13 @@
         "the operation ends");
     EXPECT_EQ(state_of(id), state) << get("/v1/operations/" + std::to_string(id)).body;
   }
-  struct I {
+  struct InstanceState {
     std::string phase, run, desired, last_exit;
     int pid = 0;
     std::uint64_t restarts = 0, operation = 0;
   };
-  std::map<std::string, I> instances() {
-    std::map<std::string, I> all;
+  std::map<std::string, InstanceState> instances() {
+    std::map<std::string, InstanceState> all;
     const auto v = get("/v1/instances").json();
     if (!v.IsObject() || !v.HasMember("instances")) return all;
     for (const auto& i : v["instances"].GetArray())
@@ -201,21 +201,21 @@
     return all;
   }
   std::string phase(const std::string& name) { return instances()[name].phase; }
-  bool all_in(const std::string& phase, std::size_t count) {
+  bool all_in_phase(const std::string& phase, std::size_t count) {
     const auto all = instances();
     std::size_t n = 0;
     for (const auto& [name, i] : all) n += i.phase == phase;
     return n == count && all.size() == count;
   }
-  // Applies a fleet of stand-ins, and waits until all are ready.
-  void serve(int count, const std::string& more = "") {
-    wait_done(operate(apply(fleet(count, more))));
-    if (!all_in("ready", static_cast<std::size_t>(count)))
-      wait_done(operate(R"({"kind":"up","names":"all"})"));
-    wait_for([&] { return all_in("ready", static_cast<std::size_t>(count)); }, "all are ready");
+  // Applies a fleet of stand-ins and waits until all are ready.
+  void apply_standins(int count, const std::string& extra = "") {
+    wait_done(start_operation(apply(fleet(count, extra))));
+    if (!all_in_phase("ready", static_cast<std::size_t>(count)))
+      wait_done(start_operation(R"({"kind":"up","names":"all"})"));
+    wait_for([&] { return all_in_phase("ready", static_cast<std::size_t>(count)); }, "all are ready");
   }
 
-  // Processes of this test's fleet by their run.
+  // The relay processes of this test, by run.
   std::multimap<std::string, ProcessId> relays() const {
     std::multimap<std::string, ProcessId> all;
     for (const auto& [run, id] : find_by_option("--run")) {
@@ -225,36 +225,36 @@
     return all;
   }
   std::string instance_log(const std::string& name) const {
-    return whole(data() + "/instances/" + name + "/log");
+    return read_file(data() + "/instances/" + name + "/log");
   }
-  // No two processes have ever met on one folder.
+  // Checks that no two processes have ever used one state folder at the same time.
   void expect_single(int count) {
     for (int i = 0; i < count; i++)
       EXPECT_EQ(instance_log("n" + std::to_string(i)).find("TWO PROCESSES"), std::string::npos) << i;
   }
-  // Changes the database of an agent that does not run.
-  void edit(const std::string& sql) {
+  // Changes the agent's database; the agent must not run.
+  void edit_database(const std::string& sql) {
     sqlite3* db = nullptr;
     ASSERT_EQ(sqlite3_open((data() + "/agent.db").c_str(), &db), SQLITE_OK);
     EXPECT_EQ(sqlite3_exec(db, sql.c_str(), nullptr, nullptr, nullptr), SQLITE_OK) << sqlite3_errmsg(db);
     sqlite3_close(db);
   }
-  void behave(const std::string& name, const std::string& words) {
+  void set_behaviour(const std::string& name, const std::string& words) {
     std::ofstream(data() + "/instances/" + name + "/behave") << words;
   }
-  static std::string whole(const std::string& file) {
+  static std::string read_file(const std::string& file) {
     std::ifstream in(file, std::ios::binary);
     return {std::istreambuf_iterator<char>(in), {}};
   }
 
   template <class Condition>
   void wait_for(Condition condition, const char* what) {
-    const auto until = std::chrono::steady_clock::now() + kPatience;
+    const auto until = std::chrono::steady_clock::now() + kTimeout;
     while (!condition()) {
       if (std::chrono::steady_clock::now() > until) {
         FAIL() << "waited in vain until " << what << "; instances: " << get("/v1/instances").body
                << "\noperations: " << get("/v1/operations?limit=3").body << "\nlog:\n"
-               << whole(folder + "/agent.log");
+               << read_file(folder + "/agent.log");
       }
       std::this_thread::sleep_for(std::chrono::milliseconds(5));
     }
--- a/tests/fleet/api_server_test.cpp
+++ b/tests/fleet/api_server_test.cpp
@@ -41,7 +41,7 @@
     server->listen_local(path);
     thread = std::thread([this] { io.run(); });
   }
-  Answer raw(const std::string& bytes) { return read_answer(converse(path, bytes)); }
+  Answer raw(const std::string& bytes) { return read_answer(send_and_receive(path, bytes)); }
 
   FakeBackend agent;
   Api api{agent};
@@ -56,7 +56,7 @@
   start();
   const std::string one = "GET /v1/agent HTTP/1.1\r\nHost: a\r\n\r\n";
   const std::string last = "GET /v1/agent HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
-  const std::string all = converse(path, one + one + last);
+  const std::string all = send_and_receive(path, one + one + last);
   std::size_t answers = 0;
   for (auto at = all.find("HTTP/1.1 200"); at != std::string::npos; at = all.find("HTTP/1.1 200", at + 1))
     answers++;
@@ -112,7 +112,7 @@
   Answer turned_away;
   EXPECT_EQ((turned_away = ask(path, "GET", "/v1/agent")).status, 503u);
   for (const int fd : held) ::close(fd);
-  const auto until = std::chrono::steady_clock::now() + kPatience;
+  const auto until = std::chrono::steady_clock::now() + kTimeout;
   unsigned status = 0;
   while (status != 200 && std::chrono::steady_clock::now() < until)
     status = ask(path, "GET", "/v1/agent").status;
@@ -130,7 +130,7 @@
   const int fd = connect_to(path);
   const std::string bytes = "GET /v1/operations/1?follow=1 HTTP/1.1\r\nHost: a\r\n\r\n";
   ASSERT_GT(::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL), 0);
-  const auto until = std::chrono::steady_clock::now() + kPatience;
+  const auto until = std::chrono::steady_clock::now() + kTimeout;
   bool followed = false, gone = false;
   while (!gone && std::chrono::steady_clock::now() < until) {
     std::promise<void> done;
@@ -166,7 +166,7 @@
     got.append(piece, static_cast<std::size_t>(n));
   }
   ::close(fd);
-  const auto until = std::chrono::steady_clock::now() + kPatience;
+  const auto until = std::chrono::steady_clock::now() + kTimeout;
   bool gone = false;
   while (!gone && std::chrono::steady_clock::now() < until) {
     std::promise<void> done;
@@ -243,7 +243,7 @@
   }
   EXPECT_GT(answered, 5'000);
   unsigned status = 0;
-  const auto until = std::chrono::steady_clock::now() + kPatience;
+  const auto until = std::chrono::steady_clock::now() + kTimeout;
   while (status != 200 && std::chrono::steady_clock::now() < until)
     status = ask(path, "GET", "/v1/agent").status;
   EXPECT_EQ(status, 200u);
--- a/tests/fleet/database_test.cpp
+++ b/tests/fleet/database_test.cpp
@@ -1,4 +1,4 @@
-// What outlasts the agent.
+// The agent's database: save, restore, damage, a full disk and pruning.
 #include "database.hpp"
 
 #include <gtest/gtest.h>
@@ -80,7 +80,7 @@
   std::string folder;
 };
 
-TEST_F(DatabaseTest, AllOfARecordComesBack) {
+TEST_F(DatabaseTest, RecordIsRestoredCompletely) {
   const ProcessId who{71, 12345, "boot"};
   { EXPECT_EQ(Database(file()).save(1, record(), {{"n0", who}}), ""); }
   Database db(file());
@@ -113,7 +113,7 @@
   EXPECT_FALSE(db.history(10).empty());
 }
 
-TEST_F(DatabaseTest, RowsAreReplacedAndGo) {
+TEST_F(DatabaseTest, RowsAreReplacedAndDeleted) {
   Database db(file());
   auto r = record();
   EXPECT_EQ(db.save(1, r, {}), "");
@@ -134,7 +134,7 @@
   EXPECT_EQ(db.fleet_at(3), std::nullopt);
 }
 
-TEST_F(DatabaseTest, ANewerVersionIsRefusedAndLeftAsItIs) {
+TEST_F(DatabaseTest, NewerSchemaVersionIsRefusedAndUnchanged) {
   { Database db(file()); }
   edit("PRAGMA user_version=2");
   const auto size = std::filesystem::file_size(file());
@@ -142,12 +142,12 @@
     Database db(file());
     FAIL();
   } catch (const DatabaseError& e) {
-    EXPECT_NE(std::string(e.what()).find("its version is 2"), std::string::npos);
+    EXPECT_NE(std::string(e.what()).find("schema version 2, newer than 1"), std::string::npos);
   }
   EXPECT_EQ(std::filesystem::file_size(file()), size);
 }
 
-TEST_F(DatabaseTest, WhatIsNoDatabaseIsTold) {
+TEST_F(DatabaseTest, NonDatabaseFileIsReported) {
   {
     std::FILE* f = std::fopen(file().c_str(), "w");
     std::fputs("this is no database at all, but some text", f);
@@ -157,18 +157,18 @@
   EXPECT_THROW(Database db(folder + "/none/agent.db"), DatabaseError);
 }
 
-TEST_F(DatabaseTest, ValuesThatMakeNoSenseAreTold) {
+TEST_F(DatabaseTest, InvalidEnumValueIsReported) {
   { EXPECT_EQ(Database(file()).save(1, record(), {}), ""); }
   edit("UPDATE instances SET desired=17");
   Database db(file());
   EXPECT_THROW(db.restore(read), DatabaseError);
 }
 
-// A full disk costs the record, whole, and nothing else.
-TEST_F(DatabaseTest, AFullDiskLeavesAllAsItWas) {
+// On a full disk a save fails as a whole and leaves the database unchanged.
+TEST_F(DatabaseTest, FailedSaveChangesNothing) {
   Database db(file());
   EXPECT_EQ(db.save(1, record(), {}), "");
-  db.limit_pages(1);  // of which it has more already
+  db.limit_pages(1);  // the file is larger already
   auto r = record();
   r.generation = 9;
   r.instances[0].restarts = 10;
@@ -181,7 +181,7 @@
   EXPECT_EQ(db.restore(read).instances[0].restarts, 10u);
 }
 
-TEST_F(DatabaseTest, OldRowsGoAndNeededOnesStay) {
+TEST_F(DatabaseTest, OldRowsArePrunedAndNeededOnesKept) {
   DatabaseOptions o;
   o.operations_kept = 3;
   o.fleets_kept = 2;
@@ -194,12 +194,12 @@
     r.fleet = read(std::to_string(i));
     r.operations[0].id = i;
     r.operations[0].state = i == 2 ? OperationState::running : OperationState::done;
-    r.instances[0].wanted = 5;  // still runs with the fleet of the fifth
+    r.instances[0].wanted = 5;  // the instance still runs with the fleet of generation 5
     r.instances[0].config = 5;
     ASSERT_EQ(db.save(static_cast<Microseconds>(i), r, {}), "");
   }
   const Restored r = db.restore(read);
-  ASSERT_EQ(r.operations.size(), 4u);  // three that ended, and the one that runs
+  ASSERT_EQ(r.operations.size(), 4u);  // three ended ones and the running one
   EXPECT_EQ(r.operations[0].id, 2u);
   EXPECT_EQ(r.operations[3].id, 20u);
   EXPECT_EQ(db.fleet_at(5), "5");
--- a/tests/fleet/fake_backend.hpp
+++ b/tests/fleet/fake_backend.hpp
@@ -1,4 +1,5 @@
-// An agent without processes: the real decisions over records that always stand, for tests of the API alone.
+// An ApiBackend without processes, for tests of the API: a real Decider whose records succeed at once, unless
+// storage_full is set.
 #pragma once
 
 #include <deque>
--- a/tests/fleet/fixture.hpp
+++ b/tests/fleet/fixture.hpp
@@ -1,4 +1,5 @@
-// The platform server in the test's own loop, its file and its notices in a folder of this process.
+// The platform server in the test's own event loop, with its partner file and its notices in a temporary
+// folder.
 #pragma once
 
 #include <fstream>
@@ -14,7 +15,7 @@
 
 using std::chrono::milliseconds;
 
-// A connection that keeps what comes as it came.
+// A TCP connection that collects the received bytes unparsed.
 class Raw : public std::enable_shared_from_this<Raw> {
  public:
   Raw(net::io_context& io, const tcp::endpoint& to, bool reads = true) : socket_(io) {
@@ -27,7 +28,8 @@
   void start() {
     if (reads_ && !ended) read();
   }
-  // What the kernel does not take at once is lost, so that a test never blocks its own loop.
+  // Bytes that the kernel does not accept at once are dropped, so that a test never blocks its own event
+  // loop.
   void write(const std::string& bytes) {
     error_code ignored;
     net::write(socket_, net::buffer(bytes), ignored);
@@ -87,7 +89,7 @@
   return {name, address, "a", "small", 7, status, 1.0, 0};
 }
 
-// What a test of the server and one of the relay with it have in common.
+// The platform server for tests of the server alone and of a relay with it; can be stopped and restarted.
 class OwnPlatform {
  public:
   OwnPlatform(net::io_context& io, const std::string& folder) : io_(io), folder_(folder) {
@@ -102,7 +104,7 @@
     finals.emplace(folder_ + "/finals.db");
     options.index = kept_index;
     server.emplace(io_, *finals, options, callbacks);
-    // The next one is found where this one was.
+    // A restarted server listens on the same port.
     const std::string text = server->status().listen;
     options.listen.port(static_cast<unsigned short>(std::stoi(text.substr(text.rfind(':') + 1))));
   }
@@ -116,7 +118,7 @@
     std::filesystem::create_directories(folder_ + "/partners");
     std::ofstream(path()) << text;
   }
-  // As editors do it.
+  // Replaces the file by a rename, as editors do.
   void replace(const std::string& text) {
     std::filesystem::create_directories(folder_ + "/partners");
     std::ofstream(path() + ".new") << text;
--- a/tests/fleet/interleavings_test.cpp
+++ b/tests/fleet/interleavings_test.cpp
@@ -1,5 +1,6 @@
-// Two operators' commands in any order, among crashes, stalls, a failing database, a sleeping machine and a
-// dying agent: one order, that of the ids, explains every answer and what each instance ends as.
+// Random commands of two operators, with crashes, stalls, failing records, suspensions and a killed agent.
+// Every verdict and the final state of each instance must follow from the accepted commands in the order of
+// their ids.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -11,10 +12,10 @@
 namespace {
 
 struct Operator {
-  std::optional<Generation> looked;  // the generation it last saw
+  std::optional<Generation> seen_generation;  // the generation that it last read
 };
 
-event::Command some_command(World& world, Operator& who, const std::vector<FleetSpec>& fleets) {
+event::Command random_command(World& world, Operator& sender, const std::vector<FleetSpec>& fleets) {
   event::Command command;
   const Kind kinds[] = {Kind::up,      Kind::down,    Kind::drain,   Kind::undrain,
                         Kind::undrain, Kind::restart, Kind::restart, Kind::restart,
@@ -29,7 +30,7 @@
     }
     if (command.names.empty()) command.names = {"n0"};
   }
-  if (world.chance() < 0.5) command.against = who.looked;
+  if (world.chance() < 0.5) command.against = sender.seen_generation;
   if (world.chance() < 0.5) command.max_unavailable = 1 + static_cast<int>(world.pick(2));
   command.supersede = world.chance() < 0.25;
   command.dry_run = world.chance() < 0.05;
@@ -57,28 +58,28 @@
   return Desired::running;
 }
 
-bool passed_over(const Step& step) {
+bool was_skipped_on_purpose(const Step& step) {
   return step.state == StepState::skipped && !step.what.empty() && step.what != "not begun";
 }
 
-// Each refusal names what was so between the question and the answer; ids ascend as they are told.
-void explained_refusals(const World& world) {
+// Each refusal must be true of some time between request and reply; ids ascend in the order of the replies.
+void check_refusals(const World& world) {
   OperationId last = 0;
-  for (const auto& [request, verdict] : world.told) {
-    auto at = world.asked.find(request);
-    if (at == world.asked.end()) continue;  // a cancel
+  for (const auto& [request, verdict] : world.replies) {
+    auto at = world.commands.find(request);
+    if (at == world.commands.end()) continue;  // a cancel
     const event::Command& command = at->second;
     if (auto* yes = std::get_if<verdict::Accepted>(&verdict)) {
       EXPECT_GT(yes->operation.id, last);
       last = yes->operation.id;
       EXPECT_GE(yes->operation.created, world.sent_at.at(request));
-      EXPECT_LE(yes->operation.created, world.told_at.at(request));
+      EXPECT_LE(yes->operation.created, world.replied_at.at(request));
     }
     if (auto* conflict = std::get_if<verdict::Conflict>(&verdict)) {
       EXPECT_FALSE(command.supersede);
       auto with = world.database.operations.find(conflict->with);
       ASSERT_NE(with, world.database.operations.end());
-      EXPECT_LE(with->second.created, world.told_at.at(request));
+      EXPECT_LE(with->second.created, world.replied_at.at(request));
       EXPECT_TRUE(with->second.ended == 0 || with->second.ended + second >= world.sent_at.at(request))
           << "a conflict with what had ended";
       for (const std::string& name : conflict->names) {
@@ -94,26 +95,26 @@
         for (const auto& [id, operation] : world.database.operations) {
           if (operation.generation <= *command.against || operation.generation > stale->generation) continue;
           for (const Step& step : operation.steps)
-            changed = changed || (step.instance == name && !passed_over(step));
+            changed = changed || (step.instance == name && !was_skipped_on_purpose(step));
         }
-        EXPECT_TRUE(changed) << name << " is told stale and has not changed since";
+        EXPECT_TRUE(changed) << name << " is reported as stale but has not changed since";
       }
     }
   }
 }
 
-// The commands as the ids order them, on a model that knows of no time.
-void explained_by_one_order(const World& world) {
+// Replays the accepted operations in the order of their ids on a model without time, and compares the result.
+void check_serializable(const World& world) {
   struct Model {
     Desired desired = Desired::stopped;
     OperationId by = 0;
     Generation changed = 0;
     bool removing = false;
-    bool perhaps_anew = false;  // it went, and came back without being begun; or had not gone yet
+    bool may_be_readded = false;  // removed and added again, but the add never began
   };
   std::map<std::string, Model> model;
   Generation generation = 0;
-  std::set<std::string> gone;
+  std::set<std::string> removed;
   for (const auto& [id, operation] : world.database.operations) {
     ASSERT_EQ(operation.generation, generation + 1) << "operation " << id;
     auto asked = world.accepted.find(id);
@@ -131,36 +132,37 @@
     generation = operation.generation;
     for (const Step& step : operation.steps) {
       Model& m = model[step.instance];
-      if (!passed_over(step)) m.changed = generation;
-      if (step.work == Step::Work::add) gone.erase(step.instance);  // its row is there though it never began
-      if (step.work == Step::Work::add && m.removing) m.perhaps_anew = true;
+      if (!was_skipped_on_purpose(step)) m.changed = generation;
+      if (step.work == Step::Work::add)
+        removed.erase(step.instance);  // its row exists though the step never began
+      if (step.work == Step::Work::add && m.removing) m.may_be_readded = true;
       if (step.state == StepState::skipped || step.work == Step::Work::rewrite) continue;
       if (step.what.starts_with("takes effect") || step.what.starts_with("is ")) continue;
       m.desired = desired_by(step.work);
       m.by = id;
       m.removing = step.work == Step::Work::remove;
-      m.perhaps_anew = false;
+      m.may_be_readded = false;
       if (step.work == Step::Work::remove && step.state == StepState::done) {
-        gone.insert(step.instance);
+        removed.insert(step.instance);
         model.erase(step.instance);
       } else {
-        gone.erase(step.instance);
+        removed.erase(step.instance);
       }
     }
   }
   EXPECT_EQ(world.database.generation, generation);
   for (const auto& [name, row] : world.database.instances) {
-    EXPECT_FALSE(gone.contains(name)) << name;
-    if (model[name].perhaps_anew && row.fence == 0 && row.desired == Desired::stopped) continue;
+    EXPECT_FALSE(removed.contains(name)) << name;
+    if (model[name].may_be_readded && row.fence == 0 && row.desired == Desired::stopped) continue;
     EXPECT_EQ(row.fence, model[name].by)
         << name << " was last acted on by another than the last that was accepted";
     EXPECT_EQ(name_of(row.desired), name_of(model[name].desired)) << name << ": its last change was lost";
   }
-  explained_refusals(world);
+  check_refusals(world);
 }
 
-// What happened, for whoever looks at a failure.
-void tell_all(const World& world) {
+// Prints the operations, actions and rows, to analyse a failure.
+void print_history(const World& world) {
   for (const auto& [id, operation] : world.database.operations) {
     std::printf("%d %s %s by %d:", static_cast<int>(id), std::string(name_of(operation.kind)).c_str(),
                 std::string(name_of(operation.state)).c_str(), static_cast<int>(operation.superseded_by));
@@ -213,42 +215,42 @@
       continue;
     }
     if (seed % 6 == 2 && world.chance() < 0.15) {
-      world.record_stands = world.chance() < 0.5;
+      world.record_survives_kill = world.chance() < 0.5;
       world.kill_agent();
       continue;
     }
-    if (seed % 8 == 3 && world.chance() < 0.1) world.sleep(60 * second);
-    Operator& who = operators[world.pick(2)];
-    if (world.chance() < 0.4) who.looked = world.decider().generation();
+    if (seed % 8 == 3 && world.chance() < 0.1) world.suspend(60 * second);
+    Operator& sender = operators[world.pick(2)];
+    if (world.chance() < 0.4) sender.seen_generation = world.decider().generation();
     if (world.chance() < 0.08 && world.decider().running_operation() != 0) {
       world.cancel(world.decider().running_operation());
     } else {
-      world.command(some_command(world, who, fleets));
+      world.command(random_command(world, sender, fleets));
     }
   }
   world.start_agent();
   world.how.crash = world.how.stall = world.how.record_fails = world.how.spawn_fails = 0;
-  world.run(2 * second);  // what waits for the database is through
-  // What crashes can't drain and goes out of no fleet before it is mended.
+  world.run(2 * second);  // pending records are written
+  // A crashing instance can't drain, so it is removed only after a repair.
   if (seed % 5 == 4) {
-    event::Command mend;
-    mend.kind = Kind::apply;
-    mend.supersede = true;
-    mend.fleet = fleet_of({"n0", "n1", "n2", "n3", "n4"});
-    world.command(mend);
+    event::Command repair;
+    repair.kind = Kind::apply;
+    repair.supersede = true;
+    repair.fleet = fleet_of({"n0", "n1", "n2", "n3", "n4"});
+    world.command(repair);
   }
-  EXPECT_TRUE(world.until([&] { return world.at_rest(); }, 600 * second)) << "never at rest";
-  explained_by_one_order(world);
-  EXPECT_EQ(world.broken, std::vector<std::string>());
-  if (::testing::Test::HasFailure()) tell_all(world);
+  EXPECT_TRUE(world.until([&] { return world.converged(); }, 600 * second)) << "never at rest";
+  check_serializable(world);
+  EXPECT_EQ(world.violations, std::vector<std::string>());
+  if (::testing::Test::HasFailure()) print_history(world);
   for (const auto& [request, verdict] : world.verdicts) ++tally.verdicts[verdict.index()];
   for (const auto& [id, operation] : world.database.operations) ++tally.ends[operation.state];
   for (const auto& [name, count] : world.starts) tally.starts += count;
-  tally.kills += world.killed;
+  tally.kills += world.agent_kills;
   tally.acts += static_cast<int>(world.trace.size());
 }
 
-TEST(Interleavings, OneOrderExplainsWhatTwoOperatorsAreTold) {
+TEST(Interleavings, ResultsForTwoOperatorsAreSerializable) {
   Tally tally;
   const char* from = std::getenv("HERONVANE_FLEET_SEED");
   const std::uint64_t first = from ? std::strtoull(from, nullptr, 10) : 1;
@@ -256,7 +258,7 @@
   for (std::uint64_t seed = first; seed <= last && !::testing::Test::HasFailure(); ++seed)
     two_operators(seed, tally);
   if (from || ::testing::Test::HasFailure()) return;
-  // The runs are worth something only where every end comes about.
+  // The test is of value only if each kind of result occurs.
   const char* const verdicts[] = {"accepted", "conflict", "stale",   "refused", "malformed",
                                   "unknown",  "ended",    "storage", "busy",    "plan"};
   for (const auto& [index, count] : tally.verdicts) std::printf("%s %d, ", verdicts[index], count);
--- a/tests/fleet/killed_agent_test.cpp
+++ b/tests/fleet/killed_agent_test.cpp
@@ -1,4 +1,4 @@
-// The agent is killed at each step of an operation that lasts or acts; started again, it completes it.
+// The agent is killed at each database write and each action of an operation. Started again, it completes it.
 #include "agent_harness.hpp"
 
 namespace heronvane::fleet::testing {
@@ -6,22 +6,22 @@
 
 class KilledAgentTest : public AgentTest {
  protected:
-  // Asks for the operation in one life that ends at the n-th step, and completes it in the next, for each n
-  // until a life sees its end. Returns how many steps there were.
-  int at_each_step(int count, const std::function<std::string(int)>& body) {
+  // For n = 1, 2, ...: requests the operation from an agent that is killed at its n-th step, then lets a
+  // restarted agent complete it; until an agent completes it without being killed. Returns the last n.
+  int kill_at_each_step(int count, const std::function<std::string(int)>& body) {
     for (int n = 1; n < 200; n++) {
       environment["HERONVANE_AGENT_KILL_AT"] = std::to_string(n);
       start_agent({}, false);
-      wait_for([&] { return agent_gone() || get("/v1/agent").status == 200; }, "it answers or is gone");
+      wait_for([&] { return agent_ended() || get("/v1/agent").status == 200; }, "it answers or is gone");
       if (agent > 0) post(body(n));
-      bool whole = false;
+      bool completed = false;
       wait_for(
           [&] {
-            if (agent_gone()) return true;
+            if (agent_ended()) return true;
             const auto v = get("/v1/operations?limit=1").json();
-            whole = v.IsObject() && v["operations"].Size() > 0 &&
-                    std::string(v["operations"][0]["state"].GetString()) != "running" && settled(count);
-            return whole;
+            completed = v.IsObject() && v["operations"].Size() > 0 &&
+                        std::string(v["operations"][0]["state"].GetString()) != "running" && all_ready(count);
+            return completed;
           },
           "the operation or the agent ends");
       if (agent > 0) kill_agent();
@@ -31,36 +31,36 @@
           [&] {
             const auto v = get("/v1/operations?limit=1").json();
             return v.IsObject() && v["operations"].Size() > 0 &&
-                   std::string(v["operations"][0]["state"].GetString()) == "done" && settled(count);
+                   std::string(v["operations"][0]["state"].GetString()) == "done" && all_ready(count);
           },
           "the operation is done");
       EXPECT_EQ(relays().size(), static_cast<std::size_t>(count)) << "killed at step " << n;
       expect_single(count);
       kill_agent();
       if (HasFailure()) return n;
-      if (whole) return n;
+      if (completed) return n;
     }
     return 200;
   }
-  bool settled(int count) { return all_in("ready", static_cast<std::size_t>(count)); }
+  bool all_ready(int count) { return all_in_phase("ready", static_cast<std::size_t>(count)); }
 };
 
-TEST_F(KilledAgentTest, ARestartIsCompleted) {
+TEST_F(KilledAgentTest, RestartIsCompleted) {
   start_agent();
-  serve(1);
+  apply_standins(1);
   kill_agent();
-  EXPECT_GT(at_each_step(1, [](int) { return R"({"kind":"restart","names":"all"})"; }), 6);
+  EXPECT_GT(kill_at_each_step(1, [](int) { return R"({"kind":"restart","names":"all"})"; }), 6);
 }
 
-TEST_F(KilledAgentTest, AChangeOfTheFleetIsCompleted) {
+TEST_F(KilledAgentTest, FleetChangeIsCompleted) {
   start_agent();
-  serve(2);
+  apply_standins(2);
   kill_agent();
-  EXPECT_GT(at_each_step(2,
-                         [this](int n) {
-                           return apply(fleet(2, R"(,"max_unavailable":2,"limits":{"disk_mb":)" +
-                                                     std::to_string(100 + n) + "}"));
-                         }),
+  EXPECT_GT(kill_at_each_step(2,
+                              [this](int n) {
+                                return apply(fleet(2, R"(,"max_unavailable":2,"limits":{"disk_mb":)" +
+                                                          std::to_string(100 + n) + "}"));
+                              }),
             8);
 }
 
--- a/tests/fleet/process_test.cpp
+++ b/tests/fleet/process_test.cpp
@@ -33,7 +33,7 @@
     std::ifstream in(folder + "/log");
     return {std::istreambuf_iterator<char>(in), {}};
   }
-  // Starts it and waits for its end.
+  // Runs the script and returns how it ended.
   ExitStatus run(const std::string& script) {
     pid_t pid = 0;
     EXPECT_FALSE(start_detached(shell(script), pid));
@@ -59,8 +59,8 @@
   std::string folder;
 };
 
-// Between open and read of its files the process may go for good.
-TEST_F(ProcessTest, OneThatGoesWhileItIsLookedAtIsNobody) {
+// The process may be reaped between open and read of its files in /proc.
+TEST_F(ProcessTest, ProcessReapedDuringInspectionIsNotFound) {
   for (int turn = 0; turn < 400; turn++) {
     const pid_t pid = ::fork();
     ASSERT_GE(pid, 0);
@@ -72,14 +72,14 @@
   }
 }
 
-TEST_F(ProcessTest, ItsEndIsToldWithStatusOrSignal) {
+TEST_F(ProcessTest, ExitIsReportedWithStatusOrSignal) {
   EXPECT_EQ(run("exit 7").status, 7);
   const auto killed = run("kill -9 $$");
   EXPECT_TRUE(killed.known);
   EXPECT_EQ(killed.signal, SIGKILL);
 }
 
-TEST_F(ProcessTest, ItStandsApartFromItsStarter) {
+TEST_F(ProcessTest, ProcessIsDetachedFromItsStarter) {
   const int leak = ::open("/dev/null", O_RDONLY);  // not close-on-exec
   ::setenv("HIDDEN", "x", 1);
   ::setenv("SHOWN", "y", 1);
@@ -91,9 +91,9 @@
   std::ifstream in(folder + "/log");
   std::string line;
   std::getline(in, line);
-  EXPECT_EQ(line, "got 1");  // nothing to read
+  EXPECT_EQ(line, "got 1");  // standard input is empty
   std::getline(in, line);
-  EXPECT_EQ(line, "0, 1, 2");  // no pipe in the shell's line: it would show for a moment
+  EXPECT_EQ(line, "0, 1, 2");  // no pipe in the script: it would appear here
   std::getline(in, line);
   EXPECT_EQ(line, folder);
   long pid = 0, session = 0;
@@ -106,7 +106,7 @@
   EXPECT_NE(line.find("0000000000000000"), std::string::npos) << line;
 }
 
-TEST_F(ProcessTest, WhatCannotBeRunLeavesNothing) {
+TEST_F(ProcessTest, FailedStartLeavesNoChild) {
   pid_t pid = 0;
   Command c = shell("");
   c.program = folder + "/none";
@@ -118,8 +118,8 @@
   EXPECT_EQ(::waitpid(-1, nullptr, WNOHANG), -1);  // no child is left
 }
 
-// A process of whom only the pid is right is another's, and is not signalled.
-TEST_F(ProcessTest, APidAloneIsNobody) {
+// A process of the same pid with another start time or boot id is a different one and must not be signalled.
+TEST_F(ProcessTest, PidWithOtherStartTimeOrBootIsNotOpened) {
   auto id = identify(::getppid());
   ASSERT_TRUE(id);
   std::error_code bad;
@@ -137,8 +137,8 @@
   EXPECT_FALSE(identify(-1));
 }
 
-// One that is reaped between the opening of its file in /proc and the reading used to end the agent.
-TEST_F(ProcessTest, OneThatEndsWhileItIsLookedAtIsNobody) {
+// A process reaped between open and read of its file in /proc once ended the agent with an exception.
+TEST_F(ProcessTest, ProcessReapedDuringIdentifyIsNotFound) {
   for (int i = 0; i < 500; i++) {
     const pid_t child = ::fork();
     if (child == 0) ::_exit(0);
@@ -149,10 +149,10 @@
   }
 }
 
-TEST_F(ProcessTest, TheEndOfAnotherOnesChildIsSeen) {
+TEST_F(ProcessTest, ExitOfANonChildIsSeen) {
   pid_t pid = 0;
   ::prctl(PR_SET_CHILD_SUBREAPER, 0);
-  // The shell leaves its child, which tells its pid.
+  // The shell prints the pid of its background child and exits.
   ASSERT_FALSE(start_detached(shell("sleep 1000 & echo $!"), pid));
   ::waitpid(pid, nullptr, 0);
   const pid_t orphan = static_cast<pid_t>(std::stol(log()));
@@ -162,7 +162,7 @@
   EXPECT_FALSE(identify(orphan));
 }
 
-TEST_F(ProcessTest, SignalsReachNobodyOnceItHasEnded) {
+TEST_F(ProcessTest, SignalAfterExitReachesNoProcess) {
   pid_t pid = 0;
   ASSERT_FALSE(start_detached(shell("exit 0"), pid));
   std::error_code bad;
--- a/tests/fleet/standins/relay_standin.cpp
+++ b/tests/fleet/standins/relay_standin.cpp
@@ -1,9 +1,9 @@
-// Stands in for a relay: takes its command line, speaks its admin protocol, keeps its fence and drain in the
-// state folder, and listens nowhere else. The file `behave` in the folder it runs in, or the variable
-// STANDIN_BEHAVE, tells it what else to do, words apart by spaces:
-//   crash  ends with status 3 at once       unready  answers, and is not ready
-//   deaf   ignores SIGTERM                  held=N   N messages are held until the drain has asked for 1 s
-//   mute   makes no admin socket
+// A stand-in for a relay: accepts its command line, serves its admin protocol on the Unix socket alone, and
+// keeps fence and drain in the state folder. The file `behave` in its working directory and the environment
+// variable STANDIN_BEHAVE list further behaviours, separated by spaces:
+//   crash  exits with status 3 at once      unready  answers that it is not ready
+//   deaf   ignores SIGTERM                  held=N   holds N messages; a drain removes one each 100 ms
+//   mute   creates no admin socket
 #include <fcntl.h>
 #include <rapidjson/document.h>
 #include <signal.h>
@@ -30,7 +30,7 @@
 
 namespace {
 
-std::string whole(const std::string& file) {
+std::string read_file(const std::string& file) {
   std::ifstream in(file, std::ios::binary);
   return {std::istreambuf_iterator<char>(in), {}};
 }
@@ -44,32 +44,32 @@
   Relay(net::io_context& io, std::string state, const std::string& config, std::string run)
       : io_(io), state_(std::move(state)), run_(std::move(run)), acceptor_(io), timer_(io) {
     rapidjson::Document v;
-    v.Parse(whole(config).c_str());
+    v.Parse(read_file(config).c_str());
     if (v.HasParseError() || !v.IsObject()) throw std::runtime_error("config: can't be read");
     name_ = v["name"].GetString();
     generation_ = v["generation"].GetUint64();
-    std::string words = whole("behave");
-    if (const char* all = std::getenv("STANDIN_BEHAVE")) words += std::string(" ") + all;
-    std::istringstream in(words);
+    std::string argv = read_file("behave");
+    if (const char* all = std::getenv("STANDIN_BEHAVE")) argv += std::string(" ") + all;
+    std::istringstream in(argv);
     for (std::string w; in >> w;) {
       if (w.rfind("held=", 0) == 0) held_ = std::strtoull(w.c_str() + 5, nullptr, 10);
-      behave_.insert(w);
+      behaviours_.insert(w);
     }
-    std::ifstream kept(state_ + "/kept");
-    kept >> fence_ >> draining_;
+    std::ifstream saved(state_ + "/kept");
+    saved >> fence_ >> draining_;
   }
 
-  bool is(const char* word) const { return behave_.count(word) > 0; }
+  bool has_behaviour(const char* option) const { return behaviours_.count(option) > 0; }
 
   void undrain(std::uint64_t fence) {
     if (fence < fence_) throw std::runtime_error("fenced");
     fence_ = fence;
     draining_ = false;
-    keep();
+    save_state();
     std::filesystem::remove(state_ + "/drained");
   }
   void start() {
-    if (!is("mute")) {
+    if (!has_behaviour("mute")) {
       const std::string path = state_ + "/admin.sock";
       std::filesystem::remove(path);
       acceptor_.open();
@@ -77,7 +77,7 @@
       acceptor_.listen();
       accept();
     }
-    look();
+    check_drain();
   }
 
  private:
@@ -89,9 +89,9 @@
     http::response<http::string_body> response;
   };
 
-  void keep() { replace(state_ + "/kept", std::to_string(fence_) + " " + std::to_string(draining_)); }
-  void look() {
-    // It never outlives its test, however the test ends.
+  void save_state() { replace(state_ + "/kept", std::to_string(fence_) + " " + std::to_string(draining_)); }
+  void check_drain() {
+    // Exit when the test process has ended.
     if (const char* owner = std::getenv("STANDIN_OWNER"))
       if (::kill(static_cast<pid_t>(std::atol(owner)), 0) != 0) return io_.stop();
     if (draining_ && held_ == 0) {
@@ -101,7 +101,7 @@
     if (draining_) held_ -= 1;
     timer_.expires_after(std::chrono::milliseconds(100));
     timer_.async_wait([this](error_code bad) {
-      if (!bad) look();
+      if (!bad) check_drain();
     });
   }
   void accept() {
@@ -146,13 +146,13 @@
     fence_ = fence;
     if (r.target() == "/v1/drain") draining_ = true;
     if (r.target() == "/v1/undrain") draining_ = false;
-    keep();
+    save_state();
     body = std::string("{\"draining\":") + (draining_ ? "true" : "false") +
            ",\"held\":" + std::to_string(held_) + "}";
     return 200;
   }
   std::string status() const {
-    const bool ready = !draining_ && !is("unready");
+    const bool ready = !draining_ && !has_behaviour("unready");
     return "{\"name\":\"" + name_ + "\",\"run\":\"" + run_ + "\",\"pid\":" + std::to_string(::getpid()) +
            ",\"version\":\"standin\",\"generation\":" + std::to_string(generation_) +
            ",\"ready\":" + (ready ? "true" : "false") + ",\"draining\":" + (draining_ ? "true" : "false") +
@@ -165,34 +165,34 @@
   std::string state_, run_, name_;
   std::uint64_t generation_ = 0, fence_ = 0, held_ = 0;
   bool draining_ = false;
-  std::set<std::string> behave_;
+  std::set<std::string> behaviours_;
   local::acceptor acceptor_;
   net::steady_timer timer_;
 };
 
-int run(int count, char** words) {
+int run(int argc, char** argv) {
   std::string config, state, settings, run_id, undrain;
-  for (int i = 1; i + 1 < count; i += 2) {
-    const std::string word = words[i];
-    (word == "--config"     ? config
-     : word == "--state"    ? state
-     : word == "--settings" ? settings
-     : word == "--run"      ? run_id
-                            : undrain) = words[i + 1];
+  for (int i = 1; i + 1 < argc; i += 2) {
+    const std::string option = argv[i];
+    (option == "--config"     ? config
+     : option == "--state"    ? state
+     : option == "--settings" ? settings
+     : option == "--run"      ? run_id
+                              : undrain) = argv[i + 1];
   }
-  // One process on a folder: what the tests look for.
+  // Report a second process on the state folder; the tests search the log for this line.
   const int lock = ::open((state + "/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
   if (lock < 0 || ::flock(lock, LOCK_EX | LOCK_NB) != 0) {
     std::fprintf(stderr, "TWO PROCESSES on %s\n", state.c_str());
     return 9;
   }
-  if (whole(settings).find("socket = true") == std::string::npos) return 8;
+  if (read_file(settings).find("socket = true") == std::string::npos) return 8;
   net::io_context io(1);
   Relay relay(io, state, config, run_id);
   std::fprintf(stderr, "standin: run %s\n", run_id.c_str());
-  if (relay.is("crash")) return 3;
+  if (relay.has_behaviour("crash")) return 3;
   net::signal_set ends(io);
-  if (relay.is("deaf"))
+  if (relay.has_behaviour("deaf"))
     std::signal(SIGTERM, SIG_IGN);
   else
     ends.add(SIGTERM);
@@ -207,9 +207,9 @@
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int argc, char** argv) {
   try {
-    return run(count, words);
+    return run(argc, argv);
   } catch (const std::exception& e) {
     std::fprintf(stderr, "standin: %s\n", e.what());
     return 1;
--- a/tests/fleet/world.cpp
+++ b/tests/fleet/world.cpp
@@ -42,11 +42,11 @@
 World::World(std::uint64_t seed, Behaviour behaviour, Tuning tuning)
     : how(behaviour), tuning_(tuning), random_(seed) {
   start_agent();
-  misfortune();
+  schedule_faults();
 }
 
 void World::expect(bool holds, const std::string& rule) {
-  if (!holds) broken.push_back(std::to_string(now / ms % 1'000'000) + " ms: " + rule);
+  if (!holds) violations.push_back(std::to_string(now / ms % 1'000'000) + " ms: " + rule);
 }
 
 const InstanceRow* World::row(const std::string& name) const {
@@ -55,22 +55,22 @@
 }
 
 void World::at(Microseconds when, std::function<void()> what) {
-  due_.push({when, order_++, std::move(what)});
+  scheduled_.push({when, order_++, std::move(what)});
 }
 
-void World::later(Microseconds delay, Event event) {
-  at(now + delay, [this, life = life_, event = std::move(event)] {
-    if (life == life_ && decider_) give(event);
+void World::deliver_later(Microseconds delay, Event event) {
+  at(now + delay, [this, incarnation = incarnation_, event = std::move(event)] {
+    if (incarnation == incarnation_ && decider_) handle(event);
   });
 }
 
-void World::give(const Event& event) {
+void World::handle(const Event& event) {
   std::vector<Action> actions;
   decider_->handle(now, event, actions);
-  const int life = life_;
+  const int incarnation = incarnation_;
   for (const Action& action : actions) {
-    if (kill_here && kill_here(action)) kill_agent();
-    if (life != life_ || !decider_) return;  // what was not carried out is lost with the agent
+    if (kill_before && kill_before(action)) kill_agent();
+    if (incarnation != incarnation_ || !decider_) return;  // further actions are lost with the agent
     carry_out(action);
   }
 }
@@ -82,12 +82,12 @@
 bool World::until(const std::function<bool()>& condition, Microseconds within) {
   const Microseconds end = now + within;
   while (!condition()) {
-    if (due_.empty() || due_.top().at > end) {
+    if (scheduled_.empty() || scheduled_.top().at > end) {
       now = end;
       return condition();
     }
-    Due next = due_.top();
-    due_.pop();
+    ScheduledAction next = scheduled_.top();
+    scheduled_.pop();
     now = std::max(now, next.at);
     next.what();
   }
@@ -98,15 +98,15 @@
   command.request = ++requests_;
   if (command.kind == Kind::rollback && !command.fleet && database.fleet(command.to))
     command.fleet = *database.fleet(command.to);
-  asked[command.request] = command;
+  commands[command.request] = command;
   sent_at[command.request] = now;
-  if (decider_) give(command);
+  if (decider_) handle(command);
   return command.request;
 }
 
 RequestId World::cancel(OperationId operation) {
   const RequestId request = ++requests_;
-  if (decider_) give(event::Cancel{request, operation});
+  if (decider_) handle(event::Cancel{request, operation});
   return request;
 }
 
@@ -117,27 +117,27 @@
 
 void World::kill_agent() {
   if (!decider_) return;
-  if (out_ && record_stands) {
-    database.apply(*out_);
+  if (unacknowledged_record_ && record_survives_kill) {
+    database.apply(*unacknowledged_record_);
     check_rows();
   }
-  out_.reset();
+  unacknowledged_record_.reset();
   decider_.reset();
-  ++life_;
-  ++killed;
+  ++incarnation_;
+  ++agent_kills;
 }
 
 void World::start_agent() {
   if (decider_) return;
-  ++life_;
+  ++incarnation_;
   last_record_ = 0;
   decider_ = std::make_unique<Decider>(database.restored(), 1, tuning_);
-  later(0, event::TimerExpired{});
+  deliver_later(0, event::TimerExpired{});
   for (const auto& [name, row] : database.instances) {
     if (!row.live) continue;
     auto process = processes.find(name);
     if (process != processes.end() && process->second.run == row.run) {
-      later(some(5 * ms), event::Adopted{name, process->second.pid, row.run});
+      deliver_later(with_jitter(5 * ms), event::Adopted{name, process->second.pid, row.run});
       poll(name, row.run);
       continue;
     }
@@ -145,41 +145,41 @@
     event::NotFound gone{name, row.run, std::nullopt};
     const Folder& folder = folders[name];
     if (folder.drained && folder.drained->second == row.run) gone.drained = folder.drained->first;
-    later(some(5 * ms), gone);
+    deliver_later(with_jitter(5 * ms), gone);
   }
 }
 
-void World::sleep(Microseconds time) {
+void World::suspend(Microseconds time) {
   now += time;
-  std::vector<Due> all;
-  while (!due_.empty()) {
-    all.push_back(due_.top());
-    due_.pop();
+  std::vector<ScheduledAction> all;
+  while (!scheduled_.empty()) {
+    all.push_back(scheduled_.top());
+    scheduled_.pop();
   }
-  for (Due& one : all) {
+  for (ScheduledAction& one : all) {
     one.at = std::max(one.at, now);
-    due_.push(std::move(one));
+    scheduled_.push(std::move(one));
   }
 }
 
 void World::crash(const std::string& name) {
-  misfortunes = true;
+  disturbed = true;
   auto process = processes.find(name);
-  if (process != processes.end()) exits(name, process->second.run, 0, 11);
+  if (process != processes.end()) end_process(name, process->second.run, 0, 11);
 }
 
-void World::exits(const std::string& name, const std::string& run, int status, int signal) {
+void World::end_process(const std::string& name, const std::string& run, int status, int signal) {
   auto process = processes.find(name);
   if (process == processes.end() || process->second.run != run) return;
   event::Exited end{name, run, status, signal, std::nullopt};
   Folder& folder = folders[name];
   if (folder.drained && folder.drained->second == run) end.drained = folder.drained->first;
   processes.erase(process);
-  later(some(2 * ms), end);
+  deliver_later(with_jitter(2 * ms), end);
 }
 
-// Crashes and stalls by chance, each second.
-void World::misfortune() {
+// Each second: random crashes and stalls.
+void World::schedule_faults() {
   at(now + second, [this] {
     std::vector<std::string> names;
     for (const auto& [name, process] : processes) names.push_back(name);
@@ -190,26 +190,26 @@
         processes[name].stalled = true;
         const std::string run = processes[name].run;
         if (how.stall_for == 0) continue;
-        at(now + some(how.stall_for), [this, name, run] {
+        at(now + with_jitter(how.stall_for), [this, name, run] {
           auto process = processes.find(name);
           if (process == processes.end() || process->second.run != run) return;
           process->second.stalled = false;
-          if (process->second.stopping) return exits(name, run, 0, 0);
+          if (process->second.stopping) return end_process(name, run, 0, 0);
           if (process->second.awaits_drain_end) start_draining(name);
         });
       }
     }
-    misfortune();
+    schedule_faults();
   });
 }
 
-// The agent asks each process for its status, and takes 1 s of silence for none.
+// Status requests of the agent to a process. A request without answer is reported as missed after 1 s.
 void World::poll(const std::string& name, const std::string& run) {
-  at(now + some(500 * ms), [this, life = life_, name, run] {
+  at(now + with_jitter(500 * ms), [this, incarnation = incarnation_, name, run] {
     auto process = processes.find(name);
-    if (life != life_ || process == processes.end() || process->second.run != run) return;
+    if (incarnation != incarnation_ || process == processes.end() || process->second.run != run) return;
     if (process->second.stalled || now < process->second.started + 50 * ms) {
-      later(second, event::StatusMissed{name, run});
+      deliver_later(second, event::StatusMissed{name, run});
     } else {
       const Process& p = process->second;
       event::StatusSeen seen{
@@ -217,27 +217,28 @@
       seen.fence = folders[name].fence;
       seen.held = static_cast<std::uint64_t>(folders[name].held);
       seen.generation = p.generation;
-      later(some(2 * ms), seen);
+      deliver_later(with_jitter(2 * ms), seen);
     }
     poll(name, run);
   });
 }
 
 void World::carry_out(const Action& action) {
-  std::visit([&](const auto& a) { act(a); }, action);
+  std::visit([&](const auto& a) { perform(a); }, action);
 }
 
-void World::act(const action::Record& a) {
-  expect(!out_, "two records out");
+void World::perform(const action::Record& a) {
+  expect(!unacknowledged_record_, "two unacknowledged records");
   expect(a.record == last_record_ + 1, "record ids skip");
   last_record_ = a.record;
-  out_ = a;
+  unacknowledged_record_ = a;
   const bool fails = disk_full || chance() < how.record_fails;
-  at(now + some(how.record_takes), [this, life = life_, fails, id = a.record] {
-    if (life != life_ || !out_ || out_->record != id) return;
-    const action::Record record = std::move(*out_);
-    out_.reset();
-    if (fails) return give(event::RecordFailed{id, "disk full"});
+  at(now + with_jitter(how.record_takes), [this, incarnation = incarnation_, fails, id = a.record] {
+    if (incarnation != incarnation_ || !unacknowledged_record_ || unacknowledged_record_->record != id)
+      return;
+    const action::Record record = std::move(*unacknowledged_record_);
+    unacknowledged_record_.reset();
+    if (fails) return handle(event::RecordFailed{id, "disk full"});
     for (const Operation& operation : record.operations) {
       auto before = database.operations.find(operation.id);
       for (std::size_t i = 0; before != database.operations.end() && i < operation.steps.size(); ++i) {
@@ -252,16 +253,16 @@
     }
     database.apply(record);
     check_rows();
-    give(event::Recorded{id});
+    handle(event::Recorded{id});
   });
 }
 
-void World::note(std::string what) {
+void World::add_trace(std::string what) {
   trace.push_back(std::move(what));
   trace_at.push_back(now);
 }
 
-// Rules over what is recorded.
+// Checks the rules for recorded rows.
 void World::check_rows() {
   std::map<std::string, OperationId> touched;
   for (const auto& [id, operation] : database.operations) {
@@ -290,30 +291,31 @@
   }
 }
 
-// What a step that ends says of the machine is so, where nothing happened since it was looked at.
+// Checks a done step's result against the machine, unless a fault may have changed it since the observation.
 void World::check_done(const Step& step) {
   auto process = processes.find(step.instance);
-  const bool there = process != processes.end();
+  const bool process_exists = process != processes.end();
   switch (step.work) {
     case Step::Work::stop:
     case Step::Work::remove:
-      expect(!there, step.instance + " is told ended and runs");
+      expect(!process_exists, step.instance + " is reported as ended but runs");
       break;
     case Step::Work::drain:
-      expect(!there && (!folders[step.instance].drain || folders[step.instance].drained ||
-                        folders[step.instance].held == 0),
-             step.instance + " is told drained and is not");
+      expect(!process_exists && (!folders[step.instance].drain || folders[step.instance].drained ||
+                                 folders[step.instance].held == 0),
+             step.instance + " is reported as drained but is not");
       break;
     case Step::Work::restart:
     case Step::Work::add:
     case Step::Work::start:
     case Step::Work::undrain: {
-      if (misfortunes || how.crash > 0 || how.stall > 0) break;
-      const bool ready =
-          there && !process->second.draining && !process->second.stopping && now >= process->second.ready_at;
-      expect(ready, step.instance + " is told ready and is not");
+      if (disturbed || how.crash > 0 || how.stall > 0) break;
+      const bool ready = process_exists && !process->second.draining && !process->second.stopping &&
+                         now >= process->second.ready_at;
+      expect(ready, step.instance + " is reported as ready but is not");
       if (ready && step.work == Step::Work::restart) {
-        expect(process->second.run != step.run_before, step.instance + " is told restarted and is not");
+        expect(process->second.run != step.run_before,
+               step.instance + " is reported as restarted but is not");
       }
       break;
     }
@@ -322,22 +324,22 @@
   }
 }
 
-void World::act(const action::WriteConfig& a) {
+void World::perform(const action::WriteConfig& a) {
   const InstanceRow* r = row(a.name);
   expect(r && r->config == a.generation, "WriteConfig of " + a.name + " not as recorded");
   expect(database.fleet(a.generation) != nullptr, "WriteConfig of an unknown fleet");
   folders[a.name].config = a.generation;
 }
 
-void World::act(const action::Spawn& a) {
-  note("spawn " + a.name + (a.undrain ? " undrain" : ""));
+void World::perform(const action::Spawn& a) {
+  add_trace("spawn " + a.name + (a.undrain ? " undrain" : ""));
   const InstanceRow* r = row(a.name);
   expect(r && r->live && r->run == a.run, "Spawn of " + a.name + " not as recorded");
-  expect(r && (r->desired != Desired::stopped), "Spawn of " + a.name + ", which shall be stopped");
-  expect(!processes.contains(a.name), "Spawn of " + a.name + " beside an earlier run");
+  expect(r && (r->desired != Desired::stopped), "Spawn of " + a.name + ", whose desired state is stopped");
+  expect(!processes.contains(a.name), "Spawn of " + a.name + " during an earlier run");
   if (processes.contains(a.name)) return;
   if (chance() < how.spawn_fails)
-    return later(some(ms), event::SpawnFailed{a.name, a.run, "no such program"});
+    return deliver_later(with_jitter(ms), event::SpawnFailed{a.name, a.run, "no such program"});
   Folder& folder = folders[a.name];
   if (a.undrain && *a.undrain >= folder.fence) {
     folder.fence = *a.undrain;
@@ -348,12 +350,12 @@
   process.run = a.run;
   process.pid = ++pids_;
   process.started = now;
-  process.ready_at = now + some(how.start_to_ready);
+  process.ready_at = now + with_jitter(how.start_to_ready);
   process.draining = folder.drain;
   process.generation = folder.config;
   processes[a.name] = process;
   ++starts[a.name];
-  later(some(ms), event::Spawned{a.name, process.pid, a.run});
+  deliver_later(with_jitter(ms), event::Spawned{a.name, process.pid, a.run});
   poll(a.name, a.run);
   bool bad = false;
   if (const FleetSpec* fleet = database.fleet(folder.config)) {
@@ -362,31 +364,31 @@
       bad = bad || (spec.name == a.name && spec.own.contains("crashes"));
   }
   if (bad) {
-    misfortunes = true;
-    at(now + some(100 * ms), [this, a] { exits(a.name, a.run, 1, 0); });
+    disturbed = true;
+    at(now + with_jitter(100 * ms), [this, a] { end_process(a.name, a.run, 1, 0); });
   } else if (folder.drain) {
     start_draining(a.name);
   }
 }
 
-void World::act(const action::Signal& a) {
-  note((a.signal == Signum::term ? "term " : "kill ") + a.name);
+void World::perform(const action::Signal& a) {
+  add_trace((a.signal == Signum::term ? "term " : "kill ") + a.name);
   const InstanceRow* r = row(a.name);
   expect(r && (r->run != a.run || r->desired == Desired::stopped || r->retire == a.run),
          "Signal to " + a.name + " not as recorded");
   auto process = processes.find(a.name);
   if (process == processes.end() || process->second.run != a.run) return;
-  if (a.signal == Signum::kill) return exits(a.name, a.run, 0, 9);
+  if (a.signal == Signum::kill) return end_process(a.name, a.run, 0, 9);
   process->second.stopping = true;
-  at(now + some(how.term_takes), [this, a] {
+  at(now + with_jitter(how.term_takes), [this, a] {
     auto still = processes.find(a.name);
-    if (still != processes.end() && !still->second.stalled) exits(a.name, a.run, 0, 0);
+    if (still != processes.end() && !still->second.stalled) end_process(a.name, a.run, 0, 0);
   });
 }
 
 void World::start_draining(const std::string& name) {
   const std::string run = processes.at(name).run;
-  at(now + some(how.drain_takes), [this, name, run] {
+  at(now + with_jitter(how.drain_takes), [this, name, run] {
     auto process = processes.find(name);
     if (process == processes.end() || process->second.run != run || !process->second.draining) return;
     if (process->second.stalled) {
@@ -395,7 +397,7 @@
     }
     folders[name].held = 0;
     folders[name].drained = {folders[name].fence, run};
-    exits(name, run, 0, 0);
+    end_process(name, run, 0, 0);
   });
 }
 
@@ -403,7 +405,7 @@
 void World::call(const Ask& a, AdminCall call) {
   const InstanceRow* r = row(a.name);
   expect(r && r->fence == a.fence, "a call to " + a.name + " with another fence than recorded");
-  at(now + some(ms), [this, life = life_, a, call] {
+  at(now + with_jitter(ms), [this, incarnation = incarnation_, a, call] {
     auto process = processes.find(a.name);
     event::Answered answer{a.name, a.run, call, event::Answered::Result::failed, 0, "no answer"};
     if (process != processes.end() && process->second.run == a.run && !process->second.stalled) {
@@ -421,53 +423,54 @@
         if (call == AdminCall::undrain) folder.drain = process->second.draining = false;
       }
     }
-    if (life == life_) later(answer.result == event::Answered::Result::failed ? second : ms, answer);
+    if (incarnation == incarnation_)
+      deliver_later(answer.result == event::Answered::Result::failed ? second : ms, answer);
   });
 }
 
-void World::act(const action::AskDrain& a) {
-  note("drain " + a.name);
+void World::perform(const action::AskDrain& a) {
+  add_trace("drain " + a.name);
   expect(row(a.name) && row(a.name)->desired == Desired::drained,
          "AskDrain of " + a.name + " not as recorded");
   call(a, AdminCall::drain);
 }
 
-void World::act(const action::AskUndrain& a) {
-  note("undrain " + a.name);
+void World::perform(const action::AskUndrain& a) {
+  add_trace("undrain " + a.name);
   expect(row(a.name) && row(a.name)->desired == Desired::running,
          "AskUndrain of " + a.name + " not as recorded");
   call(a, AdminCall::undrain);
 }
 
-void World::act(const action::AskFence& a) {
-  note("fence " + a.name);
+void World::perform(const action::AskFence& a) {
+  add_trace("fence " + a.name);
   call(a, AdminCall::fence);
 }
 
-void World::act(const action::Removed& a) {
-  note("removed " + a.name);
-  expect(!row(a.name), "Removed " + a.name + ", whose row stands");
+void World::perform(const action::Removed& a) {
+  add_trace("removed " + a.name);
+  expect(!row(a.name), "Removed " + a.name + ", whose row exists");
   expect(!processes.contains(a.name), "Removed " + a.name + ", which runs");
   expect(folders[a.name].held == 0, "Removed " + a.name + ", which holds messages");
   folders.erase(a.name);
 }
 
-void World::act(const action::SetTimer& a) {
-  at(a.at, [this, life = life_, id = ++timer_] {
-    if (life == life_ && decider_ && id == timer_) give(event::TimerExpired{});
+void World::perform(const action::SetTimer& a) {
+  at(a.at, [this, incarnation = incarnation_, id = ++timer_] {
+    if (incarnation == incarnation_ && decider_ && id == timer_) handle(event::TimerExpired{});
   });
 }
 
-void World::act(const action::Reply& a) {
-  expect(!verdicts.contains(a.request), "request " + std::to_string(a.request) + " told twice");
+void World::perform(const action::Reply& a) {
+  expect(!verdicts.contains(a.request), "request " + std::to_string(a.request) + " answered twice");
   if (auto* yes = std::get_if<verdict::Accepted>(&a.verdict)) {
     auto recorded = database.operations.find(yes->operation.id);
-    expect(recorded != database.operations.end(), "Accepted before its record stands");
-    if (asked.contains(a.request)) accepted[yes->operation.id] = asked[a.request];
+    expect(recorded != database.operations.end(), "Accepted before its record is durable");
+    if (commands.contains(a.request)) accepted[yes->operation.id] = commands[a.request];
   }
   verdicts[a.request] = a.verdict;
-  told_at[a.request] = now;
-  told.emplace_back(a.request, a.verdict);
+  replied_at[a.request] = now;
+  replies.emplace_back(a.request, a.verdict);
 }
 
 Phase World::phase(const std::string& name) {
@@ -480,48 +483,48 @@
   return at != database.operations.end() && at->second.state != OperationState::running;
 }
 
-OperationId World::ask(Kind kind, std::vector<std::string> names, std::optional<int> max_unavailable) {
-  event::Command said;
-  said.kind = kind;
-  said.all = names.empty();
-  said.names = std::move(names);
-  said.by = "user@host pid 1";
-  said.max_unavailable = max_unavailable;
-  const RequestId request = command(said);
+OperationId World::submit(Kind kind, std::vector<std::string> names, std::optional<int> max_unavailable) {
+  event::Command command_to_send;
+  command_to_send.kind = kind;
+  command_to_send.all = names.empty();
+  command_to_send.names = std::move(names);
+  command_to_send.by = "user@host pid 1";
+  command_to_send.max_unavailable = max_unavailable;
+  const RequestId request = command(command_to_send);
   until([&] { return verdict(request) != nullptr; }, 10 * second);
-  const Verdict* told_it = verdict(request);
-  auto* yes = told_it ? std::get_if<verdict::Accepted>(told_it) : nullptr;
+  const Verdict* verdict_found = verdict(request);
+  auto* yes = verdict_found ? std::get_if<verdict::Accepted>(verdict_found) : nullptr;
   return yes ? yes->operation.id : 0;
 }
 
 OperationId World::apply(const FleetSpec& fleet) {
-  event::Command said;
-  said.kind = Kind::apply;
-  said.by = "user@host pid 1";
-  said.fleet = fleet;
-  const RequestId request = command(said);
+  event::Command command_to_send;
+  command_to_send.kind = Kind::apply;
+  command_to_send.by = "user@host pid 1";
+  command_to_send.fleet = fleet;
+  const RequestId request = command(command_to_send);
   until([&] { return verdict(request) != nullptr; }, 10 * second);
-  const Verdict* told_it = verdict(request);
-  auto* yes = told_it ? std::get_if<verdict::Accepted>(told_it) : nullptr;
+  const Verdict* verdict_found = verdict(request);
+  auto* yes = verdict_found ? std::get_if<verdict::Accepted>(verdict_found) : nullptr;
   return yes ? yes->operation.id : 0;
 }
 
-OperationId World::finish(OperationId id, Microseconds within) {
+OperationId World::wait_until_ended(OperationId id, Microseconds within) {
   return id != 0 && until([&] { return ended(id); }, within) ? id : 0;
 }
 
-bool World::at_rest() const {
+bool World::converged() const {
   if (!decider_ || decider_->running_operation() != 0) return false;
   for (const auto& [name, r] : database.instances) {
     auto process = processes.find(name);
-    const bool there = process != processes.end();
-    if (r.live != there || r.removing) return false;
+    const bool process_exists = process != processes.end();
+    if (r.live != process_exists || r.removing) return false;
     if (!r.retire.empty() && r.retire == r.run) return false;
-    if (r.desired == Desired::running &&
-        (!there || process->second.draining || process->second.stalled || now < process->second.ready_at)) {
+    if (r.desired == Desired::running && (!process_exists || process->second.draining ||
+                                          process->second.stalled || now < process->second.ready_at)) {
       return false;
     }
-    if (r.desired != Desired::running && there) return false;
+    if (r.desired != Desired::running && process_exists) return false;
     if (r.desired == Desired::drained && !r.ended_drained) return false;
   }
   return true;
--- a/tests/fleet/world.hpp
+++ b/tests/fleet/world.hpp
@@ -1,6 +1,6 @@
-// A machine in simulated time for the decider: processes that start, get ready, crash, stall and drain, a
-// database that may fail, an agent that may be killed. It holds every action against the rows that are
-// recorded, and counts what breaks a rule.
+// A machine in simulated time for tests of the decider: processes that start, become ready, crash, stall and
+// drain, a database that may fail, an agent that may be killed. Checks every action against the recorded rows
+// and collects the violated rules.
 #pragma once
 
 #include <functional>
@@ -19,10 +19,11 @@
 constexpr Microseconds ms = 1'000;
 constexpr Microseconds second = 1'000'000;
 
-// Instances listen on ports from 8081. One with the part `crashes`, its own or common, crashes as it starts.
+// A fleet with these instances, on ports from 8081. An instance with the part `crashes`, its own or common,
+// crashes at its start.
 FleetSpec fleet_of(const std::vector<std::string>& names, int max_unavailable = 1);
 
-// The database: rows as acknowledged records left them.
+// The rows of the acknowledged records.
 struct Database {
   Generation generation = 0;
   OperationId last_operation = 0;
@@ -32,7 +33,7 @@
 
   void apply(const action::Record& record);
   Restored restored() const;
-  const FleetSpec* fleet(Generation generation) const;  // in force then
+  const FleetSpec* fleet(Generation generation) const;  // in force at that generation
 };
 
 struct Process {
@@ -47,7 +48,7 @@
   Generation generation = 0;
 };
 
-// What a state folder holds: it outlives the process.
+// The content of a state folder; outlives the process.
 struct Folder {
   Generation config = 0;
   OperationId fence = 0;
@@ -60,13 +61,13 @@
   Microseconds start_to_ready = 200 * ms;
   Microseconds term_takes = 100 * ms;
   Microseconds drain_takes = 700 * ms;
-  double crash = 0;  // chances each second and process
-  double stall = 0;
-  Microseconds stall_for = 15 * second;  // unless it is killed; 0: for ever
+  double crash = 0;                      // probability per second and process
+  double stall = 0;                      // likewise
+  Microseconds stall_for = 15 * second;  // 0: until killed
   double record_fails = 0;
   double spawn_fails = 0;
   Microseconds record_takes = 5 * ms;
-  Microseconds jitter = 0;  // added to what takes time, drawn
+  Microseconds jitter = 0;  // most random time added to each delay
 };
 
 class World {
@@ -77,24 +78,24 @@
   Database database;
   std::map<std::string, Process> processes;
   std::map<std::string, Folder> folders;
-  std::map<std::string, int> starts;  // processes started, by instance
-  std::vector<std::string> broken;    // rules that were broken
+  std::map<std::string, int> starts;    // number of started processes, by instance
+  std::vector<std::string> violations;  // violated rules, with time
   std::map<RequestId, Verdict> verdicts;
-  std::vector<std::pair<RequestId, Verdict>> told;  // in their order
-  std::map<RequestId, Microseconds> sent_at, told_at;
-  std::map<RequestId, event::Command> asked;
+  std::vector<std::pair<RequestId, Verdict>> replies;  // in order
+  std::map<RequestId, Microseconds> sent_at, replied_at;
+  std::map<RequestId, event::Command> commands;
   std::map<OperationId, event::Command> accepted;
-  std::vector<std::string> trace;      // actions that act, and
-  std::vector<Microseconds> trace_at;  // when
+  std::vector<std::string> trace;      // actions on processes and folders
+  std::vector<Microseconds> trace_at;  // time of each
   bool disk_full = false;
   Microseconds now = 1'700'000'000 * second;
 
-  // Called before each action that is carried out; true kills the agent there (the action is lost).
-  std::function<bool(const Action&)> kill_here;
-  // Where the agent is killed: whether a record that is out stands all the same.
-  bool record_stands = false;
-  int killed = 0;
-  bool misfortunes = false;  // there was one: what is seen may be old
+  // Called before each action; true kills the agent there, and the action is not performed.
+  std::function<bool(const Action&)> kill_before;
+  // Whether an unacknowledged record becomes durable although the agent is killed.
+  bool record_survives_kill = false;
+  int agent_kills = 0;
+  bool disturbed = false;  // a process crashed: the decider's observations may be outdated
 
   Decider& decider() { return *decider_; }
   bool agent() const { return decider_ != nullptr; }
@@ -102,59 +103,62 @@
   RequestId cancel(OperationId operation);
   void kill_agent();
   void start_agent();
-  void sleep(Microseconds time);  // nothing runs meanwhile
+  void suspend(Microseconds time);  // the whole machine is suspended
   void crash(const std::string& name);
   void run(Microseconds time);
-  // Until the condition holds; false: not within that time.
+  // Runs until the condition holds; false: it did not within that time.
   bool until(const std::function<bool()>& condition, Microseconds within);
   Phase phase(const std::string& name);
   bool ended(OperationId operation) const;
   const Operation& operation(OperationId id) const { return database.operations.at(id); }
-  // A command by name, accepted at once; 0: it was not.
-  OperationId ask(Kind kind, std::vector<std::string> names,
-                  std::optional<int> max_unavailable = std::nullopt);
+  // Sends a command and waits for its verdict. Returns the operation; 0: not accepted.
+  OperationId submit(Kind kind, std::vector<std::string> names,
+                     std::optional<int> max_unavailable = std::nullopt);
   OperationId apply(const FleetSpec& fleet);
-  OperationId finish(OperationId id, Microseconds within = 300 * second);  // id; 0: it did not end
-  bool at_rest() const;  // no operation runs, each instance is what its row desires
+  OperationId wait_until_ended(OperationId id,
+                               Microseconds within = 300 * second);  // returns `id`; 0: it did not end
+  bool converged() const;  // no operation runs and each instance is in its desired state
   const Verdict* verdict(RequestId request) const;
   void at(Microseconds when, std::function<void()> what);
   double chance() { return std::uniform_real_distribution<>()(random_); }
   std::size_t pick(std::size_t below) { return static_cast<std::size_t>(random_() % below); }
 
  private:
-  struct Due {
+  struct ScheduledAction {
     Microseconds at;
     std::uint64_t order;
     std::function<void()> what;
-    bool operator>(const Due& other) const { return std::tie(at, order) > std::tie(other.at, other.order); }
+    bool operator>(const ScheduledAction& other) const {
+      return std::tie(at, order) > std::tie(other.at, other.order);
+    }
   };
 
-  void give(const Event& event);
-  void later(Microseconds delay, Event event);  // to this life of the agent
+  void handle(const Event& event);
+  void deliver_later(Microseconds delay, Event event);  // dropped if the agent is killed before
   void carry_out(const Action& action);
-  void act(const action::Record& a);
-  void act(const action::WriteConfig& a);
-  void act(const action::Spawn& a);
-  void act(const action::Signal& a);
-  void act(const action::AskDrain& a);
-  void act(const action::AskUndrain& a);
-  void act(const action::AskFence& a);
-  void act(const action::Removed& a);
-  void act(const action::SetTimer& a);
-  void act(const action::Reply& a);
-  void act(const action::OperationChanged&) {}
-  void act(const action::Log&) {}
+  void perform(const action::Record& a);
+  void perform(const action::WriteConfig& a);
+  void perform(const action::Spawn& a);
+  void perform(const action::Signal& a);
+  void perform(const action::AskDrain& a);
+  void perform(const action::AskUndrain& a);
+  void perform(const action::AskFence& a);
+  void perform(const action::Removed& a);
+  void perform(const action::SetTimer& a);
+  void perform(const action::Reply& a);
+  void perform(const action::OperationChanged&) {}
+  void perform(const action::Log&) {}
   template <class Ask>
   void call(const Ask& a, AdminCall call);
   void start_draining(const std::string& name);
   void check_rows();
   void check_done(const Step& step);
-  void note(std::string what);
+  void add_trace(std::string what);
   void poll(const std::string& name, const std::string& run);
-  void exits(const std::string& name, const std::string& run, int status, int signal);
-  void misfortune();
+  void end_process(const std::string& name, const std::string& run, int status, int signal);
+  void schedule_faults();
   void expect(bool holds, const std::string& rule);
-  Microseconds some(Microseconds time) {
+  Microseconds with_jitter(Microseconds time) {
     return time + (how.jitter > 0
                        ? static_cast<Microseconds>(random_() % static_cast<std::uint64_t>(how.jitter))
                        : 0);
@@ -164,10 +168,10 @@
   Tuning tuning_;
   std::mt19937_64 random_;
   std::unique_ptr<Decider> decider_;
-  int life_ = 0;
-  std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
+  int incarnation_ = 0;
+  std::priority_queue<ScheduledAction, std::vector<ScheduledAction>, std::greater<>> scheduled_;
   std::uint64_t order_ = 0;
-  std::optional<action::Record> out_;
+  std::optional<action::Record> unacknowledged_record_;
   RecordId last_record_ = 0;
   std::uint64_t timer_ = 0;
   RequestId requests_ = 0;
