--- a/tests/fleet/fake_backend.hpp
+++ b/tests/fleet/fake_backend.hpp
@@ -1,4 +1,5 @@
-// An agent without processes: the real decisions over records that always stand, for tests of the API alone.
+// An ApiBackend without processes, for tests of the API: a real Decider whose records succeed at once, unless
+// storage_full is set.
 #pragma once
 
 #include <deque>
@@ -79,7 +80,7 @@
           }
           if (r->fleet) fleets[r->generation] = *r->fleet;
           events.push_back(event::Recorded{r->record});
-        } else if (const auto* t = std::get_if<action::Tell>(&a)) {
+        } else if (const auto* t = std::get_if<action::Reply>(&a)) {
           const auto done = requests_[t->request];
           requests_.erase(t->request);
           done(t->verdict);
