--- a/fleet/admin_client.cpp
+++ b/fleet/admin_client.cpp
@@ -24,15 +24,15 @@
  public:
   Asking(net::io_context& io, AdminRequest request, std::function<void(AdminAnswer)> done)
       : io_(io), stream_(io), request_(std::move(request)), done_(std::move(done)) {
-    answer_.body_limit(kMostAdminAnswer);
+    answer_.body_limit(kMaxAdminAnswerBytes);
   }
 
-  void start(std::chrono::milliseconds patience) {
+  void start(std::chrono::milliseconds timeout) {
     // By the folder's descriptor: a path of any length may be connected to so.
     const int folder = ::open(request_.folder.c_str(), O_PATH | O_DIRECTORY | O_CLOEXEC);
     if (folder < 0) return later(errno);
     const std::string path = "/proc/self/fd/" + std::to_string(folder) + "/admin.sock";
-    stream_.expires_after(patience);
+    stream_.expires_after(timeout);
     error_code bad;
     stream_.socket().open(net::local::stream_protocol(), bad);
     if (!bad) stream_.socket().non_blocking(true, bad);
@@ -61,9 +61,9 @@
 
  private:
   void later(int why) {
-    const bool not_put = why == EMFILE || why == ENFILE || why == ENOMEM || why == ENOBUFS;
-    net::post(io_, [self = shared_from_this(), why, not_put] {
-      self->end({0, "", error_code(why, boost::system::generic_category()).message(), not_put});
+    const bool local_failure = why == EMFILE || why == ENFILE || why == ENOMEM || why == ENOBUFS;
+    net::post(io_, [self = shared_from_this(), why, local_failure] {
+      self->end({0, "", error_code(why, boost::system::generic_category()).message(), local_failure});
     });
   }
   void end(AdminAnswer answer) {
@@ -85,8 +85,8 @@
 }  // namespace
 
 void ask_admin(net::io_context& io, AdminRequest request, std::function<void(AdminAnswer)> done,
-               std::chrono::milliseconds patience) {
-  std::make_shared<Asking>(io, std::move(request), std::move(done))->start(patience);
+               std::chrono::milliseconds timeout) {
+  std::make_shared<Asking>(io, std::move(request), std::move(done))->start(timeout);
 }
 
 }  // namespace heronvane::fleet
--- a/fleet/admin_client.hpp
+++ b/fleet/admin_client.hpp
@@ -9,8 +9,8 @@
 
 namespace heronvane::fleet {
 
-inline constexpr auto kAdminPatience = std::chrono::seconds(3);
-inline constexpr std::size_t kMostAdminAnswer = 4 << 20;  // bytes; longer ones count as none
+inline constexpr auto kAdminTimeout = std::chrono::seconds(3);
+inline constexpr std::size_t kMaxAdminAnswerBytes = 4 << 20;  // bytes; longer ones count as none
 
 struct AdminRequest {
   std::string folder;  // the relay's state folder
@@ -21,13 +21,13 @@
 struct AdminAnswer {
   unsigned status = 0;  // 0: none came
   std::string body;
-  std::string why;  // none came: why
-  bool not_put =
+  std::string error;  // none came: why
+  bool local_failure =
       false;  // none came as this process lacks descriptors or memory: of the relay that says nothing
 };
 
 // `done` is called once, from the loop, never from within this call.
 void ask_admin(boost::asio::io_context& io, AdminRequest request, std::function<void(AdminAnswer)> done,
-               std::chrono::milliseconds patience = kAdminPatience);
+               std::chrono::milliseconds timeout = kAdminTimeout);
 
 }  // namespace heronvane::fleet
--- a/fleet/agent.cpp
+++ b/fleet/agent.cpp
@@ -200,7 +200,7 @@
   if (text == platform_of_) return;
   platform_of_ = text;
   try {
-    platform_.set(text.empty() ? std::nullopt : Fleet::read(text).platform());
+    platform_.apply(text.empty() ? std::nullopt : Fleet::read(text).platform());
   } catch (const std::exception& e) {
     heronvane::log(std::string("platform: ") + e.what());
   }
@@ -330,7 +330,7 @@
   ask_admin(io_, {instance(name).folder.state(), true, target, "{\"fence\":" + std::to_string(fence) + "}"},
             [this, alive = std::weak_ptr<bool>(alive_), name, run, call](const AdminAnswer& a) {
               if (alive.expired()) return;
-              event::Answered e{name, run, call, event::Answered::Result::failed, 0, a.why};
+              event::Answered e{name, run, call, event::Answered::Result::failed, 0, a.error};
               if (a.status == 200) {
                 e.result = event::Answered::Result::ok;
               } else if (a.status != 0) {
@@ -487,7 +487,7 @@
 void Agent::answered(const std::string& name, const AdminAnswer& a) {
   Instance& i = instance(name);
   // The agent's own want must not end relays that are well.
-  if (a.not_put) return ask_later(i, options_.ask_gap);
+  if (a.local_failure) return ask_later(i, options_.ask_gap);
   event::StatusSeen e;
   e.name = name;
   bool seen = false;
--- a/fleet/agent_api.cpp
+++ b/fleet/agent_api.cpp
@@ -131,7 +131,7 @@
                   s->view.by = name;
                   return s->done(std::move(s->view));
                 }
-                std::string why = a.status == 0 ? a.why : "status " + std::to_string(a.status);
+                std::string why = a.status == 0 ? a.error : "status " + std::to_string(a.status);
                 try {
                   const auto v = parse_json(a.body);
                   if (v.IsObject() && v.HasMember("error") && v["error"].IsObject() &&
--- a/fleet/platform_host.cpp
+++ b/fleet/platform_host.cpp
@@ -23,7 +23,7 @@
 PlatformHost::PlatformHost(boost::asio::io_context& io, Database& database, std::string finals)
     : io_(io), database_(database), finals_file_(std::move(finals)), again_(io) {}
 
-void PlatformHost::set(const std::optional<PlatformPart>& part) {
+void PlatformHost::apply(const std::optional<PlatformPart>& part) {
   part_ = part;
   trouble_.clear();
   again_.cancel();
--- a/fleet/platform_host.hpp
+++ b/fleet/platform_host.hpp
@@ -22,7 +22,7 @@
   // `database` keeps its index; notices go to the file `finals`, which is made once a platform is wanted.
   PlatformHost(boost::asio::io_context& io, Database& database, std::string finals);
 
-  void set(const std::optional<PlatformPart>& part);
+  void apply(const std::optional<PlatformPart>& part);
   std::optional<PlatformView> view() const;  // nothing where the fleet names none
 
  private:
--- a/tests/fleet/admin_client_test.cpp
+++ b/tests/fleet/admin_client_test.cpp
@@ -80,11 +80,11 @@
   std::filesystem::remove_all(folder);
   const auto a = ask();
   EXPECT_EQ(a.status, 0u);
-  EXPECT_FALSE(a.why.empty());
+  EXPECT_FALSE(a.error.empty());
 }
 // Else an agent that has no descriptor left would take all its relays for silent, and end them.
 TEST_F(AdminClientTest, WantOfDescriptorsIsNotTheRelaysSilence) {
-  EXPECT_FALSE(ask().not_put);  // nobody listens
+  EXPECT_FALSE(ask().local_failure);  // nobody listens
   const int next = ::open("/dev/null", O_RDONLY | O_CLOEXEC);
   ::close(next);
   rlimit before{};
@@ -99,7 +99,7 @@
   io.run();
   ASSERT_TRUE(got);
   EXPECT_EQ(got->status, 0u);
-  EXPECT_TRUE(got->not_put) << got->why;
+  EXPECT_TRUE(got->local_failure) << got->error;
 }
 TEST_F(AdminClientTest, ASilentOneIsNotWaitedForLong) {
   serve([](auto) {});
