--- a/fleet/admin_client.hpp
+++ b/fleet/admin_client.hpp
@@ -1,5 +1,5 @@
-// Asks relays over the admin sockets in their state folders. Nothing here waits for a relay: each request
-// ends by itself after its time, whatever the other side does.
+// Sends requests to relays over the admin sockets in their state folders. Never blocks on a relay: each
+// request fails after its timeout at the latest.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -10,23 +10,23 @@
 namespace heronvane::fleet {
 
 inline constexpr auto kAdminTimeout = std::chrono::seconds(3);
-inline constexpr std::size_t kMaxAdminAnswerBytes = 4 << 20;  // bytes; longer ones count as none
+inline constexpr std::size_t kMaxAdminAnswerBytes = 4 << 20;  // a longer answer counts as none
 
 struct AdminRequest {
   std::string folder;  // the relay's state folder
   bool post = false;
   std::string target;  // "/v1/status"
-  std::string body;    // JSON, of POST
+  std::string body;    // JSON, for POST
 };
 struct AdminAnswer {
-  unsigned status = 0;  // 0: none came
+  unsigned status = 0;  // HTTP status; 0: no answer
   std::string body;
-  std::string error;  // none came: why
+  std::string error;  // why there is no answer
   bool local_failure =
-      false;  // none came as this process lacks descriptors or memory: of the relay that says nothing
+      false;  // no answer because this process lacks descriptors or memory; says nothing about the relay
 };
 
-// `done` is called once, from the loop, never from within this call.
+// `done` is called once, from the event loop, never from within this call.
 void ask_admin(boost::asio::io_context& io, AdminRequest request, std::function<void(AdminAnswer)> done,
                std::chrono::milliseconds timeout = kAdminTimeout);
 
--- a/fleet/api.cpp
+++ b/fleet/api.cpp
@@ -14,24 +14,24 @@
 
 namespace {
 
-constexpr std::size_t kMostNames = 1'000;
-constexpr std::size_t kMostBy = 256;
-constexpr std::size_t kMostLines = 10'000;
-constexpr std::size_t kMostOperations = 1'000;
-constexpr std::size_t kMostMessageId = 1'024;
+constexpr std::size_t kMaxNames = 1'000;
+constexpr std::size_t kMaxByBytes = 256;
+constexpr std::size_t kMaxLogLines = 10'000;
+constexpr std::size_t kMaxOperations = 1'000;
+constexpr std::size_t kMaxMessageIdBytes = 1'024;
 
-std::int64_t ms(Microseconds t) { return t / 1'000; }
+std::int64_t to_ms(Microseconds target) { return target / 1'000; }
 
 class BadRequest : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-std::uint64_t number(std::string_view text, const std::string& what, std::uint64_t most) {
+std::uint64_t number(std::string_view text, const std::string& what, std::uint64_t max) {
   std::uint64_t v = 0;
   const auto [end, bad] = std::from_chars(text.data(), text.data() + text.size(), v);
-  if (bad != std::errc() || end != text.data() + text.size() || v > most)
-    throw BadRequest(what + ": must be a whole number up to " + std::to_string(most));
+  if (bad != std::errc() || end != text.data() + text.size() || v > max)
+    throw BadRequest(what + ": must be a whole number up to " + std::to_string(max));
   return v;
 }
 
@@ -42,7 +42,7 @@
     key(w, "instance"), put(w, s.instance);
     key(w, "state"), put(w, word(s.state));
     key(w, "what"), put(w, s.what);
-    key(w, "since_ms"), w.Int64(ms(s.since));
+    key(w, "since_ms"), w.Int64(to_ms(s.since));
     w.EndObject();
   }
   w.EndArray();
@@ -76,7 +76,7 @@
   return {status, "application/json", std::move(body), {}};
 }
 
-std::string listed(const std::vector<std::string>& names) {
+std::string list_names(const std::vector<std::string>& names) {
   std::string all;
   for (std::size_t i = 0; i < names.size() && i < 10; i++) all += (i > 0 ? ", " : "") + names[i];
   if (names.size() > 10) all += " and " + std::to_string(names.size() - 10) + " more";
@@ -90,55 +90,58 @@
 template <class... F>
 Overloaded(F...) -> Overloaded<F...>;
 
-ApiResponse answer(const Verdict& verdict, unsigned accepted) {
+ApiResponse verdict_response(const Verdict& verdict, unsigned accepted) {
   return std::visit(
-      Overloaded{[&](const verdict::Accepted& v) { return json(operation_json(v.operation), accepted); },
-                 [](const verdict::Plan& v) { return json(operation_json(v.operation)); },
-                 [](const verdict::Conflict& v) {
-                   const std::string with = "operation " + std::to_string(v.with) + " (" +
-                                            std::string(word(v.kind)) + " by " + v.by + ") is at work on " +
-                                            listed(v.names);
-                   return json(object([&](JsonWriter& w) {
-                                 write_error(w, "conflict", with,
-                                             "wait for it, cancel it, or ask again with supersede");
-                                 key(w, "with"), w.StartObject();
-                                 key(w, "operation"), w.Uint64(v.with);
-                                 key(w, "kind"), put(w, word(v.kind));
-                                 key(w, "by"), put(w, v.by);
-                                 key(w, "since_ms"), w.Int64(ms(v.since));
-                                 key(w, "names"), write_names(w, v.names);
-                                 w.EndObject();
-                               }),
-                               409);
-                 },
-                 [](const verdict::Stale& v) {
-                   return json(object([&](JsonWriter& w) {
-                                 write_error(w, "stale",
-                                             "it was made against an older generation; now it is " +
-                                                 std::to_string(v.generation) +
-                                                 ", and changed since: " + listed(v.names),
-                                             "look at the instances again, then ask with the new generation");
-                                 key(w, "generation"), w.Uint64(v.generation);
-                                 key(w, "names"), write_names(w, v.names);
-                               }),
-                               412);
-                 },
-                 [](const verdict::Refused& v) { return api_error(422, "refused", v.why); },
-                 [](const verdict::Malformed& v) { return api_error(400, "bad_request", v.why); },
-                 [](const verdict::Unknown& v) { return api_error(404, "unknown", v.what); },
-                 [](const verdict::Ended& v) {
-                   return api_error(409, "conflict",
-                                    "operation " + std::to_string(v.operation.id) +
-                                        " has ended: " + std::string(word(v.operation.state)),
-                                    "there is nothing left to cancel");
-                 },
-                 [](const verdict::Storage& v) {
-                   return api_error(507, "storage", "it could not be recorded, nothing is changed: " + v.why,
-                                    "make room on the disk of the agent's data folder, then ask again");
-                 },
-                 [](const verdict::Busy&) {
-                   return api_error(503, "busy", "too many commands wait", "ask again in a moment");
-                 }},
+      Overloaded{
+          [&](const verdict::Accepted& v) { return json(operation_json(v.operation), accepted); },
+          [](const verdict::Plan& v) { return json(operation_json(v.operation)); },
+          [](const verdict::Conflict& v) {
+            const std::string with = "operation " + std::to_string(v.with) + " (" +
+                                     std::string(word(v.kind)) + " by " + v.by + ") is running on " +
+                                     list_names(v.names);
+            return json(object([&](JsonWriter& w) {
+                          write_error(
+                              w, "conflict", with,
+                              "wait for the operation, cancel it, or repeat the request with supersede");
+                          key(w, "with"), w.StartObject();
+                          key(w, "operation"), w.Uint64(v.with);
+                          key(w, "kind"), put(w, word(v.kind));
+                          key(w, "by"), put(w, v.by);
+                          key(w, "since_ms"), w.Int64(to_ms(v.since));
+                          key(w, "names"), write_names(w, v.names);
+                          w.EndObject();
+                        }),
+                        409);
+          },
+          [](const verdict::Stale& v) {
+            return json(object([&](JsonWriter& w) {
+                          write_error(
+                              w, "stale",
+                              "the request was made against an older generation; the current one is " +
+                                  std::to_string(v.generation) + ", changed since: " + list_names(v.names),
+                              "list the instances again and use the current generation");
+                          key(w, "generation"), w.Uint64(v.generation);
+                          key(w, "names"), write_names(w, v.names);
+                        }),
+                        412);
+          },
+          [](const verdict::Refused& v) { return api_error(422, "refused", v.why); },
+          [](const verdict::Malformed& v) { return api_error(400, "bad_request", v.why); },
+          [](const verdict::Unknown& v) { return api_error(404, "unknown", v.what); },
+          [](const verdict::Ended& v) {
+            return api_error(409, "conflict",
+                             "operation " + std::to_string(v.operation.id) +
+                                 " has ended: " + std::string(word(v.operation.state)),
+                             "an operation that has ended can't be cancelled");
+          },
+          [](const verdict::Storage& v) {
+            return api_error(507, "storage",
+                             "the operation could not be recorded, nothing is changed: " + v.why,
+                             "free disk space in the agent's data folder, then repeat the request");
+          },
+          [](const verdict::Busy&) {
+            return api_error(503, "busy", "too many commands are waiting", "repeat the request in a moment");
+          }},
       verdict);
 }
 
@@ -169,8 +172,8 @@
     key(w, "state"), put(w, word(o.state));
     key(w, "generation"), w.Uint64(o.generation);
     key(w, "max_unavailable"), w.Int(o.max_unavailable);
-    key(w, "created_ms"), w.Int64(ms(o.created));
-    key(w, "ended_ms"), w.Int64(ms(o.ended));
+    key(w, "created_ms"), w.Int64(to_ms(o.created));
+    key(w, "ended_ms"), w.Int64(to_ms(o.ended));
     key(w, "message"), put(w, o.message);
     key(w, "superseded_by"), w.Uint64(o.superseded_by);
     write_steps(w, o);
@@ -187,11 +190,11 @@
     key(w, "phase"), put(w, word(v.phase));
     key(w, "pid"), w.Int(row.live ? row.pid : 0);
     key(w, "run"), put(w, row.run);
-    key(w, "since_ms"), w.Int64(ms(v.since));
+    key(w, "since_ms"), w.Int64(to_ms(v.since));
     key(w, "generation"), w.Uint64(v.generation);
     key(w, "wanted_generation"), w.Uint64(row.wanted);
     key(w, "restarts"), w.Uint64(row.restarts);
-    key(w, "next_start_ms"), w.Int64(ms(v.next_start));
+    key(w, "next_start_ms"), w.Int64(to_ms(v.next_start));
     key(w, "ready"), w.Bool(v.ready);
     key(w, "held"), w.Uint64(v.held);
     key(w, "oldest_ms"), w.Int64(v.oldest_ms);
@@ -204,7 +207,7 @@
       raw(w, status->json);
     else
       w.Null();
-    key(w, "status_age_ms"), w.Int64(status ? ms(status->age) : 0);
+    key(w, "status_age_ms"), w.Int64(status ? to_ms(status->age) : 0);
   });
 }
 
@@ -213,14 +216,14 @@
   std::map<std::string, std::string> query;
 
   static Target read(const std::string& text) {
-    Target t;
+    Target target;
     const auto mark = std::min(text.find('?'), text.size());
     std::string_view path(text.data(), mark);
     if (path.empty() || path.front() != '/') throw BadRequest("the target must begin with /");
     path.remove_prefix(1);
     while (true) {
       const auto end = std::min(path.find('/'), path.size());
-      t.path.emplace_back(path.substr(0, end));
+      target.path.emplace_back(path.substr(0, end));
       if (end == path.size()) break;
       path.remove_prefix(end + 1);
     }
@@ -228,16 +231,17 @@
     query.remove_prefix(std::min(mark + 1, text.size()));
     while (!query.empty()) {
       const auto end = std::min(query.find('&'), query.size());
-      const auto one = query.substr(0, end);
-      const auto equals = std::min(one.find('='), one.size());
-      t.query[std::string(one.substr(0, equals))] = std::string(one.substr(std::min(equals + 1, one.size())));
+      const auto pair = query.substr(0, end);
+      const auto equals = std::min(pair.find('='), pair.size());
+      target.query[std::string(pair.substr(0, equals))] =
+          std::string(pair.substr(std::min(equals + 1, pair.size())));
       query.remove_prefix(std::min(end + 1, query.size()));
     }
-    return t;
+    return target;
   }
-  bool is(std::initializer_list<const char*> words) const {  // nullptr: any
-    return path.size() == words.size() &&
-           std::equal(path.begin(), path.end(), words.begin(),
+  bool is(std::initializer_list<const char*> segments) const {  // nullptr: any segment that is not empty
+    return path.size() == segments.size() &&
+           std::equal(path.begin(), path.end(), segments.begin(),
                       [](const std::string& a, const char* b) { return b == nullptr ? !a.empty() : a == b; });
   }
   bool flag(const char* name) const {
@@ -246,38 +250,41 @@
     if (it->second != "1") throw BadRequest(std::string(name) + ": must be 0 or 1");
     return true;
   }
-  std::size_t count(const char* name, std::size_t absent, std::size_t most) const {
+  std::size_t count(const char* name, std::size_t absent, std::size_t max) const {
     const auto it = query.find(name);
-    return it == query.end() ? absent : number(it->second, name, most);
+    return it == query.end() ? absent : number(it->second, name, max);
   }
 };
 
 void Api::handle(const ApiRequest& request, Done done) {
   try {
-    const Target t = Target::read(request.target);
-    if (t.path[0] != "v1")
-      return done(api_error(404, "unknown", "there is nothing at " + request.target,
-                            "this agent speaks version 1 of the API: /v1/.."));
-    const bool operations = t.is({"v1", "operations"}), operation = t.is({"v1", "operations", nullptr});
-    if (request.method == "GET") return get(t, done);
-    if (request.method == "POST" && operations) return operate(request, done);
-    if (request.method == "POST" && t.is({"v1", "takeover", nullptr}))
-      return agent_.take_over(t.path[2], [done, relay = t.path[2]](const TakeOverView& v) {
+    const Target target = Target::read(request.target);
+    if (target.path[0] != "v1")
+      return done(api_error(404, "unknown", "no such path: " + request.target,
+                            "this agent serves version 1 of the API: /v1/.."));
+    const bool operations = target.is({"v1", "operations"}),
+               operation = target.is({"v1", "operations", nullptr});
+    if (request.method == "GET") return handle_get(target, done);
+    if (request.method == "POST" && operations) return post_operation(request, done);
+    if (request.method == "POST" && target.is({"v1", "takeover", nullptr}))
+      return backend_.take_over(target.path[2], [done, relay = target.path[2]](const TakeOverView& v) {
         if (!v.by.empty())
           return done(json(
               object([&](JsonWriter& w) { key(w, "relay"), put(w, relay), key(w, "by"), put(w, v.by); })));
         std::string why;
-        for (const auto& [instance, told] : v.refused)
-          why.append(why.empty() ? "" : "; ").append(instance).append(": ").append(told);
+        for (const auto& [instance, reply] : v.refused)
+          why.append(why.empty() ? "" : "; ").append(instance).append(": ").append(reply);
         done(api_error(
             409, "refused",
-            "no instance here takes " + printable(relay) + " over" + (why.empty() ? "" : ": " + why),
-            "ask the agent of a machine whose relay holds its log: heronvanectl show names holders"));
+            "no instance of this agent can take " + printable(relay) + " over" +
+                (why.empty() ? "" : ": " + why),
+            "ask the agent of a machine whose relay holds a copy of its log: heronvanectl show lists the "
+            "holders"));
       });
     if (request.method == "DELETE" && operation)
-      return agent_.cancel(number(t.path[2], "operation", INT64_MAX),
-                           [done](const Verdict& v) { done(answer(v, 200)); });
-    done(api_error(404, "unknown", "nothing takes " + request.method + " at " + request.target));
+      return backend_.cancel(number(target.path[2], "operation", INT64_MAX),
+                             [done](const Verdict& v) { done(verdict_response(v, 200)); });
+    done(api_error(404, "unknown", "no " + request.method + " at " + request.target));
   } catch (const BadRequest& e) {
     done(api_error(400, "bad_request", e.what()));
   } catch (const JsonError& e) {
@@ -289,17 +296,17 @@
   }
 }
 
-void Api::get(const Target& t, const Done& done) {
-  const Decider& d = agent_.decider();
-  if (t.is({"v1", "agent"})) {
-    const AgentView about = agent_.about();
+void Api::handle_get(const Target& target, const Done& done) {
+  const Decider& d = backend_.decider();
+  if (target.is({"v1", "agent"})) {
+    const AgentView about = backend_.about();
     const auto all = d.instances();
     return done(json(object([&](JsonWriter& w) {
       key(w, "name"), put(w, printable(about.name));
       key(w, "version"), put(w, about.version);
       key(w, "api"), w.Int(1);
       key(w, "pid"), w.Int(about.pid);
-      key(w, "started_ms"), w.Int64(ms(about.started));
+      key(w, "started_ms"), w.Int64(to_ms(about.started));
       key(w, "generation"), w.Uint64(d.generation());
       key(w, "instances"), w.Uint64(all.size());
       key(w, "ready"), w.Int64(std::count_if(all.begin(), all.end(), [](const auto& v) { return v.ready; }));
@@ -312,36 +319,37 @@
       key(w, "endpoints"), w.Uint64(about.platform->endpoints);
       key(w, "watchers"), w.Uint64(about.platform->watchers);
       key(w, "finals"), w.Int64(about.platform->finals);
-      key(w, "trouble"), put(w, about.platform->trouble);
+      key(w, "trouble"), put(w, about.platform->error);
       w.EndObject();
     })));
   }
-  if (t.is({"v1", "instances"}))
+  if (target.is({"v1", "instances"}))
     return done(json(object([&](JsonWriter& w) {
       key(w, "generation"), w.Uint64(d.generation());
       key(w, "instances"), w.StartArray();
-      for (const auto& v : d.instances()) raw(w, instance_json(v, agent_.status(v.row->name), false));
+      for (const auto& v : d.instances()) raw(w, instance_json(v, backend_.status(v.row->name), false));
       w.EndArray();
     })));
-  if (t.is({"v1", "instances", nullptr}) || t.is({"v1", "instances", nullptr, "log"})) {
-    const auto v = d.instance(t.path[2]);
+  if (target.is({"v1", "instances", nullptr}) || target.is({"v1", "instances", nullptr, "log"})) {
+    const auto v = d.instance(target.path[2]);
     if (!v)
-      return done(api_error(404, "unknown", "there is no instance " + t.path[2],
-                            "list those there are: heronvanectl list"));
-    if (t.path.size() == 3) return done(json(instance_json(*v, agent_.status(t.path[2]), true)));
-    const auto lines = t.count("lines", 100, kMostLines);
-    return done({200, "text/plain; charset=utf-8", "", agent_.read_log(t.path[2], lines, t.flag("follow"))});
+      return done(api_error(404, "unknown", "there is no instance " + target.path[2],
+                            "list the instances: heronvanectl list"));
+    if (target.path.size() == 3) return done(json(instance_json(*v, backend_.status(target.path[2]), true)));
+    const auto lines = target.count("lines", 100, kMaxLogLines);
+    return done({200, "text/plain; charset=utf-8", "",
+                 backend_.read_log(target.path[2], lines, target.flag("follow"))});
   }
-  if (t.is({"v1", "messages", nullptr})) {
-    const std::string id = t.path[2];
-    if (id.size() > kMostMessageId ||
+  if (target.is({"v1", "messages", nullptr})) {
+    const std::string id = target.path[2];
+    if (id.size() > kMaxMessageIdBytes ||
         !std::all_of(id.begin(), id.end(), [](char c) { return c > ' ' && c < 0x7f; }))
       throw BadRequest("the id of the message: at most 1,024 characters, percent-encoded");
-    return agent_.find_message(id, [done](const MessageView& m) {
+    return backend_.find_message(id, [done](const MessageView& m) {
       done(json(object([&](JsonWriter& w) {
         key(w, "found"), w.StartArray();
-        for (const auto& [instance, told] : m.found) {
-          rapidjson::Document v = parse_json(told);
+        for (const auto& [instance, reply] : m.found) {
+          rapidjson::Document v = parse_json(reply);
           w.StartObject();
           key(w, "instance"), put(w, instance);
           for (const auto& member : v.GetObject()) {
@@ -355,7 +363,7 @@
       })));
     });
   }
-  if (t.is({"v1", "fleet"}))
+  if (target.is({"v1", "fleet"}))
     return done(json(object([&](JsonWriter& w) {
       key(w, "generation"), w.Uint64(d.generation());
       key(w, "fleet");
@@ -364,25 +372,25 @@
       else
         raw(w, d.fleet().text);
     })));
-  if (t.is({"v1", "operations"})) {
-    const auto limit = t.count("limit", 50, kMostOperations);
+  if (target.is({"v1", "operations"})) {
+    const auto limit = target.count("limit", 50, kMaxOperations);
     return done(json(object([&](JsonWriter& w) {
       key(w, "operations"), w.StartArray();
       for (const auto* o : d.operations(limit)) raw(w, operation_json(*o));
       w.EndArray();
     })));
   }
-  if (t.is({"v1", "operations", nullptr})) {
-    const OperationId id = number(t.path[2], "operation", INT64_MAX);
+  if (target.is({"v1", "operations", nullptr})) {
+    const OperationId id = number(target.path[2], "operation", INT64_MAX);
     const Operation* o = d.operation(id);
-    if (o == nullptr) return done(api_error(404, "unknown", "there is no operation " + t.path[2]));
-    if (!t.flag("follow")) return done(json(operation_json(*o)));
-    return done({200, "application/x-ndjson", "", agent_.follow_operation(id)});
+    if (o == nullptr) return done(api_error(404, "unknown", "there is no operation " + target.path[2]));
+    if (!target.flag("follow")) return done(json(operation_json(*o)));
+    return done({200, "application/x-ndjson", "", backend_.follow_operation(id)});
   }
-  done(api_error(404, "unknown", "there is nothing at that path"));
+  done(api_error(404, "unknown", "no such path"));
 }
 
-void Api::operate(const ApiRequest& request, const Done& done) {
+void Api::post_operation(const ApiRequest& request, const Done& done) {
   const rapidjson::Document v = parse_json(request.body);
   const std::string path = "body";
   wire::as_object(v, path);
@@ -391,7 +399,7 @@
                                             "supersede", "dry_run", "fleet",      "to"};
     const std::string name(m.name.GetString(), m.name.GetStringLength());
     if (std::none_of(std::begin(known), std::end(known), [&](const char* k) { return name == k; }))
-      throw BadRequest("body." + printable(name) + ": is no field of an operation");
+      throw BadRequest("body." + printable(name) + ": is not a field of an operation");
   }
   event::Command c;
   c.kind = read_kind(wire::required_field(v, "kind", path, wire::as_string));
@@ -401,38 +409,38 @@
         throw BadRequest("body.names: must be \"all\" or an array of names");
       c.all = true;
     } else {
-      if (wire::as_array(*names, "body.names").Size() > kMostNames)
-        throw BadRequest("body.names: at most " + std::to_string(kMostNames));
+      if (wire::as_array(*names, "body.names").Size() > kMaxNames)
+        throw BadRequest("body.names: at most " + std::to_string(kMaxNames));
       for (const auto& n : names->GetArray()) c.names.push_back(wire::as_string(n, "body.names"));
     }
   }
-  if (const Value* against = wire::find_member(v, "generation"))
-    c.against = wire::as_uint64(*against, "body.generation");
+  if (const Value* generation = wire::find_member(v, "generation"))
+    c.against = wire::as_uint64(*generation, "body.generation");
   c.by = wire::optional_field(v, "by", path, wire::as_string, "");
-  if (c.by.size() > kMostBy) throw BadRequest("body.by: at most 256 bytes");
-  // What the connection says of the asker stands beside what the asker says.
+  if (c.by.size() > kMaxByBytes) throw BadRequest("body.by: at most 256 bytes");
+  // The client's certificate is recorded beside the name that the client gives.
   c.by = c.by.empty()                                ? request.peer
          : request.peer.rfind("certificate", 0) == 0 ? c.by + " (" + request.peer + ")"
                                                      : c.by;
-  if (const Value* most = wire::find_member(v, "max_unavailable"))
-    c.max_unavailable = wire::as_int(*most, "body.max_unavailable");
+  if (const Value* max = wire::find_member(v, "max_unavailable"))
+    c.max_unavailable = wire::as_int(*max, "body.max_unavailable");
   c.supersede = wire::optional_field(v, "supersede", path, wire::as_bool, false);
   c.dry_run = wire::optional_field(v, "dry_run", path, wire::as_bool, false);
   const Value* fleet = wire::find_member(v, "fleet");
-  if (fleet != nullptr && c.kind != Kind::apply) throw BadRequest("body.fleet: only apply takes one");
+  if (fleet != nullptr && c.kind != Kind::apply) throw BadRequest("body.fleet: only for kind apply");
   if (c.kind == Kind::apply) {
-    if (fleet == nullptr) throw BadRequest("body.fleet: missing");
+    if (fleet == nullptr) throw BadRequest("body.fleet: is missing");
     try {
-      c.fleet = agent_.read_fleet(to_text(*fleet));
+      c.fleet = backend_.read_fleet(to_text(*fleet));
     } catch (const std::exception& e) {
-      return done(api_error(400, "bad_request", e.what(), "mend the fleet file, then apply it again"));
+      return done(api_error(400, "bad_request", e.what(), "correct the fleet file, then apply it again"));
     }
   }
   if (c.kind == Kind::rollback) {
     c.to = wire::required_field(v, "to", path, wire::as_uint64);
-    c.fleet = agent_.fleet_at(c.to);
+    c.fleet = backend_.fleet_at(c.to);
   }
-  agent_.command(std::move(c), [done](const Verdict& verdict) { done(answer(verdict, 202)); });
+  backend_.command(std::move(c), [done](const Verdict& verdict) { done(verdict_response(verdict, 202)); });
 }
 
 }  // namespace heronvane::fleet
--- a/fleet/api_server.cpp
+++ b/fleet/api_server.cpp
@@ -34,10 +34,10 @@
 
 struct Connection {
   virtual ~Connection() = default;
-  virtual void drop() = 0;
+  virtual void close() = 0;
 };
 
-const char* reason(unsigned status) {
+const char* reason_phrase(unsigned status) {
   const auto text = http::obsolete_reason(static_cast<http::status>(status));
   return text.empty() ? "Answer" : text.data();
 }
@@ -45,203 +45,205 @@
 }  // namespace
 
 struct ApiServer::Impl : std::enable_shared_from_this<ApiServer::Impl> {
-  Impl(net::io_context& the_io, Api& the_api, ApiLimits the_limits)
-      : io(the_io), api(the_api), limits(the_limits), pause(the_io) {}
+  Impl(net::io_context& io_context, Api& api_handler, ApiLimits server_limits)
+      : io(io_context), api(api_handler), limits(server_limits), accept_retry(io_context) {}
 
   void accept_local();
   void accept_tls();
-  template <class Again>
-  void wait_for_room(Again again);
+  template <class Retry>
+  void retry_accept_later(Retry retry);
 
   net::io_context& io;
   Api& api;
   ApiLimits limits;
-  net::steady_timer pause;  // after an accept that failed for want of descriptors
+  net::steady_timer accept_retry;  // runs after a failed accept, for example for lack of descriptors
   std::optional<local::acceptor> local_acceptor;
   std::optional<net::ip::tcp::acceptor> tls_acceptor;
   std::optional<ssl::context> tls;
   bool closed = false;
-  std::size_t tls_open = 0;
-  std::map<Connection*, std::weak_ptr<Connection>> open;
+  std::size_t tls_sessions = 0;
+  std::map<Connection*, std::weak_ptr<Connection>> sessions;
 };
 
 namespace {
 
-// One connection, from its first byte to its last; it owns itself by the operations that are under way.
+// One connection. The handlers of its pending operations keep it alive.
 template <class Stream>
 class Session : public Connection, public std::enable_shared_from_this<Session<Stream>> {
  public:
   Session(std::weak_ptr<void> server, net::io_context& io, Api& api, ApiLimits limits, Stream stream,
-          std::function<void(Connection*)> gone)
+          std::function<void(Connection*)> on_destroy)
       : server_(std::move(server)),
         io_(io),
         api_(api),
         limits_(limits),
         stream_(std::move(stream)),
-        gone_(std::move(gone)) {}
+        on_destroy_(std::move(on_destroy)) {}
   ~Session() override {
-    if (!server_.expired()) gone_(this);
+    if (!server_.expired()) on_destroy_(this);
   }
   Session(const Session&) = delete;
   Session& operator=(const Session&) = delete;
 
-  void drop() override {
-    let_go();
+  void close() override {
+    end_stream();
     error_code ignored;
     beast::get_lowest_layer(stream_).socket().close(ignored);
   }
 
-  void start(std::string peer) {
+  void start_reading(std::string peer) {
     peer_ = std::move(peer);
     read();
   }
   void start_tls() {
     if constexpr (std::is_same_v<Stream, TlsStream>) {
-      bound();
-      stream_.async_handshake(ssl::stream_base::server, [self = this->shared_from_this()](error_code bad) {
-        if (bad) return;
+      set_timeout();
+      stream_.async_handshake(ssl::stream_base::server, [self = this->shared_from_this()](error_code ec) {
+        if (ec) return;
         char name[128] = "";
-        X509* const shown = SSL_get_peer_certificate(self->stream_.native_handle());
-        if (shown == nullptr) return;  // the context asks for one; not looked at twice for nothing
-        X509_NAME_get_text_by_NID(X509_get_subject_name(shown), NID_commonName, name, sizeof name);
-        X509_free(shown);
-        // Its authority may have signed any bytes; they are shown as JSON.
-        self->start("certificate " + printable(name));
+        X509* const certificate = SSL_get_peer_certificate(self->stream_.native_handle());
+        if (certificate == nullptr) return;  // should not happen: the context requires a certificate
+        X509_NAME_get_text_by_NID(X509_get_subject_name(certificate), NID_commonName, name, sizeof name);
+        X509_free(certificate);
+        // The certificate authority may have signed a name that is not UTF-8; it ends up in JSON.
+        self->start_reading("certificate " + printable(name));
       });
     }
   }
-  // Tells that there is no room, as far as that goes without waiting.
-  void turn_away() {
-    respond(api_error(503, "busy", "too many connections", "ask again in a moment"), false);
+  // Responds with 503 and closes the connection.
+  void reject_busy() {
+    respond(api_error(503, "busy", "too many connections", "repeat the request in a moment"), false);
   }
 
  private:
   using Parser = http::request_parser<http::string_body>;
-  void bound() { beast::get_lowest_layer(stream_).expires_after(limits_.time); }
+  void set_timeout() { beast::get_lowest_layer(stream_).expires_after(limits_.io_timeout); }
 
   void read() {
     parser_.emplace();
-    parser_->header_limit(static_cast<std::uint32_t>(limits_.head_bytes));
-    parser_->body_limit(limits_.body_bytes);
-    bound();
-    http::async_read(stream_, buffer_, *parser_,
-                     [self = this->shared_from_this()](error_code bad, std::size_t) { self->got(bad); });
+    parser_->header_limit(static_cast<std::uint32_t>(limits_.max_head_bytes));
+    parser_->body_limit(limits_.max_body_bytes);
+    set_timeout();
+    http::async_read(
+        stream_, buffer_, *parser_,
+        [self = this->shared_from_this()](error_code ec, std::size_t) { self->on_request_read(ec); });
   }
-  void got(error_code bad) {
+  void on_request_read(error_code ec) {
     if (server_.expired()) return;
-    if (bad == http::error::body_limit || bad == http::error::header_limit ||
-        bad == http::error::buffer_overflow)
+    if (ec == http::error::body_limit || ec == http::error::header_limit ||
+        ec == http::error::buffer_overflow)
       return respond(
           api_error(413, "too_large",
-                    bad == http::error::body_limit ? "the body is too large" : "the head is too large",
+                    ec == http::error::body_limit ? "the body is too large" : "the head is too large",
                     "bodies up to 1 MiB, heads up to 16 KiB"),
           false);
-    if (bad == http::error::end_of_stream || bad == http::error::partial_message) return drop();
-    if (bad.category() == http::make_error_code(http::error::bad_target).category())
-      return respond(api_error(400, "bad_request", "no HTTP request: " + bad.message()), false);
-    if (bad) return drop();
+    if (ec == http::error::end_of_stream || ec == http::error::partial_message) return close();
+    if (ec.category() == http::make_error_code(http::error::bad_target).category())
+      return respond(api_error(400, "bad_request", "not an HTTP request: " + ec.message()), false);
+    if (ec) return close();
     auto& request = parser_->get();
-    ApiRequest r{std::string(request.method_string()), std::string(request.target()),
-                 std::move(request.body()), peer_};
-    const bool keep = request.keep_alive() && request.version() == 11;
-    // The answer may take longer than a read may: a command waits for the disk, a message for relays.
+    ApiRequest api_request{std::string(request.method_string()), std::string(request.target()),
+                           std::move(request.body()), peer_};
+    const bool keep_alive = request.keep_alive() && request.version() == 11;
+    // No timeout until the response: a command waits for the disk, a search for a message waits for relays.
     beast::get_lowest_layer(stream_).expires_never();
-    api_.handle(r, [hold = this->shared_from_this(), keep](ApiResponse a) {
-      if (!hold->server_.expired()) hold->respond(std::move(a), keep);
+    api_.handle(api_request, [self = this->shared_from_this(), keep_alive](ApiResponse response) {
+      if (!self->server_.expired()) self->respond(std::move(response), keep_alive);
     });
   }
 
-  void respond(ApiResponse a, bool keep) {
-    out_ = "HTTP/1.1 " + std::to_string(a.status) + " " + reason(a.status) +
-           "\r\nX-Heronvane-Api: " + std::string(kApiVersion) + "\r\nContent-Type: " + a.type + "\r\n" +
-           (keep && !a.stream ? "" : "Connection: close\r\n");
-    if (a.stream) {
-      follow_ = std::move(a.stream);
-      out_ += "Transfer-Encoding: chunked\r\n\r\n";
+  void respond(ApiResponse response, bool keep_alive) {
+    output_ = "HTTP/1.1 " + std::to_string(response.status) + " " + reason_phrase(response.status) +
+              "\r\nX-Heronvane-Api: " + std::string(kApiVersion) + "\r\nContent-Type: " + response.type +
+              "\r\n" + (keep_alive && !response.stream ? "" : "Connection: close\r\n");
+    if (response.stream) {
+      response_stream_ = std::move(response.stream);
+      output_ += "Transfer-Encoding: chunked\r\n\r\n";
     } else {
-      out_ += "Content-Length: " + std::to_string(a.body.size()) + "\r\n\r\n" + a.body;
+      output_ += "Content-Length: " + std::to_string(response.body.size()) + "\r\n\r\n" + response.body;
     }
-    bound();
-    net::async_write(stream_, net::buffer(out_),
-                     [self = this->shared_from_this(), keep](error_code bad, std::size_t) {
-                       if (bad || self->server_.expired()) return;
-                       if (self->follow_) {
-                         self->watch_end();
-                         return self->piece(keep);
+    set_timeout();
+    net::async_write(stream_, net::buffer(output_),
+                     [self = this->shared_from_this(), keep_alive](error_code ec, std::size_t) {
+                       if (ec || self->server_.expired()) return;
+                       if (self->response_stream_) {
+                         self->detect_close();
+                         return self->write_piece(keep_alive);
                        }
-                       if (keep) return self->read();
-                       self->finish();
+                       if (keep_alive) return self->read();
+                       self->end_connection();
                      });
   }
 
-  // A piece at a time: the next is asked for once this one is taken.
-  void piece(bool keep) {
-    if (server_.expired() || stream_over_) return;
-    const auto next = follow_->next();
+  // Writes one piece of the stream; the next is pulled once this one is written.
+  void write_piece(bool keep_alive) {
+    if (server_.expired() || stream_ended_) return;
+    const auto next = response_stream_->next();
     if (next.bytes.empty() && !next.last) {
       beast::get_lowest_layer(stream_).expires_never();
-      follow_->when_more([weak = this->weak_from_this(), keep] {
-        if (const auto self = weak.lock()) self->piece(keep);
+      response_stream_->notify_when_ready([weak = this->weak_from_this(), keep_alive] {
+        if (const auto self = weak.lock()) self->write_piece(keep_alive);
       });
-      waiting_ = this->shared_from_this();
+      self_while_waiting_ = this->shared_from_this();
       return;
     }
-    waiting_.reset();
-    out_.clear();
+    self_while_waiting_.reset();
+    output_.clear();
     if (!next.bytes.empty()) {
       char size[20];
       std::snprintf(size, sizeof size, "%zx\r\n", next.bytes.size());
-      out_ = size + next.bytes + "\r\n";
+      output_ = size + next.bytes + "\r\n";
     }
-    if (next.last) out_ += "0\r\n\r\n";
-    bound();
-    net::async_write(stream_, net::buffer(out_),
-                     [self = this->shared_from_this(), last = next.last, keep](error_code bad, std::size_t) {
-                       if (bad || self->server_.expired()) return self->let_go();
-                       if (!last) return self->piece(keep);
-                       self->let_go();
-                       self->finish();
-                     });
+    if (next.last) output_ += "0\r\n\r\n";
+    set_timeout();
+    net::async_write(
+        stream_, net::buffer(output_),
+        [self = this->shared_from_this(), last = next.last, keep_alive](error_code ec, std::size_t) {
+          if (ec || self->server_.expired()) return self->end_stream();
+          if (!last) return self->write_piece(keep_alive);
+          self->end_stream();
+          self->end_connection();
+        });
   }
-  void let_go() {
-    stream_over_ = true;
-    follow_.reset();
-    waiting_.reset();
+  void end_stream() {
+    stream_ended_ = true;
+    response_stream_.reset();
+    self_while_waiting_.reset();
   }
-  // While a stream goes out nothing more is read, but the other side's end must be seen. After a followed
-  // answer the connection is closed: what was read meanwhile is thrown away.
-  void watch_end() {
+  // Detects that the client closes the connection while a stream is written. The connection is closed after
+  // the stream, so input read here is discarded.
+  void detect_close() {
     auto& socket = beast::get_lowest_layer(stream_).socket();
-    socket.async_wait(net::socket_base::wait_read, [weak = this->weak_from_this()](error_code bad) {
+    socket.async_wait(net::socket_base::wait_read, [weak = this->weak_from_this()](error_code ec) {
       const auto self = weak.lock();
-      if (!self || self->stream_over_) return;
+      if (!self || self->stream_ended_) return;
       auto& s = beast::get_lowest_layer(self->stream_).socket();
       char bytes[512];
-      const auto got = bad ? 0 : ::recv(s.native_handle(), bytes, sizeof bytes, MSG_DONTWAIT);
-      if (got > 0) return self->watch_end();
-      if (got < 0 && (errno == EAGAIN || errno == EINTR)) return self->watch_end();
-      self->let_go();
-      self->drop();
+      const auto received = ec ? 0 : ::recv(s.native_handle(), bytes, sizeof bytes, MSG_DONTWAIT);
+      if (received > 0) return self->detect_close();
+      if (received < 0 && (errno == EAGAIN || errno == EINTR)) return self->detect_close();
+      self->end_stream();
+      self->close();
     });
   }
-  void finish() {
-    bound();
+  void end_connection() {
+    set_timeout();
     if constexpr (std::is_same_v<Stream, TlsStream>)
-      return stream_.async_shutdown([self = this->shared_from_this()](error_code) { self->drop(); });
+      return stream_.async_shutdown([self = this->shared_from_this()](error_code) { self->close(); });
     error_code ignored;
     auto& socket = beast::get_lowest_layer(stream_).socket();
     socket.shutdown(net::socket_base::shutdown_send, ignored);
-    linger();
+    discard_input();
   }
-  // What the other side still sends is read away for a moment: a close on unread bytes would take the answer
-  // with it.
-  void linger() {
-    bound();
+  // Reads and discards input before the close: closing a socket with unread bytes resets the connection, and
+  // the response may be lost.
+  void discard_input() {
+    set_timeout();
     beast::get_lowest_layer(stream_).async_read_some(
-        net::buffer(rest_), [self = this->shared_from_this()](error_code bad, std::size_t n) {
-          self->lingered_ += n;
-          if (bad || self->lingered_ > (4U << 20) || self->server_.expired()) return self->drop();
-          self->linger();
+        net::buffer(discard_buffer_), [self = this->shared_from_this()](error_code ec, std::size_t n) {
+          self->discarded_bytes_ += n;
+          if (ec || self->discarded_bytes_ > (4U << 20) || self->server_.expired()) return self->close();
+          self->discard_input();
         });
   }
 
@@ -250,46 +252,49 @@
   Api& api_;
   ApiLimits limits_;
   Stream stream_;
-  std::function<void(Connection*)> gone_;
+  std::function<void(Connection*)> on_destroy_;
   beast::flat_buffer buffer_;
   std::optional<Parser> parser_;
-  std::string peer_, out_;
-  std::shared_ptr<ApiStream> follow_;
-  std::shared_ptr<Session> waiting_;  // itself, while nothing but the stream's wake is under way
-  bool stream_over_ = false;
-  std::array<char, 4096> rest_{};
-  std::size_t lingered_ = 0;
+  std::string peer_, output_;
+  std::shared_ptr<ApiStream> response_stream_;
+  std::shared_ptr<Session>
+      self_while_waiting_;  // keeps the session alive while only the stream's wake-up is pending
+  bool stream_ended_ = false;
+  std::array<char, 4096> discard_buffer_{};
+  std::size_t discarded_bytes_ = 0;
 };
 
 }  // namespace
 
-template <class Again>
-void ApiServer::Impl::wait_for_room(Again again) {
-  pause.expires_after(std::chrono::milliseconds(100));
-  pause.async_wait([self = shared_from_this(), again](error_code bad) {
-    if (!bad && !self->closed) again();
+template <class Retry>
+void ApiServer::Impl::retry_accept_later(Retry retry) {
+  accept_retry.expires_after(std::chrono::milliseconds(100));
+  accept_retry.async_wait([self = shared_from_this(), retry](error_code ec) {
+    if (!ec && !self->closed) retry();
   });
 }
 
 void ApiServer::Impl::accept_local() {
-  local_acceptor->async_accept([self = shared_from_this()](error_code bad, local::socket socket) {
-    if (self->closed || bad == net::error::operation_aborted) return;
-    if (bad) return self->wait_for_room([self] { self->accept_local(); });
-    ucred who{};
-    socklen_t size = sizeof who;
-    const bool known = ::getsockopt(socket.native_handle(), SOL_SOCKET, SO_PEERCRED, &who, &size) == 0;
-    if (known && (who.uid == ::geteuid() || who.uid == 0)) {
-      const bool room = self->open.size() < self->limits.connections;
+  local_acceptor->async_accept([self = shared_from_this()](error_code ec, local::socket socket) {
+    if (self->closed || ec == net::error::operation_aborted) return;
+    if (ec) return self->retry_accept_later([self] { self->accept_local(); });
+    ucred credentials{};
+    socklen_t size = sizeof credentials;
+    const bool known =
+        ::getsockopt(socket.native_handle(), SOL_SOCKET, SO_PEERCRED, &credentials, &size) == 0;
+    if (known && (credentials.uid == ::geteuid() || credentials.uid == 0)) {
+      const bool has_capacity = self->sessions.size() < self->limits.max_connections;
       const auto session = std::make_shared<Session<LocalStream>>(
           self, self->io, self->api, self->limits, LocalStream(std::move(socket)),
-          [impl = self.get()](Connection* c) { impl->open.erase(c); });
-      // Of those turned away as many again may take their answer.
-      if (self->open.size() < 2 * self->limits.connections) {
-        self->open.emplace(session.get(), session);
-        if (room)
-          session->start("uid " + std::to_string(who.uid) + " pid " + std::to_string(who.pid));
+          [impl = self.get()](Connection* c) { impl->sessions.erase(c); });
+      // As many rejected connections again may wait for their 503 to be sent; beyond that, close at once.
+      if (self->sessions.size() < 2 * self->limits.max_connections) {
+        self->sessions.emplace(session.get(), session);
+        if (has_capacity)
+          session->start_reading("uid " + std::to_string(credentials.uid) + " pid " +
+                                 std::to_string(credentials.pid));
         else
-          session->turn_away();
+          session->reject_busy();
       }
     }
     self->accept_local();
@@ -297,17 +302,18 @@
 }
 
 void ApiServer::Impl::accept_tls() {
-  tls_acceptor->async_accept([self = shared_from_this()](error_code bad, net::ip::tcp::socket socket) {
-    if (self->closed || bad == net::error::operation_aborted) return;
-    if (bad) return self->wait_for_room([self] { self->accept_tls(); });
-    // Before it has shown a certificate anyone may hold a connection: half of them stay for this machine.
-    if (self->open.size() < self->limits.connections && self->tls_open < self->limits.connections / 2) {
+  tls_acceptor->async_accept([self = shared_from_this()](error_code ec, net::ip::tcp::socket socket) {
+    if (self->closed || ec == net::error::operation_aborted) return;
+    if (ec) return self->retry_accept_later([self] { self->accept_tls(); });
+    // Anyone can open connections before the certificate is checked, so half are reserved for local clients.
+    if (self->sessions.size() < self->limits.max_connections &&
+        self->tls_sessions < self->limits.max_connections / 2) {
       const auto session = std::make_shared<Session<TlsStream>>(
           self, self->io, self->api, self->limits,
           TlsStream(beast::tcp_stream(std::move(socket)), *self->tls),
-          [impl = self.get()](Connection* c) { impl->open.erase(c), impl->tls_open--; });
-      self->open.emplace(session.get(), session);
-      self->tls_open++;
+          [impl = self.get()](Connection* c) { impl->sessions.erase(c), impl->tls_sessions--; });
+      self->sessions.emplace(session.get(), session);
+      self->tls_sessions++;
       session->start_tls();
     }
     self->accept_tls();
@@ -322,56 +328,56 @@
   error_code ignored;
   if (impl_->local_acceptor) impl_->local_acceptor->close(ignored);
   if (impl_->tls_acceptor) impl_->tls_acceptor->close(ignored);
-  impl_->pause.cancel();
-  const auto open = impl_->open;
-  for (const auto& [at, weak] : open)
-    if (const auto c = weak.lock()) c->drop();
+  impl_->accept_retry.cancel();
+  const auto open_sessions = impl_->sessions;
+  for (const auto& [connection, weak] : open_sessions)
+    if (const auto session = weak.lock()) session->close();
 }
 
-std::size_t ApiServer::connections() const { return impl_->open.size(); }
+std::size_t ApiServer::connections() const { return impl_->sessions.size(); }
 
 void ApiServer::listen_local(const std::string& path) {
   if (path.size() >= sizeof(sockaddr_un::sun_path))
-    throw std::runtime_error(path + ": too long for a Unix socket: name a shorter data folder");
+    throw std::runtime_error(path + ": the path is too long for a Unix socket; use a shorter data folder");
   ::unlink(path.c_str());
   auto& acceptor = impl_->local_acceptor.emplace(impl_->io);
   acceptor.open(local());
-  // Its mode from the first moment on.
+  // The umask gives the socket its mode before any client can connect.
   const mode_t before = ::umask(0177);
-  error_code bad;
-  acceptor.bind(local::endpoint(path), bad);
+  error_code ec;
+  acceptor.bind(local::endpoint(path), ec);
   ::umask(before);
-  if (bad) throw std::runtime_error(path + ": " + bad.message());
+  if (ec) throw std::runtime_error(path + ": " + ec.message());
   acceptor.listen();
-  acceptor.set_option(net::socket_base::enable_connection_aborted(true), bad);
+  acceptor.set_option(net::socket_base::enable_connection_aborted(true), ec);
   impl_->accept_local();
 }
 
 net::ip::tcp::endpoint ApiServer::listen_tls(const net::ip::tcp::endpoint& address, const TlsFiles& files) {
   auto& tls = impl_->tls.emplace(ssl::context::tls_server);
-  const auto must = [](const error_code& bad, const std::string& file) {
-    if (bad) throw std::runtime_error(file + ": " + bad.message());
+  const auto throw_if = [](const error_code& ec, const std::string& file) {
+    if (ec) throw std::runtime_error(file + ": " + ec.message());
   };
-  error_code bad;
+  error_code ec;
   tls.set_options(ssl::context::default_workarounds | ssl::context::no_sslv2 | ssl::context::no_sslv3 |
                   ssl::context::no_tlsv1 | ssl::context::no_tlsv1_1 | ssl::context::no_compression);
   SSL_CTX_set_min_proto_version(tls.native_handle(), TLS1_2_VERSION);
-  must(tls.use_certificate_chain_file(files.certificate, bad), files.certificate);
-  must(tls.use_private_key_file(files.key, ssl::context::pem, bad), files.key);
-  must(tls.load_verify_file(files.client_ca, bad), files.client_ca);
+  throw_if(tls.use_certificate_chain_file(files.certificate, ec), files.certificate);
+  throw_if(tls.use_private_key_file(files.key, ssl::context::pem, ec), files.key);
+  throw_if(tls.load_verify_file(files.client_ca, ec), files.client_ca);
   tls.set_verify_mode(ssl::verify_peer | ssl::verify_fail_if_no_peer_cert);
-  // Each connection shows its certificate anew: a client that took up an earlier session would be turned
-  // away.
+  // No session resumption: each connection must present its certificate, and a client that resumed a session
+  // would be rejected.
   SSL_CTX_set_session_cache_mode(tls.native_handle(), SSL_SESS_CACHE_OFF);
   SSL_CTX_set_options(tls.native_handle(), SSL_OP_NO_TICKET);
   SSL_CTX_set_num_tickets(tls.native_handle(), 0);
   auto& acceptor = impl_->tls_acceptor.emplace(impl_->io);
   acceptor.open(address.protocol());
   acceptor.set_option(net::socket_base::reuse_address(true));
-  acceptor.bind(address, bad);
-  must(bad, address.address().to_string() + ":" + std::to_string(address.port()));
+  acceptor.bind(address, ec);
+  throw_if(ec, address.address().to_string() + ":" + std::to_string(address.port()));
   acceptor.listen();
-  acceptor.set_option(net::socket_base::enable_connection_aborted(true), bad);
+  acceptor.set_option(net::socket_base::enable_connection_aborted(true), ec);
   impl_->accept_tls();
   return acceptor.local_endpoint();
 }
--- a/fleet/api_server.hpp
+++ b/fleet/api_server.hpp
@@ -1,5 +1,6 @@
-// The API on sockets: HTTP/1.1 on a Unix socket for this user and root, and on TLS for holders of a client
-// certificate. Whatever comes in is answered or its connection dropped; no reader holds up the agent.
+// Serves the API by HTTP/1.1 on a Unix socket, for this user and root, and over TLS, for holders of a client
+// certificate. Each request is answered or its connection closed; slow clients don't block the agent. Not
+// thread-safe: all calls come from the thread that runs `io`.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,28 +15,31 @@
 namespace heronvane::fleet {
 
 struct ApiLimits {
-  std::size_t connections = 64;  // of both kinds, half of them of TLS; past it 503 (TLS: closed)
-  std::size_t body_bytes = 1 << 20;
-  std::size_t head_bytes = 16 << 10;
-  std::chrono::milliseconds time{10'000};  // of a request, between requests, and for a reader to take a piece
+  std::size_t max_connections = 64;  // in all, at most half of them TLS; more get 503 (TLS: are closed)
+  std::size_t max_body_bytes = 1 << 20;
+  std::size_t max_head_bytes = 16 << 10;
+  std::chrono::milliseconds io_timeout{
+      10'000};  // to send a request, between requests, and to read a piece of a response
 };
 
 struct TlsFiles {
   std::string certificate;  // PEM, with its chain
   std::string key;
-  std::string client_ca;  // signs the certificates of those who may ask
+  std::string client_ca;  // signs the certificates of permitted clients
 };
 
 class ApiServer {
  public:
   ApiServer(boost::asio::io_context& io, Api& api, ApiLimits limits = {});
-  ~ApiServer();  // ends all connections
+  ~ApiServer();  // closes all connections
   ApiServer(const ApiServer&) = delete;
   ApiServer& operator=(const ApiServer&) = delete;
 
-  // Mode 0600, in place of what an earlier agent left: the caller owns the folder. Throws std::exception.
+  // Listens on a Unix socket of mode 0600. Replaces an existing file at `path`, such as the socket of an
+  // earlier agent, so the caller must own the folder. Throws std::exception.
   void listen_local(const std::string& path);
-  // Throws std::exception whose text names the file that can't be used. Returns where it listens.
+  // Listens for TLS and returns the bound address. Throws std::exception whose text names the file or address
+  // that can't be used.
   boost::asio::ip::tcp::endpoint listen_tls(const boost::asio::ip::tcp::endpoint& address,
                                             const TlsFiles& files);
 
--- a/fleet/catalog.cpp
+++ b/fleet/catalog.cpp
@@ -12,7 +12,7 @@
 
 using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
 
-const char* word(Status status) {
+const char* status_name(Status status) {
   switch (status) {
     case Status::ready:
       return "ready";
@@ -24,100 +24,101 @@
   return "";
 }
 
-void text(Writer& w, const char* key, const std::string& value) {
-  w.Key(key), w.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
+void write_text(Writer& writer, const char* key, const std::string& value) {
+  writer.Key(key), writer.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
 }
 
-void entry(Writer& w, const Endpoint& e) {
-  w.StartObject();
-  text(w, "name", e.name), text(w, "address", e.address);
-  text(w, "zone", e.zone), text(w, "type", e.type);
-  w.Key("group"), w.Int64(e.group);
-  w.Key("status"), w.String(word(e.status));
-  w.Key("weight"), w.Double(e.weight);
-  w.Key("since_ms"), w.Int64(e.since_ms);
-  w.EndObject();
+void write_endpoint(Writer& writer, const Endpoint& endpoint) {
+  writer.StartObject();
+  write_text(writer, "name", endpoint.name), write_text(writer, "address", endpoint.address);
+  write_text(writer, "zone", endpoint.zone), write_text(writer, "type", endpoint.type);
+  writer.Key("group"), writer.Int64(endpoint.group);
+  writer.Key("status"), writer.String(status_name(endpoint.status));
+  writer.Key("weight"), writer.Double(endpoint.weight);
+  writer.Key("since_ms"), writer.Int64(endpoint.since_ms);
+  writer.EndObject();
 }
 
 template <class Entries>
-std::string line(std::int64_t index, bool whole, Entries entries) {
+std::string to_line(std::int64_t index, bool snapshot, Entries entries) {
   rapidjson::StringBuffer buffer;
-  Writer w(buffer);
-  w.StartObject();
-  w.Key("index"), w.Int64(index);
-  w.Key("snapshot"), w.Bool(whole);
-  w.Key("endpoints"), w.StartArray();
-  entries(w);
-  w.EndArray(), w.EndObject();
+  Writer writer(buffer);
+  writer.StartObject();
+  writer.Key("index"), writer.Int64(index);
+  writer.Key("snapshot"), writer.Bool(snapshot);
+  writer.Key("endpoints"), writer.StartArray();
+  entries(writer);
+  writer.EndArray(), writer.EndObject();
   buffer.Put('\n');
   return {buffer.GetString(), buffer.GetSize()};
 }
 
 }  // namespace
 
-Catalog::Catalog(std::int64_t index, std::size_t most_history)
-    : index_(index), base_(index), most_history_(most_history) {}
+Catalog::Catalog(std::int64_t index, std::size_t max_history)
+    : index_(index), base_(index), max_history_(max_history) {}
 
 Catalog::Update Catalog::compare(std::vector<Endpoint> list) const {
-  Update u;
-  for (auto& e : list) {
-    std::string name = e.name;
-    u.list.emplace(std::move(name), std::move(e));
+  Update update;
+  for (auto& endpoint : list) {
+    std::string name = endpoint.name;
+    update.list.emplace(std::move(name), std::move(endpoint));
   }
-  const auto changed = [&](const Endpoint& e, Status before) {
-    u.draining += e.status == Status::draining && before != Status::draining;
-    u.changes.push_back(e);
+  const auto changed = [&](const Endpoint& endpoint, Status before) {
+    update.draining += endpoint.status == Status::draining && before != Status::draining;
+    update.changes.push_back(endpoint);
   };
-  auto was = list_.begin();
-  auto is = u.list.begin();
-  while (was != list_.end() || is != u.list.end()) {
-    if (is == u.list.end() || (was != list_.end() && was->first < is->first)) {
-      u.changes.push_back(was->second);
-      u.changes.back().status = Status::gone;
-      u.gone++, ++was;
-    } else if (was == list_.end() || is->first < was->first) {
-      changed(is->second, Status::gone);
-      u.added++, ++is;
+  auto previous = list_.begin();
+  auto current = update.list.begin();
+  while (previous != list_.end() || current != update.list.end()) {
+    if (current == update.list.end() || (previous != list_.end() && previous->first < current->first)) {
+      update.changes.push_back(previous->second);
+      update.changes.back().status = Status::gone;
+      update.removed++, ++previous;
+    } else if (previous == list_.end() || current->first < previous->first) {
+      changed(current->second, Status::gone);
+      update.added++, ++current;
     } else {
-      if (!(was->second == is->second)) changed(is->second, was->second.status), u.changed++;
-      ++was, ++is;
+      if (!(previous->second == current->second))
+        changed(current->second, previous->second.status), update.changed++;
+      ++previous, ++current;
     }
   }
-  u.index = told_ && u.changes.empty() ? index_ : index_ + 1;
-  return u;
+  update.index = published_ && update.changes.empty() ? index_ : index_ + 1;
+  return update;
 }
 
 void Catalog::apply(Update update) {
   if (update.index == index_) return;
-  if (!told_) base_ = update.index;
+  if (!published_) base_ = update.index;
   index_ = update.index;
   list_ = std::move(update.list);
-  if (told_) {
+  if (published_) {
     history_entries_ += update.changes.size();
     history_.push_back({index_, std::move(update.changes)});
   }
-  told_ = true;
-  while (history_entries_ > most_history_) {
+  published_ = true;
+  while (history_entries_ > max_history_) {
     base_ = history_.front().index;
     history_entries_ -= history_.front().entries.size();
     history_.pop_front();
   }
 }
 
-std::string Catalog::whole() const {
-  return line(index_, true, [this](Writer& w) {
-    for (const auto& [name, e] : list_) entry(w, e);
+std::string Catalog::snapshot() const {
+  return to_line(index_, true, [this](Writer& writer) {
+    for (const auto& [name, endpoint] : list_) write_endpoint(writer, endpoint);
   });
 }
 
-std::string Catalog::since(std::int64_t index) const {
-  if (!reaches(index)) return whole();
-  // Of several changes to one endpoint the last holds.
+std::string Catalog::changes_since(std::int64_t index) const {
+  if (!has_history_since(index)) return snapshot();
+  // Only the last of several changes to one endpoint is sent.
   std::map<std::string_view, const Endpoint*> last;
   for (auto change = history_.rbegin(); change != history_.rend() && change->index > index; ++change)
-    for (const auto& e : change->entries) last.emplace(e.name, &e);
-  return line(index_, false, [&](Writer& w) {
-    for (const auto& [name, e] : last) entry(w, *e);
+    for (const auto& endpoint : change->entries) last.emplace(endpoint.name, &endpoint);
+  return to_line(index_, false, [&](Writer& writer) {
+    for (const auto& [name, endpoint] : last) write_endpoint(writer, *endpoint);
   });
 }
 
--- a/fleet/finals.cpp
+++ b/fleet/finals.cpp
@@ -13,30 +13,31 @@
 
 namespace {
 
-constexpr std::size_t kMostId = 256;
-constexpr std::int64_t kMostAgain = 1'000'000'000'000;  // ms
-constexpr int kBusyMs = 50;                             // that another process' lock may hold up the loop
-constexpr std::int64_t kMostDropped = 1000;             // besides as many as were added, in one transaction
-
-std::string fault_of(const rapidjson::Document& v) {
-  if (!v.IsObject()) return "is no object";
-  const auto id = v.FindMember("id"), status = v.FindMember("status"), again = v.FindMember("again_ms");
-  if (id == v.MemberEnd() || !id->value.IsString()) return "has no id";
+constexpr std::size_t kMaxIdBytes = 256;
+constexpr std::int64_t kMaxAgainMs = 1'000'000'000'000;  // ms
+constexpr int kBusyTimeoutMs = 50;                       // longest wait for the lock of another process
+constexpr std::int64_t kMaxDeletedRows = 1000;  // rows deleted in one transaction, besides as many as it adds
+
+std::string notice_problem(const rapidjson::Document& document) {
+  if (!document.IsObject()) return "is not an object";
+  const auto id = document.FindMember("id"), status = document.FindMember("status"),
+             again = document.FindMember("again_ms");
+  if (id == document.MemberEnd() || !id->value.IsString()) return "has no id";
   const std::string_view text(id->value.GetString(), id->value.GetStringLength());
   const auto control = [](char c) { return static_cast<unsigned char>(c) < ' ' || c == '\x7f'; };
-  if (text.empty() || text.size() > kMostId || std::any_of(text.begin(), text.end(), control))
+  if (text.empty() || text.size() > kMaxIdBytes || std::any_of(text.begin(), text.end(), control))
     return "has an id that is empty, too long or holds control characters";
-  if (status == v.MemberEnd() || !status->value.IsString()) return "has no status";
+  if (status == document.MemberEnd() || !status->value.IsString()) return "has no status";
   if (status->value != "undeliverable" && status->value != "deferred") return "has an unknown status";
-  if (again == v.MemberEnd() || again->value.IsNull()) return "";
-  if (!again->value.IsInt64() || again->value.GetInt64() < 0 || again->value.GetInt64() > kMostAgain)
-    return "has an again_ms that is no number of milliseconds";
+  if (again == document.MemberEnd() || again->value.IsNull()) return "";
+  if (!again->value.IsInt64() || again->value.GetInt64() < 0 || again->value.GetInt64() > kMaxAgainMs)
+    return "has an again_ms that is not a number of milliseconds";
   return "";
 }
 
 }  // namespace
 
-const char* word(FinalStatus status) {
+const char* status_name(FinalStatus status) {
   switch (status) {
     case FinalStatus::undeliverable:
       return "undeliverable";
@@ -54,82 +55,86 @@
     body.remove_prefix(std::min(body.size(), line.size() + 1));
     number++;
     if (line.find_first_not_of(" \r\t") == std::string_view::npos) continue;
-    rapidjson::Document v;
-    // Not by recursion, which thousands of open brackets would take past the stack's end.
-    v.Parse<rapidjson::kParseIterativeFlag | rapidjson::kParseValidateEncodingFlag>(line.data(), line.size());
-    const std::string fault = v.HasParseError() ? "is no JSON" : fault_of(v);
-    if (!fault.empty()) {
-      problem = "line " + std::to_string(number) + " " + fault;
+    rapidjson::Document document;
+    // Iterative: recursive parsing of thousands of nested brackets would overflow the stack.
+    document.Parse<rapidjson::kParseIterativeFlag | rapidjson::kParseValidateEncodingFlag>(line.data(),
+                                                                                           line.size());
+    const std::string reason = document.HasParseError() ? "is not JSON" : notice_problem(document);
+    if (!reason.empty()) {
+      problem = "line " + std::to_string(number) + " " + reason;
       return std::nullopt;
     }
-    Notice n;
-    n.id.assign(v["id"].GetString(), v["id"].GetStringLength());
-    n.status = v["status"] == "deferred" ? FinalStatus::deferred : FinalStatus::undeliverable;
-    if (const auto again = v.FindMember("again_ms"); again != v.MemberEnd() && !again->value.IsNull())
-      n.again_ms = again->value.GetInt64();
-    notices.push_back(std::move(n));
+    Notice notice;
+    notice.id.assign(document["id"].GetString(), document["id"].GetStringLength());
+    notice.status = document["status"] == "deferred" ? FinalStatus::deferred : FinalStatus::undeliverable;
+    if (const auto again = document.FindMember("again_ms");
+        again != document.MemberEnd() && !again->value.IsNull())
+      notice.again_ms = again->value.GetInt64();
+    notices.push_back(std::move(notice));
   }
   return notices;
 }
 
-void Finals::Close::operator()(sqlite3* db) const { sqlite3_close(db); }
+void Finals::Close::operator()(sqlite3* database) const { sqlite3_close(database); }
 void Finals::Close::operator()(sqlite3_stmt* statement) const { sqlite3_finalize(statement); }
 
-// One run of a prepared statement; what it binds must outlast it.
+// One execution of a prepared statement; bound texts must outlive it.
 class Finals::Run {
  public:
-  explicit Run(const Statement& s) : s_(s.get()) {}
-  ~Run() { sqlite3_reset(s_), sqlite3_clear_bindings(s_); }
+  explicit Run(const Statement& s) : statement_(s.get()) {}
+  ~Run() { sqlite3_reset(statement_), sqlite3_clear_bindings(statement_); }
   Run(const Run&) = delete;
   Run& operator=(const Run&) = delete;
-  void bind(int at, std::int64_t n) { sqlite3_bind_int64(s_, at, n); }
+  void bind(int at, std::int64_t number) { sqlite3_bind_int64(statement_, at, number); }
   void bind(int at, std::string_view text) {
-    sqlite3_bind_text(s_, at, text.data(), static_cast<int>(text.size()), SQLITE_STATIC);
+    sqlite3_bind_text(statement_, at, text.data(), static_cast<int>(text.size()), SQLITE_STATIC);
   }
-  int step() { return sqlite3_step(s_); }
-  std::int64_t number(int at) const { return sqlite3_column_int64(s_, at); }
+  int step() { return sqlite3_step(statement_); }
+  std::int64_t number(int at) const { return sqlite3_column_int64(statement_, at); }
   Final row() const {
-    Final f;
+    Final stored;
     const auto text = [this](int at) {
-      const auto* bytes = reinterpret_cast<const char*>(sqlite3_column_text(s_, at));
-      return bytes == nullptr ? std::string()
-                              : std::string(bytes, static_cast<std::size_t>(sqlite3_column_bytes(s_, at)));
+      const auto* bytes = reinterpret_cast<const char*>(sqlite3_column_text(statement_, at));
+      return bytes == nullptr
+                 ? std::string()
+                 : std::string(bytes, static_cast<std::size_t>(sqlite3_column_bytes(statement_, at)));
     };
-    f.notice.id = text(0);
-    f.notice.status = text(1) == "deferred" ? FinalStatus::deferred : FinalStatus::undeliverable;
-    if (sqlite3_column_type(s_, 2) != SQLITE_NULL) f.notice.again_ms = number(2);
-    f.received_ms = number(3);
-    f.repeats = number(4);
-    return f;
+    stored.notice.id = text(0);
+    stored.notice.status = text(1) == "deferred" ? FinalStatus::deferred : FinalStatus::undeliverable;
+    if (sqlite3_column_type(statement_, 2) != SQLITE_NULL) stored.notice.again_ms = number(2);
+    stored.received_ms = number(3);
+    stored.repeats = number(4);
+    return stored;
   }
 
  private:
-  sqlite3_stmt* s_;
+  sqlite3_stmt* statement_;
 };
 
 Finals::Finals(const std::string& path, const Options& options) : path_(path), options_(options) {
-  // SQLite gives its log the file's mode.
+  // SQLite gives the write-ahead log the mode of the file.
   const int fd = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
   if (fd < 0) throw std::runtime_error(path + ": can't be opened: " + std::strerror(errno));
   ::close(fd);
-  sqlite3* db = nullptr;
-  const int opened = sqlite3_open_v2(path.c_str(), &db, SQLITE_OPEN_READWRITE | SQLITE_OPEN_NOMUTEX, nullptr);
-  db_.reset(db);
+  sqlite3* database = nullptr;
+  const int opened =
+      sqlite3_open_v2(path.c_str(), &database, SQLITE_OPEN_READWRITE | SQLITE_OPEN_NOMUTEX, nullptr);
+  db_.reset(database);
   if (opened != SQLITE_OK) throw std::runtime_error(path + ": can't be opened: " + sqlite3_errstr(opened));
-  sqlite3_busy_timeout(db, kBusyMs);
-  must("PRAGMA journal_mode=WAL");
-  must("PRAGMA synchronous=FULL");
-  must("PRAGMA journal_size_limit=4194304");
-  must(
+  sqlite3_busy_timeout(database, kBusyTimeoutMs);
+  execute_or_throw("PRAGMA journal_mode=WAL");
+  execute_or_throw("PRAGMA synchronous=FULL");
+  execute_or_throw("PRAGMA journal_size_limit=4194304");
+  execute_or_throw(
       "CREATE TABLE IF NOT EXISTS finals(id TEXT PRIMARY KEY NOT NULL, status TEXT NOT NULL, again_ms "
       "INTEGER,"
       " received_ms INTEGER NOT NULL, repeats INTEGER NOT NULL)");
-  must("CREATE INDEX IF NOT EXISTS finals_received ON finals(received_ms)");
+  execute_or_throw("CREATE INDEX IF NOT EXISTS finals_received ON finals(received_ms)");
   insert_ = prepare(
       "INSERT INTO finals(id,status,again_ms,received_ms,repeats) VALUES(?1,?2,?3,?4,0)"
       " ON CONFLICT(id) DO UPDATE SET repeats=repeats+1 RETURNING repeats");
   oldest_ = prepare("SELECT received_ms FROM finals ORDER BY received_ms, rowid LIMIT 1 OFFSET ?1");
-  drop_ = prepare(
+  delete_ = prepare(
       "DELETE FROM finals WHERE rowid IN (SELECT rowid FROM finals WHERE received_ms < ?1"
       " ORDER BY received_ms, rowid LIMIT ?2)");
   find_ = prepare("SELECT id,status,again_ms,received_ms,repeats FROM finals WHERE id=?1");
@@ -139,41 +144,41 @@
   const Statement counted = prepare("SELECT count(*) FROM finals");
   Run r(counted);
   if (r.step() == SQLITE_ROW) count_ = r.number(0);
-  limit_bytes(options.most_bytes);
+  set_max_bytes(options.max_bytes);
 }
 Finals::~Finals() = default;
 
-int Finals::run(const char* sql) { return sqlite3_exec(db_.get(), sql, nullptr, nullptr, nullptr); }
-void Finals::must(const char* sql) {
-  if (run(sql) == SQLITE_OK) return;
+int Finals::execute(const char* sql) { return sqlite3_exec(db_.get(), sql, nullptr, nullptr, nullptr); }
+void Finals::execute_or_throw(const char* sql) {
+  if (execute(sql) == SQLITE_OK) return;
   throw std::runtime_error(path_ + ": can't be used: " + sqlite3_errmsg(db_.get()) +
-                           "; make room, or move the file away: a new one is begun");
+                           "; free disk space, or move the file away: a new one is created");
 }
 Finals::Statement Finals::prepare(const char* sql) {
   sqlite3_stmt* s = nullptr;
   if (sqlite3_prepare_v3(db_.get(), sql, -1, SQLITE_PREPARE_PERSISTENT, &s, nullptr) != SQLITE_OK)
-    throw std::runtime_error(path_ + ": is no file of notices: " + sqlite3_errmsg(db_.get()) +
-                             "; move it away: a new one is begun");
+    throw std::runtime_error(path_ + ": is not a notice database: " + sqlite3_errmsg(db_.get()) +
+                             "; move it away: a new one is created");
   return Statement(s);
 }
 
-void Finals::limit_bytes(std::int64_t most_bytes) {
+void Finals::set_max_bytes(std::int64_t max_bytes) {
   std::int64_t size = 4096;
   {
     const Statement page = prepare("PRAGMA page_size");
     Run r(page);
     if (r.step() == SQLITE_ROW) size = r.number(0);
   }
-  constexpr std::int64_t kMostPages = 4294967294;  // SQLite's own
-  const std::int64_t pages = most_bytes > 0 ? std::max<std::int64_t>(1, most_bytes / size) : kMostPages;
-  run(("PRAGMA max_page_count=" + std::to_string(pages)).c_str());
+  constexpr std::int64_t kMaxPages = 4294967294;  // the maximum of SQLite
+  const std::int64_t pages = max_bytes > 0 ? std::max<std::int64_t>(1, max_bytes / size) : kMaxPages;
+  execute(("PRAGMA max_page_count=" + std::to_string(pages)).c_str());
 }
 
-int Finals::put(std::span<const Notice> notices, std::int64_t now_ms, std::int64_t& added) {
-  for (const auto& n : notices) {
+int Finals::insert_all(std::span<const Notice> notices, std::int64_t now_ms, std::int64_t& added) {
+  for (const auto& notice : notices) {
     Run r(insert_);
-    r.bind(1, n.id), r.bind(2, std::string_view(word(n.status))), r.bind(4, now_ms);
-    if (n.again_ms) r.bind(3, *n.again_ms);
+    r.bind(1, notice.id), r.bind(2, std::string_view(status_name(notice.status))), r.bind(4, now_ms);
+    if (notice.again_ms) r.bind(3, *notice.again_ms);
     int code = r.step();
     if (code == SQLITE_ROW) {
       added += r.number(0) == 0;
@@ -184,55 +189,55 @@
   return SQLITE_OK;
 }
 
-int Finals::drop_oldest(std::int64_t rows, std::int64_t& gone) {
-  Run r(drop_);
+int Finals::delete_oldest(std::int64_t rows, std::int64_t& deleted) {
+  Run r(delete_);
   r.bind(1, INT64_MAX), r.bind(2, rows);
   const int code = r.step();
   if (code != SQLITE_DONE) return code;
-  gone += sqlite3_changes64(db_.get());
+  deleted += sqlite3_changes64(db_.get());
   return SQLITE_OK;
 }
 
-void Finals::undo() {
-  // Where the disk is full SQLite may have done it already.
-  if (sqlite3_get_autocommit(db_.get()) == 0) run("ROLLBACK");
+void Finals::rollback() {
+  // If the disk was full, SQLite may have rolled back already.
+  if (sqlite3_get_autocommit(db_.get()) == 0) execute("ROLLBACK");
 }
 
 Finals::Stored Finals::store(std::span<const Notice> notices, std::int64_t now_ms) {
-  trouble_.clear();
+  error_.clear();
   if (notices.empty()) return Stored::yes;
-  std::int64_t added = 0, gone = 0;
-  int code = run("BEGIN IMMEDIATE");
-  if (code == SQLITE_OK) code = put(notices, now_ms, added);
-  if (const std::int64_t over = count_ + added - options_.most; code == SQLITE_OK && over > 0)
-    code = drop_oldest(std::min(over, added + kMostDropped), gone);
-  if (code == SQLITE_OK) code = run("COMMIT");
+  std::int64_t added = 0, deleted = 0;
+  int code = execute("BEGIN IMMEDIATE");
+  if (code == SQLITE_OK) code = insert_all(notices, now_ms, added);
+  if (const std::int64_t over = count_ + added - options_.max_notices; code == SQLITE_OK && over > 0)
+    code = delete_oldest(std::min(over, added + kMaxDeletedRows), deleted);
+  if (code == SQLITE_OK) code = execute("COMMIT");
   if (code == SQLITE_OK) {
-    count_ += added - gone;
+    count_ += added - deleted;
     return Stored::yes;
   }
-  trouble_ = path_ + ": " + sqlite3_errmsg(db_.get());
-  undo();
+  error_ = path_ + ": " + sqlite3_errmsg(db_.get());
+  rollback();
   return (code & 0xff) == SQLITE_FULL ? Stored::full : Stored::failed;
 }
 
-std::size_t Finals::prune(std::int64_t now_ms, std::size_t most_rows) {
+std::size_t Finals::prune(std::int64_t now_ms, std::size_t max_rows) {
   const std::int64_t before = now_ms - options_.keep_ms;
-  const auto most = static_cast<std::int64_t>(most_rows);
-  const std::int64_t over = std::min(count_ - options_.most, most);
+  const auto most = static_cast<std::int64_t>(max_rows);
+  const std::int64_t over = std::min(count_ - options_.max_notices, most);
   {
-    // Nothing is written, and no lock taken, while nothing is due.
+    // Writes nothing and takes no lock if there is nothing to delete.
     Run first(oldest_);
     first.bind(1, 0);
     const bool aged = first.step() == SQLITE_ROW && first.number(0) < before;
     if (!aged && over <= 0) return 0;
   }
-  Run r(drop_);
+  Run r(delete_);
   r.bind(1, over > 0 ? INT64_MAX : before), r.bind(2, over > 0 ? over : most);
   if (r.step() != SQLITE_DONE) return 0;
-  const auto gone = sqlite3_changes64(db_.get());
-  count_ -= gone;
-  return static_cast<std::size_t>(gone);
+  const auto deleted = sqlite3_changes64(db_.get());
+  count_ -= deleted;
+  return static_cast<std::size_t>(deleted);
 }
 
 std::optional<Final> Finals::find(const std::string& id) {
@@ -242,10 +247,10 @@
   return r.row();
 }
 
-std::vector<Final> Finals::newest(std::size_t most) {
+std::vector<Final> Finals::newest(std::size_t max_notices) {
   std::vector<Final> all;
   Run r(newest_);
-  r.bind(1, static_cast<std::int64_t>(most));
+  r.bind(1, static_cast<std::int64_t>(max_notices));
   while (r.step() == SQLITE_ROW) all.push_back(r.row());
   return all;
 }
--- a/fleet/fleet_file.hpp
+++ b/fleet/fleet_file.hpp
@@ -1,5 +1,5 @@
-// The fleet as `apply` hands it in: checked whole before anything is decided, and the files that each relay
-// of it is started with. No input or output here.
+// The fleet that an `apply` operation passes in, fully validated, and the files that its relays are started
+// with. Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,33 +12,35 @@
 
 namespace heronvane::fleet {
 
-struct PlatformPart {
+// The platform that a fleet configures.
+struct PlatformSpec {
   std::string listen;
-  std::string partners;       // JSON, {"endpoints":[..]}; empty where there is a file
-  std::string partners_file;  // absolute; empty where there are partners
+  std::string partners;       // JSON, {"endpoints":[..]}; empty if there is a file
+  std::string partners_file;  // absolute path; empty if there are partners
 };
 
 class Fleet {
  public:
-  // Throws std::exception whose text names the field that can't be read. What relays would refuse is refused
-  // here: each instance's configuration is read as the relay reads it.
+  // Parses and validates a fleet. Throws std::exception whose text names the invalid field. The configuration
+  // is checked with the relay's own parser, so that whatever relays would reject is rejected here.
   static Fleet read(const std::string& json);
 
   const FleetSpec& spec() const { return spec_; }
   const std::string& program() const { return program_; }
-  const std::optional<PlatformPart>& platform() const { return platform_; }
+  const std::optional<PlatformSpec>& platform() const { return platform_; }
   bool has(const std::string& name) const { return listen_.count(name) > 0; }
 
-  // The relay's configuration; throws where the instance is none of this fleet's.
+  // The configuration of an instance's relay, as JSON. Throws std::exception if the instance is not in this
+  // fleet.
   std::string config(const std::string& name, Generation generation, std::uint64_t seed) const;
-  // The relay's own settings file.
+  // The operator settings of each relay, as TOML.
   std::string settings() const;
 
  private:
   FleetSpec spec_;
-  std::string program_, discovery_, relay_settings_, limits_, toml_, copies_;
-  std::optional<PlatformPart> platform_;
-  std::map<std::string, std::string> listen_;  // by name
+  std::string program_, discovery_, settings_json_, limits_json_, store_toml_, copies_toml_;
+  std::optional<PlatformSpec> platform_;
+  std::map<std::string, std::string> listen_;  // address by instance name
 };
 
 }  // namespace heronvane::fleet
--- a/fleet/partner_file.cpp
+++ b/fleet/partner_file.cpp
@@ -24,7 +24,7 @@
 
 namespace {
 
-// A file that was written so short a time ago may be written again without its times telling.
+// A file modified less than this long ago may be modified again without a change of its timestamps.
 constexpr std::int64_t kRecentNs = 2'000'000'000;
 
 struct Descriptor {
@@ -39,7 +39,7 @@
 
 std::int64_t nanoseconds(const timespec& t) { return std::int64_t{t.tv_sec} * 1'000'000'000 + t.tv_nsec; }
 
-// What tells one state of the file from the next; all 0 where there is none.
+// Tells versions of the file apart; all 0 if there is no file.
 struct Identity {
   Identity() = default;
   explicit Identity(const struct stat& s)
@@ -55,38 +55,38 @@
   bool operator==(const Identity&) const = default;
 };
 
-struct Text {
+struct FileContent {
   std::string bytes, problem;
   Identity identity;
 };
 
-Text read_file(const std::string& path) {
-  Text t;
+FileContent read_file(const std::string& path) {
+  FileContent t;
   const auto failed = [&](const char* what) {
     t.problem = std::string("can't be read: ") + what;
     return std::move(t);
   };
-  // A pipe in its place must not hold the loop up.
+  // O_NONBLOCK: opening a FIFO at this path must not block the event loop.
   const Descriptor file(::open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK));
   if (file.fd < 0) return failed(std::strerror(errno));
   struct stat s {};
   if (::fstat(file.fd, &s) != 0) return failed(std::strerror(errno));
   t.identity = Identity(s);
-  if (!S_ISREG(s.st_mode)) return failed("it is no file");
-  if (static_cast<std::size_t>(s.st_size) > kMostPartnersBytes)
-    return failed(("it holds more than " + std::to_string(kMostPartnersBytes) + " bytes").c_str());
-  // One more than it says, so that one that grows is seen to.
+  if (!S_ISREG(s.st_mode)) return failed("it is not a regular file");
+  if (static_cast<std::size_t>(s.st_size) > kMaxPartnersBytes)
+    return failed(("it has more than " + std::to_string(kMaxPartnersBytes) + " bytes").c_str());
+  // One byte more than its size, to detect a file that grows.
   t.bytes.resize(static_cast<std::size_t>(s.st_size) + 1);
-  std::size_t got = 0;
-  while (got < t.bytes.size()) {
-    const auto n = ::read(file.fd, t.bytes.data() + got, t.bytes.size() - got);
+  std::size_t received = 0;
+  while (received < t.bytes.size()) {
+    const auto n = ::read(file.fd, t.bytes.data() + received, t.bytes.size() - received);
     if (n < 0 && errno == EINTR) continue;
     if (n < 0) return failed(std::strerror(errno));
     if (n == 0) break;
-    got += static_cast<std::size_t>(n);
+    received += static_cast<std::size_t>(n);
   }
-  if (got == t.bytes.size()) return failed("it is being written");
-  t.bytes.resize(got);
+  if (received == t.bytes.size()) return failed("it is being written");
+  t.bytes.resize(received);
   return t;
 }
 
@@ -94,13 +94,14 @@
 
 class PartnerFile::Impl : public std::enable_shared_from_this<Impl> {
  public:
-  Impl(net::io_context& io, std::string path, Found found, Log log, std::chrono::milliseconds every)
+  Impl(net::io_context& io, std::string path, OnList on_list, Log log,
+       std::chrono::milliseconds poll_interval)
       : path_(std::move(path)),
         name_(std::filesystem::path(path_).filename()),
         folder_(std::filesystem::path(path_).parent_path()),
-        found_(std::move(found)),
+        on_list_(std::move(on_list)),
         log_(std::move(log)),
-        every_(every),
+        poll_interval_(poll_interval),
         events_(io),
         timer_(io) {
     if (folder_.empty()) folder_ = ".";
@@ -108,9 +109,9 @@
 
   void start() {
     const int fd = ::inotify_init1(IN_NONBLOCK | IN_CLOEXEC);
-    if (fd >= 0) events_.assign(fd);  // else the looks alone tell
-    net::post(timer_.get_executor(), [self = shared_from_this()] { self->turn(); });
-    wait();
+    if (fd >= 0) events_.assign(fd);  // else only the polls find changes
+    net::post(timer_.get_executor(), [self = shared_from_this()] { self->poll(); });
+    wait_for_events();
   }
   void stop() {
     stopped_ = true;
@@ -118,88 +119,88 @@
     events_.close(ignored);
     timer_.cancel();
   }
-  const std::string& trouble() const { return trouble_; }
+  const std::string& error() const { return error_; }
 
  private:
-  void turn() {
+  void poll() {
     if (stopped_) return;
-    // Again each time: the same watch where it stands, a new one where the folder was made anew.
+    // Repeated at each poll: keeps the existing watch, or adds one if the folder was created anew.
     if (events_.is_open())
       ::inotify_add_watch(events_.native_handle(), folder_.c_str(),
                           IN_CLOSE_WRITE | IN_MOVED_TO | IN_MOVED_FROM | IN_CREATE | IN_DELETE | IN_ATTRIB);
-    look();
+    check_file();
     if (stopped_) return;
-    timer_.expires_after(every_);
-    timer_.async_wait([self = shared_from_this()](error_code bad) {
-      if (!bad) self->turn();
+    timer_.expires_after(poll_interval_);
+    timer_.async_wait([self = shared_from_this()](error_code ec) {
+      if (!ec) self->poll();
     });
   }
-  void wait() {
+  void wait_for_events() {
     if (!events_.is_open()) return;
-    events_.async_wait(net::posix::stream_descriptor::wait_read, [self = shared_from_this()](error_code bad) {
-      if (bad || self->stopped_) return;
-      if (self->concerned()) self->look();
-      if (!self->stopped_) self->wait();
+    events_.async_wait(net::posix::stream_descriptor::wait_read, [self = shared_from_this()](error_code ec) {
+      if (ec || self->stopped_) return;
+      if (self->read_events()) self->check_file();
+      if (!self->stopped_) self->wait_for_events();
     });
   }
-  // Takes what events there are; whether one may be the file's.
-  bool concerned() {
-    bool any = false;
+  // Reads all pending events; returns whether one may concern the file.
+  bool read_events() {
+    bool concerns_file = false;
     alignas(inotify_event) std::array<char, 16384> buffer;
     for (ssize_t n; (n = ::read(events_.native_handle(), buffer.data(), buffer.size())) > 0;) {
       for (ssize_t at = 0; at < n;) {
         const auto* e = reinterpret_cast<const inotify_event*>(buffer.data() + at);
-        any |= e->len == 0 || name_ == e->name;
+        concerns_file |= e->len == 0 || name_ == e->name;
         at += static_cast<ssize_t>(sizeof(inotify_event) + e->len);
       }
     }
-    return any;
+    return concerns_file;
   }
 
-  void look() {
+  void check_file() {
     struct stat s {};
-    const Identity is = ::stat(path_.c_str(), &s) == 0 ? Identity(s) : Identity();
-    if (seen_ == is && settled_) return;
+    const Identity identity = ::stat(path_.c_str(), &s) == 0 ? Identity(s) : Identity();
+    if (last_identity_ == identity && settled_) return;
     const std::int64_t now = std::chrono::duration_cast<std::chrono::nanoseconds>(
                                  std::chrono::system_clock::now().time_since_epoch())
                                  .count();
-    Text text = read_file(path_);
+    FileContent text = read_file(path_);
     settled_ = std::max(text.identity.modified, text.identity.changed) < now - kRecentNs;
-    const bool same = seen_ == text.identity;
-    seen_ = text.identity;
+    const bool unchanged = last_identity_ == text.identity;
+    last_identity_ = text.identity;
     if (text.problem.empty()) {
       PartnerList list = read_partners(text.bytes);
-      text.problem = list.trouble();
-      if (text.problem.empty() && !found_(std::move(list.endpoints))) {
-        text.problem = "can't be taken in now; tried again";
+      text.problem = list.error();
+      if (text.problem.empty() && !on_list_(std::move(list.endpoints))) {
+        text.problem = "can't be published now; will be tried again";
         settled_ = false;
       }
     }
-    std::string trouble =
-        text.problem.empty() ? "" : path_ + ": " + text.problem + " (the last good list stays)";
-    if (!trouble.empty() && !(same && trouble == trouble_)) log_("partners: " + trouble);
-    if (trouble.empty() && !trouble_.empty()) log_("partners: " + path_ + ": read again");
-    trouble_ = std::move(trouble);
+    std::string error =
+        text.problem.empty() ? "" : path_ + ": " + text.problem + " (the last valid list stays)";
+    if (!error.empty() && !(unchanged && error == error_)) log_("partners: " + error);
+    if (error.empty() && !error_.empty()) log_("partners: " + path_ + ": read successfully again");
+    error_ = std::move(error);
   }
 
   std::string path_, name_, folder_;
-  Found found_;
+  OnList on_list_;
   Log log_;
-  std::chrono::milliseconds every_;
+  std::chrono::milliseconds poll_interval_;
   net::posix::stream_descriptor events_;
   net::steady_timer timer_;
-  std::optional<Identity> seen_;
-  bool settled_ = false;  // its times tell the next change of it
+  std::optional<Identity> last_identity_;
+  bool settled_ = false;  // old enough that each further change shows in its timestamps
   bool stopped_ = false;
-  std::string trouble_;
+  std::string error_;
 };
 
-PartnerFile::PartnerFile(net::io_context& io, std::string path, Found found, Log log,
-                         std::chrono::milliseconds look)
-    : impl_(std::make_shared<Impl>(io, std::move(path), std::move(found), std::move(log), look)) {
+PartnerFile::PartnerFile(net::io_context& io, std::string path, OnList on_list, Log log,
+                         std::chrono::milliseconds check_file)
+    : impl_(std::make_shared<Impl>(io, std::move(path), std::move(on_list), std::move(log), check_file)) {
   impl_->start();
 }
 PartnerFile::~PartnerFile() { impl_->stop(); }
-const std::string& PartnerFile::trouble() const { return impl_->trouble(); }
+const std::string& PartnerFile::error() const { return impl_->error(); }
 
 }  // namespace heronvane::fleet
--- a/fleet/partner_file.hpp
+++ b/fleet/partner_file.hpp
@@ -1,4 +1,4 @@
-// The partner list's file, watched: each change of it is read, and told where it is a good list.
+// Watches the file of the partner list: reads it on each change and passes on each valid list.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,21 +14,22 @@
 
 class PartnerFile {
  public:
-  // Takes a good list; false where it can't now: it is told again at the next look.
-  using Found = std::function<bool(std::vector<Endpoint>)>;
+  // Receives each valid list. Returns false if it can't be used now; it is then passed again at the next
+  // poll.
+  using OnList = std::function<bool(std::vector<Endpoint>)>;
   using Log = std::function<void(const std::string&)>;
 
-  // Watches the file's folder, so that a file moved into its place is seen, and looks at the file itself each
-  // `look`, for folders whose changes are not told. The first look comes with the next turn of the loop. One
-  // that can't be read, or holds no good list, tells nothing: what was told before stays.
-  PartnerFile(boost::asio::io_context& io, std::string path, Found found, Log log,
-              std::chrono::milliseconds look = std::chrono::seconds(2));
+  // Watches the file's folder by inotify, so that a file renamed into place is seen, and polls the file every
+  // `poll_interval`, for file systems without inotify events. The first poll runs in the next turn of the
+  // event loop. A file that can't be read, or holds no valid list, is not passed on: the previous list stays.
+  PartnerFile(boost::asio::io_context& io, std::string path, OnList on_list, Log log,
+              std::chrono::milliseconds poll_interval = std::chrono::seconds(2));
   ~PartnerFile();
   PartnerFile(const PartnerFile&) = delete;
   PartnerFile& operator=(const PartnerFile&) = delete;
 
-  // Why the file as it is now is not what was told; "" where it is.
-  const std::string& trouble() const;
+  // Why the current content of the file was not passed on; "" if it was.
+  const std::string& error() const;
 
  private:
   class Impl;
--- a/fleet/platform_host.hpp
+++ b/fleet/platform_host.hpp
@@ -1,5 +1,5 @@
-// The platform that the fleet names: made, changed and ended as fleets are applied. What hinders it is tried
-// again and disturbs nothing else.
+// Runs the platform that the fleet file configures: starts, changes and stops it as fleets are applied.
+// Errors are retried and affect nothing else. Not thread-safe: all calls come from the thread that runs `io`.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -19,26 +19,28 @@
 
 class PlatformHost {
  public:
-  // `database` keeps its index; notices go to the file `finals`, which is made once a platform is wanted.
-  PlatformHost(boost::asio::io_context& io, Database& database, std::string finals);
+  // `database` stores the index of the list and must outlive this object. Notices are stored in the file
+  // `finals_file`, which is created when a fleet first configures a platform.
+  PlatformHost(boost::asio::io_context& io, Database& database, std::string finals_file);
 
-  void apply(const std::optional<PlatformPart>& part);
-  std::optional<PlatformView> view() const;  // nothing where the fleet names none
+  // Starts, changes or stops the platform; nullopt stops it.
+  void apply(const std::optional<PlatformSpec>& platform);
+  std::optional<PlatformView> view() const;  // empty if the fleet configures none
 
  private:
-  void stand();
-  void try_again();
+  void start();
+  void schedule_retry();
 
   boost::asio::io_context& io_;
   Database& database_;
   std::string finals_file_;
-  std::optional<PlatformPart> part_;
+  std::optional<PlatformSpec> platform_;
   std::unique_ptr<Finals> finals_;
-  std::string listens_;  // where the server was told to
+  std::string listen_;  // the listen address that the server was started with
   std::unique_ptr<PlatformServer> server_;
-  std::unique_ptr<PartnerFile> file_;
-  std::string trouble_;  // why it does not stand; told once
-  boost::asio::steady_timer again_;
+  std::unique_ptr<PartnerFile> partner_file_;
+  std::string error_;  // why the platform does not run; logged once
+  boost::asio::steady_timer retry_timer_;
 };
 
 }  // namespace heronvane::fleet
--- a/fleet/platform_server.hpp
+++ b/fleet/platform_server.hpp
@@ -1,11 +1,15 @@
-// The platform for relays on this machine: discovery's list and watch, and the notices that end messages,
-// over plain HTTP/1.1 on a loopback address.
+// The platform for relays on this machine, over plain HTTP/1.1 on a loopback address. It serves the endpoint
+// list for discovery and stores the notices that end messages.
 //
 //   GET /catalog/members                    the whole list
-//   GET /catalog/members?follow=1&since=N   a line for each change after N, an empty one each `beat`
-//   POST /v2/finals                         204 once the notices last; 400: none was stored; 503: later again
+//   GET /catalog/members?follow=1&since=N   a watch: one line for each change after index N, and an empty
+//   line
+//                                           at each heartbeat interval
+//   POST /v2/finals                         204: the notices are stored durably; 400: the request is
+//   malformed
+//                                           and none is stored; 503: send the request again later
 //
-// One thread: all calls come from the one that runs `io`.
+// Not thread-safe: all calls come from the thread that runs `io`.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -23,48 +27,51 @@
 namespace heronvane::fleet {
 
 struct PlatformOptions {
-  boost::asio::ip::tcp::endpoint listen;  // a loopback address; port 0 takes any
-  // The highest index that was told, as keep_index last got it. Where it is lost, Unix time in seconds is a
-  // good one: relays take a list with a lower index than they saw for an old one.
+  boost::asio::ip::tcp::endpoint listen;  // a loopback address; port 0: any free port
+  // The highest index published so far, as keep_index last stored it. If it is lost, Unix time in seconds is
+  // a safe value: relays ignore a list whose index is lower than one they have seen.
   std::int64_t index = 0;
-  std::size_t most_history = 4096;                        // changed entries that a watch can start from
-  std::size_t most_watchers = 1024;                       // past it: 503
-  std::size_t most_connections = 1536;                    // of all kinds; past it the longest silent one goes
-  std::size_t most_head = 64 << 10, most_body = 1 << 20;  // bytes of a request; past it: 431, 413
-  std::size_t most_bodies = 64 << 20;                     // bytes of all bodies under way; past it: 503
-  std::chrono::milliseconds beat{2000};
-  std::chrono::milliseconds request_time{10'000};  // from a request's first byte, or connecting, to its last
-  std::chrono::milliseconds idle_time{60'000};     // between requests
-  std::chrono::milliseconds write_time{6'000};  // of an answer, or a watch's line, until all of it is taken
+  std::size_t max_history = 4096;      // changed entries kept for watches that resume
+  std::size_t max_watchers = 1024;     // more get 503
+  std::size_t max_connections = 1536;  // of all kinds; beyond it the longest idle one is closed
+  std::size_t max_head_bytes = 64 << 10, max_body_bytes = 1 << 20;  // of one request; larger get 431, 413
+  std::size_t max_total_body_bytes = 64 << 20;  // of all bodies being read; beyond it: 503
+  std::chrono::milliseconds heartbeat_interval{2000};
+  std::chrono::milliseconds request_timeout{
+      10'000};  // from a request's first byte, or the accept, to its last byte
+  std::chrono::milliseconds idle_timeout{60'000};  // between requests
+  std::chrono::milliseconds write_timeout{6'000};  // of a response, or of one line of a watch
 };
 
 struct PlatformCallbacks {
-  // Keeps the index durably, before it is told to anyone; false: it can't, and the list is not taken in.
+  // Stores the index durably before the list with it is published. Returns false if that fails; the list is
+  // then not published.
   std::function<bool(std::int64_t)> keep_index = [](std::int64_t) { return true; };
   std::function<void(const std::string&)> log = [](const std::string&) {};
-  std::function<std::int64_t()> now_ms;  // Unix time; empty: the system's clock
+  std::function<std::int64_t()> now_ms;  // Unix time; empty: the system clock
 };
 
 struct PlatformStatus {
-  std::string listen;  // with the port that was taken
+  std::string listen;  // the address with the actual port
   std::int64_t index = 0;
   std::size_t endpoints = 0, watchers = 0, connections = 0;
   std::int64_t finals = 0;
-  std::string finals_trouble;  // of the last store; "" where it went well
+  std::string notices_error;  // of the last store; "" if it succeeded
 };
 
 class PlatformServer {
  public:
-  // Listens at once, and answers for the list with 503 until there is one. Throws std::runtime_error saying
-  // what to do where the address is none of loopback, or is taken. `finals` must outlast it.
+  // Starts to listen. Requests for the list get 503 until the first publish(). Throws std::runtime_error,
+  // with advice in its text, if the address is not a loopback address or can't be bound. `finals` must
+  // outlive the server.
   PlatformServer(boost::asio::io_context& io, Finals& finals, PlatformOptions options,
                  PlatformCallbacks callbacks);
-  ~PlatformServer();  // ends all connections
+  ~PlatformServer();  // closes all connections
   PlatformServer(const PlatformServer&) = delete;
   PlatformServer& operator=(const PlatformServer&) = delete;
 
-  // Tells this list from now on; false where keep_index failed: nothing is changed then. The list names no
-  // endpoint twice, as read_partners() gives it.
+  // Replaces the published list and sends the changes to all watches. Returns false, with nothing changed, if
+  // keep_index failed. Endpoint names must be unique, as read_partners() ensures.
   bool publish(std::vector<Endpoint> list);
 
   PlatformStatus status() const;
--- a/fleet/streams.cpp
+++ b/fleet/streams.cpp
@@ -11,16 +11,16 @@
 
 namespace {
 
-constexpr std::size_t kPiece = 64 << 10;
-constexpr std::uint64_t kMostBack = 4 << 20;  // that is searched for the last lines
-constexpr auto kLookGap = std::chrono::milliseconds(200);
+constexpr std::size_t kPieceBytes = 64 << 10;
+constexpr std::uint64_t kMaxSearchBytes = 4 << 20;  // bytes searched for the last lines
+constexpr auto kPollInterval = std::chrono::milliseconds(200);
 
 }  // namespace
 
 void LineStream::push(std::string line, bool last) {
   if (last_) return;
   line += '\n';
-  if (bytes_ + line.size() > most_) {
+  if (bytes_ + line.size() > max_bytes_) {
     lines_.clear();
     bytes_ = 0;
   }
@@ -44,55 +44,55 @@
 LogStream::LogStream(boost::asio::io_context& io, std::string file, std::size_t lines, bool follow)
     : file_(std::move(file)), follow_(follow), timer_(io) {
   if (!open()) return;
-  struct stat about {};
-  ::fstat(descriptor_, &about);
-  const auto size = static_cast<std::uint64_t>(about.st_size);
-  at_ = size;
-  std::size_t breaks = 0;
-  std::string piece(kPiece, '\0');
-  for (std::uint64_t end = size; end > 0 && size - end < kMostBack;) {
-    const auto take = static_cast<std::size_t>(std::min<std::uint64_t>(end, kPiece));
-    if (::pread(descriptor_, piece.data(), take, static_cast<off_t>(end - take)) !=
-        static_cast<ssize_t>(take))
+  struct stat file_info {};
+  ::fstat(fd_, &file_info);
+  const auto size = static_cast<std::uint64_t>(file_info.st_size);
+  offset_ = size;
+  std::size_t line_feeds = 0;
+  std::string piece(kPieceBytes, '\0');
+  for (std::uint64_t end = size; end > 0 && size - end < kMaxSearchBytes;) {
+    const auto size_to_read = static_cast<std::size_t>(std::min<std::uint64_t>(end, kPieceBytes));
+    if (::pread(fd_, piece.data(), size_to_read, static_cast<off_t>(end - size_to_read)) !=
+        static_cast<ssize_t>(size_to_read))
       break;
-    for (std::size_t i = take; i-- > 0;) {
-      // The break at the very end belongs to the last line.
-      if (piece[i] != '\n' || end - take + i + 1 == size) continue;
-      if (++breaks == lines) {
-        at_ = end - take + i + 1;
+    for (std::size_t i = size_to_read; i-- > 0;) {
+      // The line feed at the end of the file belongs to the last line.
+      if (piece[i] != '\n' || end - size_to_read + i + 1 == size) continue;
+      if (++line_feeds == lines) {
+        offset_ = end - size_to_read + i + 1;
         return;
       }
     }
-    end -= take;
-    at_ = lines > 0 ? end : size;
+    end -= size_to_read;
+    offset_ = lines > 0 ? end : size;
   }
 }
 
 LogStream::~LogStream() {
-  if (descriptor_ >= 0) ::close(descriptor_);
+  if (fd_ >= 0) ::close(fd_);
 }
 
 bool LogStream::open() {
-  if (descriptor_ < 0) descriptor_ = ::open(file_.c_str(), O_RDONLY | O_CLOEXEC | O_NOFOLLOW);
-  return descriptor_ >= 0;
+  if (fd_ < 0) fd_ = ::open(file_.c_str(), O_RDONLY | O_CLOEXEC | O_NOFOLLOW);
+  return fd_ >= 0;
 }
 
 ApiStream::Piece LogStream::next() {
   if (!open()) return {"", !follow_};
-  struct stat about {};
-  if (::fstat(descriptor_, &about) == 0 && static_cast<std::uint64_t>(about.st_size) < at_) at_ = 0;
-  std::string bytes(kPiece, '\0');
-  const ssize_t n = ::pread(descriptor_, bytes.data(), bytes.size(), static_cast<off_t>(at_));
+  struct stat file_info {};
+  if (::fstat(fd_, &file_info) == 0 && static_cast<std::uint64_t>(file_info.st_size) < offset_) offset_ = 0;
+  std::string bytes(kPieceBytes, '\0');
+  const ssize_t n = ::pread(fd_, bytes.data(), bytes.size(), static_cast<off_t>(offset_));
   bytes.resize(n > 0 ? static_cast<std::size_t>(n) : 0);
-  at_ += bytes.size();
+  offset_ += bytes.size();
   const bool last = bytes.empty() && !follow_;
   return {std::move(bytes), last};
 }
 
-void LogStream::when_more(std::function<void()> wake) {
-  timer_.expires_after(kLookGap);
-  timer_.async_wait([wake = std::move(wake)](boost::system::error_code bad) {
-    if (!bad) wake();
+void LogStream::notify_when_ready(std::function<void()> wake) {
+  timer_.expires_after(kPollInterval);
+  timer_.async_wait([wake = std::move(wake)](boost::system::error_code ec) {
+    if (!ec) wake();
   });
 }
 
--- a/fleet/streams.hpp
+++ b/fleet/streams.hpp
@@ -1,4 +1,4 @@
-// What API requests follow: an operation's changes, a log's lines.
+// Streams that API clients follow: the changes of an operation, the lines of a log.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -12,24 +12,24 @@
 
 namespace heronvane::fleet {
 
-// Lines that are pushed. A reader that is behind by more than `most` bytes misses all but the newest: each
-// line tells the whole.
+// A queue of pushed lines. If more than `max_bytes` are unread, all lines but the newest are dropped: each
+// line holds the whole state.
 class LineStream : public ApiStream {
  public:
-  explicit LineStream(std::size_t most = 1 << 20) : most_(most) {}
+  explicit LineStream(std::size_t max_bytes = 1 << 20) : max_bytes_(max_bytes) {}
   void push(std::string line, bool last);
   Piece next() override;
-  void when_more(std::function<void()> wake) override { wake_ = std::move(wake); }
+  void notify_when_ready(std::function<void()> wake) override { wake_ = std::move(wake); }
 
  private:
-  std::size_t most_, bytes_ = 0;
+  std::size_t max_bytes_, bytes_ = 0;
   std::deque<std::string> lines_;
   bool last_ = false;
   std::function<void()> wake_;
 };
 
-// A file's last lines, and what is appended to it. A file that was cut goes on from its start; one that is
-// not there is empty.
+// The last lines of a file and, if followed, what is appended to it. After a truncation, reading goes on from
+// the start of the file. A missing file counts as empty.
 class LogStream : public ApiStream {
  public:
   LogStream(boost::asio::io_context& io, std::string file, std::size_t lines, bool follow);
@@ -37,14 +37,14 @@
   LogStream(const LogStream&) = delete;
   LogStream& operator=(const LogStream&) = delete;
   Piece next() override;
-  void when_more(std::function<void()> wake) override;
+  void notify_when_ready(std::function<void()> wake) override;
 
  private:
   bool open();
   std::string file_;
   bool follow_;
-  int descriptor_ = -1;
-  std::uint64_t at_ = 0;
+  int fd_ = -1;
+  std::uint64_t offset_ = 0;
   boost::asio::steady_timer timer_;
 };
 
--- a/tests/fleet/api_server_test.cpp
+++ b/tests/fleet/api_server_test.cpp
@@ -90,7 +90,7 @@
 
 TEST_F(ApiServerTest, LimitsAreKept) {
   ApiLimits limits;
-  limits.time = std::chrono::milliseconds(300);
+  limits.io_timeout = std::chrono::milliseconds(300);
   start(limits);
   EXPECT_EQ(raw("POST /v1/operations HTTP/1.1\r\nHost: a\r\nContent-Length: 1048577\r\n\r\n").status, 413u);
   EXPECT_EQ(raw("GET /v1/agent HTTP/1.1\r\nX: " + std::string(17'000, 'x') + "\r\n\r\n").status, 413u);
@@ -122,7 +122,7 @@
 // One that follows and does not read is dropped; what is kept for it is bounded meanwhile.
 TEST_F(ApiServerTest, ASlowReaderIsDropped) {
   ApiLimits limits;
-  limits.time = std::chrono::milliseconds(300);
+  limits.io_timeout = std::chrono::milliseconds(300);
   start(limits);
   const std::string apply =
       R"({"kind":"apply","fleet":{"discovery":"127.0.0.1:1","instances":[{"name":"n0","listen":"127.0.0.1:8081"}]}})";
--- a/tests/fleet/catalog_test.cpp
+++ b/tests/fleet/catalog_test.cpp
@@ -51,9 +51,9 @@
 
 TEST(Catalog, CountsAndTellsWhatChanged) {
   Catalog c;
-  EXPECT_FALSE(c.told());
+  EXPECT_FALSE(c.published());
   publish(c, {endpoint("a"), endpoint("b"), endpoint("c")});
-  EXPECT_TRUE(c.told());
+  EXPECT_TRUE(c.published());
   const auto first = c.index();
   auto changed = endpoint("b");
   changed.weight = 0.5;
@@ -61,16 +61,16 @@
   EXPECT_EQ(u.added, 1u);
   EXPECT_EQ(u.changed, 2u);
   EXPECT_EQ(u.draining, 1u);
-  EXPECT_EQ(u.gone, 1u);
+  EXPECT_EQ(u.removed, 1u);
   EXPECT_EQ(u.index, first + 1);
   c.apply(u);
   Follower f;
-  f.take(c.since(first));
+  f.take(c.changes_since(first));
   EXPECT_EQ(f.entries, 4u);
-  EXPECT_NE(
-      c.since(first).find(R"("name":"c","address":"127.0.0.1:8081","zone":"a","type":"small","group":7,)"
-                          R"("status":"gone")"),
-      std::string::npos);
+  EXPECT_NE(c.changes_since(first).find(
+                R"("name":"c","address":"127.0.0.1:8081","zone":"a","type":"small","group":7,)"
+                R"("status":"gone")"),
+            std::string::npos);
 }
 
 TEST(Catalog, TheSameListChangesNothing) {
@@ -79,7 +79,7 @@
   EXPECT_EQ(c.index(), 42);
   publish(c, {});
   EXPECT_EQ(c.index(), 42);
-  EXPECT_EQ(c.since(42), "{\"index\":42,\"snapshot\":false,\"endpoints\":[]}\n");
+  EXPECT_EQ(c.changes_since(42), "{\"index\":42,\"snapshot\":false,\"endpoints\":[]}\n");
 }
 
 // The list may have changed while nobody watched its file: the index that was kept says nothing of this list.
@@ -87,11 +87,11 @@
   Catalog before;
   publish(before, {endpoint("a"), endpoint("b")});
   Follower f;
-  f.take(before.whole());
+  f.take(before.snapshot());
   Catalog after(before.index());
   publish(after, {endpoint("a")});
   EXPECT_GT(after.index(), f.index);
-  f.take(after.since(f.index));
+  f.take(after.changes_since(f.index));
   EXPECT_EQ(f.list.size(), 1u);
 }
 
@@ -99,8 +99,8 @@
 TEST(Catalog, AnIndexThatWasNeverToldGetsTheWholeList) {
   Catalog c;
   publish(c, {endpoint("a")});
-  EXPECT_EQ(c.since(c.index() + 1), c.whole());
-  EXPECT_EQ(c.since(-1), c.whole());
+  EXPECT_EQ(c.changes_since(c.index() + 1), c.snapshot());
+  EXPECT_EQ(c.changes_since(-1), c.snapshot());
 }
 
 TEST(Catalog, HistoryIsBounded) {
@@ -108,14 +108,14 @@
   publish(c, {});
   const auto first = c.index();
   for (int i = 0; i < 11; i++) publish(c, {endpoint("a" + std::to_string(i))});
-  EXPECT_FALSE(c.reaches(first));
-  EXPECT_EQ(c.since(first), c.whole());
-  EXPECT_TRUE(c.reaches(c.index() - 1));
+  EXPECT_FALSE(c.has_history_since(first));
+  EXPECT_EQ(c.changes_since(first), c.snapshot());
+  EXPECT_TRUE(c.has_history_since(c.index() - 1));
   std::vector<Endpoint> large;
   for (int i = 0; i < 20; i++) large.push_back(endpoint("b" + std::to_string(i)));
   publish(c, large);
-  EXPECT_FALSE(c.reaches(c.index() - 1));  // it would hold more than is kept
-  EXPECT_TRUE(c.reaches(c.index()));
+  EXPECT_FALSE(c.has_history_since(c.index() - 1));  // it would hold more than is kept
+  EXPECT_TRUE(c.has_history_since(c.index()));
 }
 
 // Random lists: followers that stop at any index, and go on later, end with the list that holds.
@@ -140,28 +140,28 @@
         list.push_back(e);
       }
       std::shuffle(list.begin(), list.end(), random);
-      const bool fresh = !c.told();
+      const bool fresh = !c.published();
       const auto u = c.compare(list);
       EXPECT_EQ(u.index > c.index(), fresh || !u.changes.empty());
       c.apply(u);
       EXPECT_GE(c.index(), last);
       last = c.index();
       Follower now;
-      now.take(c.whole());
+      now.take(c.snapshot());
       EXPECT_EQ(now.list.size(), list.size());
       for (const auto& e : list) EXPECT_EQ(now.list[e.name], e);
       const Follower stays = followers[upto(static_cast<unsigned>(followers.size()) - 1)];
       for (auto& f : followers) {
         if (upto(2) == 0) continue;
-        f.take(c.since(f.index));
+        f.take(c.changes_since(f.index));
         EXPECT_EQ(f, now);
       }
       followers.push_back(stays);
     }
     Follower now;
-    now.take(c.whole());
+    now.take(c.snapshot());
     for (auto& f : followers) {
-      f.take(c.since(f.index));
+      f.take(c.changes_since(f.index));
       EXPECT_EQ(f, now);
     }
   }
@@ -173,8 +173,8 @@
   auto odd = endpoint("quote\" \xc3\xa9");
   odd.weight = 0.1;
   publish(c, {odd, endpoint("b", Status::draining)});
-  const auto list = read_partners(c.whole());
-  EXPECT_EQ(list.trouble(), "");
+  const auto list = read_partners(c.snapshot());
+  EXPECT_EQ(list.error(), "");
   EXPECT_TRUE(c.compare(list.endpoints).changes.empty());
 }
 
--- a/tests/fleet/finals_test.cpp
+++ b/tests/fleet/finals_test.cpp
@@ -66,7 +66,7 @@
 
 TEST_F(FinalsTest, TheOldestGoByAgeAndNumber) {
   Finals::Options options;
-  options.keep_ms = 1000, options.most = 10;
+  options.keep_ms = 1000, options.max_notices = 10;
   Finals finals(path, options);
   finals.store(some(0, 4), 1000);
   finals.store(some(4, 8), 1500);
@@ -84,7 +84,7 @@
 TEST_F(FinalsTest, ALowerNumberIsReachedInSteps) {
   { Finals(path).store(some(0, 3000), 1000); }
   Finals::Options options;
-  options.most = 5;
+  options.max_notices = 5;
   Finals finals(path, options);
   EXPECT_EQ(finals.store(some(3000, 3001), 1000), Stored::yes);
   EXPECT_EQ(finals.count(), 2000);
@@ -97,14 +97,14 @@
 TEST_F(FinalsTest, AFullDiskStoresNothingOfARequest) {
   Finals finals(path);
   finals.store(some(0, 1), 1000);
-  finals.limit_bytes(64 * 1024);
+  finals.set_max_bytes(64 * 1024);
   EXPECT_EQ(finals.store(some(1, 5000), 1000), Stored::full);
-  EXPECT_NE(finals.trouble(), "");
+  EXPECT_NE(finals.error(), "");
   EXPECT_EQ(finals.count(), 1);
   EXPECT_FALSE(finals.find("m1"));
-  finals.limit_bytes(0);
+  finals.set_max_bytes(0);
   EXPECT_EQ(finals.store(some(1, 5000), 1000), Stored::yes);
-  EXPECT_EQ(finals.trouble(), "");
+  EXPECT_EQ(finals.error(), "");
   EXPECT_EQ(finals.count(), 5000);
 }
 
--- a/tests/fleet/fleet_file_test.cpp
+++ b/tests/fleet/fleet_file_test.cpp
@@ -63,7 +63,7 @@
       std::string::npos);
   EXPECT_NE(trouble(R"({"discovery":"127.0.0.1:8500","instances":[{"name":"n0","listen":"127.0.0.1:8081",
                     "copies":"127.0.0.1:9401"}]})")
-                .find("without fleet.copies"),
+                .find("requires fleet.copies"),
             std::string::npos);
 }
 
@@ -91,21 +91,21 @@
       {"{", "JSON: "},
       {"{" + kTwo + "}", "fleet: without platform"},
       {d + R"("instances":5})", "fleet.instances: must be an array"},
-      {d + R"("instnaces":[]})", "fleet.instnaces: is no field"},
+      {d + R"("instnaces":[]})", "fleet.instnaces: is not a field"},
       {d + R"("instances":[{"name":"N","listen":"127.0.0.1:1"}]})", "fleet.instances[0].name: must be"},
       {d + R"("instances":[{"name":"../x","listen":"127.0.0.1:1"}]})", "fleet.instances[0].name: must be"},
       {d + R"("instances":[{"name":"n","listen":"localhost"}]})", "fleet.instances[0].listen"},
       {d + R"("instances":[{"name":"n","listen":"127.0.0.1:1"},{"name":"n","listen":"127.0.0.1:2"}]})",
-       "is there already"},
+       "is already used by another instance"},
       {d + R"("instances":[{"name":"n","listen":"127.0.0.1:1"},{"name":"m","listen":"127.0.0.1:1"}]})",
        "is n's already"},
       {d + R"("max_unavailable":0,)" + kTwo + "}", "fleet.max_unavailable: "},
       {d + R"("limits":{"sockets":3},)" + kTwo + "}", "fleet.limits.sockets: must be 64 or more"},
-      {d + R"("limits":{"disk":3},)" + kTwo + "}", "fleet.limits.disk: is no field"},
+      {d + R"("limits":{"disk":3},)" + kTwo + "}", "fleet.limits.disk: is not a field"},
       {d + R"("settings":{"Classes":5},)" + kTwo + "}", "fleet.settings.Classes: must be an array"},
       {d + R"("store":{"durability":"disk"},)" + kTwo + "}", "store.durability: must be"},
       {d + R"("store":{"durability":"process\"\n[admin]"},)" + kTwo + "}", "store.durability: must be"},
-      {d + R"("store":{"a\nb":1},)" + kTwo + "}", "is no setting"},
+      {d + R"("store":{"a\nb":1},)" + kTwo + "}", "is not a setting"},
       {d + R"("platform":{"listen":"127.0.0.1:8500"},)" + kTwo + "}", "either partners or partners_file"},
       {d + R"("platform":{"listen":"127.0.0.1:8500","partners_file":"x"},)" + kTwo + "}",
        "must be an absolute path"},
--- a/tests/fleet/partners_test.cpp
+++ b/tests/fleet/partners_test.cpp
@@ -17,7 +17,7 @@
 TEST(Partners, AreRead) {
   const auto list = read_partners(
       of(kGood + ",\n" + R"({"name":"s-2","address":"::1:80","group":-3,"zone":null,"weight":2})"));
-  ASSERT_EQ(list.trouble(), "");
+  ASSERT_EQ(list.error(), "");
   ASSERT_EQ(list.endpoints.size(), 2u);
   EXPECT_EQ(list.endpoints[0],
             (Endpoint{"s-1", "127.0.0.1:8081", "a", "small", 7, Status::draining, 0.1, 1700000000000}));
@@ -43,21 +43,21 @@
               address + "\"}");
   };
   const std::vector<Case> cases = {
-      {"", 1, "", "no JSON"},
-      {"[]", 1, "", "no object"},
-      {"5", 1, "", "no object"},
+      {"", 1, "", "not JSON"},
+      {"[]", 1, "", "not an object"},
+      {"5", 1, "", "not an object"},
       {"{}", 1, "endpoints", "missing"},
-      {"{\n\"endpoint\":[]}", 2, "'endpoint'", "no field"},
+      {"{\n\"endpoint\":[]}", 2, "'endpoint'", "not a field"},
       {"{\"endpoints\":\n{}}", 2, "endpoints", "neither"},
       {"{\"endpoints\":[],\"endpoints\":[]}", 1, "endpoints", "twice"},
-      {"{\"endpoints\":[5]}", 1, "endpoints", "no object"},
-      {"{\"endpoints\":[[]]}", 1, "endpoints", "no object"},
-      {of(kGood + "\n" + kGood), 3, "", "no JSON"},
-      {of(kGood + ","), 3, "", "no JSON"},
-      {of(kGood).substr(0, 60), 2, "", "no JSON"},
-      {of(kGood) + "x", 4, "", "no JSON"},
+      {"{\"endpoints\":[5]}", 1, "endpoints", "not an object"},
+      {"{\"endpoints\":[[]]}", 1, "endpoints", "not an object"},
+      {of(kGood + "\n" + kGood), 3, "", "not JSON"},
+      {of(kGood + ","), 3, "", "not JSON"},
+      {of(kGood).substr(0, 60), 2, "", "not JSON"},
+      {of(kGood) + "x", 4, "", "not JSON"},
       {of(kGood) + std::string(1, '\0'), 4, "", "byte 0"},
-      {of("{\"name\":\"\xff\"}"), 2, "", "no JSON"},
+      {of("{\"name\":\"\xff\"}"), 2, "", "not JSON"},
       {of(kGood + ",\n" + kGood), 3, "endpoints[1].name", "line 2"},
       {of(R"({"name":"","address":"127.0.0.1:1","group":1})"), 2, "endpoints[0].name", "empty"},
       {of(R"({"address":"127.0.0.1:1","group":1})"), 2, "endpoints[0].name", "missing"},
@@ -66,30 +66,31 @@
       {of(R"({"name":"a\u0001","address":"127.0.0.1:1","group":1})"), 2, "endpoints[0].name", "control"},
       {at("s-1.svc:80"), 3, "endpoints[0].address", "numeric"},
       {at("127.0.0.1"), 3, "endpoints[0].address", "no port"},
-      {at("127.0.0.1:"), 3, "endpoints[0].address", "no port"},
-      {at("127.0.0.1:0"), 3, "endpoints[0].address", "no port"},
-      {at("127.0.0.1:65536"), 3, "endpoints[0].address", "no port"},
-      {at("127.0.0.1:+1"), 3, "endpoints[0].address", "no port"},
+      {at("127.0.0.1:"), 3, "endpoints[0].address", "not end in a port"},
+      {at("127.0.0.1:0"), 3, "endpoints[0].address", "not end in a port"},
+      {at("127.0.0.1:65536"), 3, "endpoints[0].address", "not end in a port"},
+      {at("127.0.0.1:+1"), 3, "endpoints[0].address", "not end in a port"},
       {at("[::1]:80"), 3, "endpoints[0].address", "numeric"},  // relays can't read it
       {at("0.0.0.0:80"), 3, "endpoints[0].address", "numeric"},
       {entry(",\n\"group\":1"), 4, "endpoints[1].group", "twice"},
-      {entry(",\n\"wieght\":1"), 4, "endpoints[1].'wieght'", "no field"},
-      {entry(",\n\"wieght\":{}"), 4, "endpoints[1].'wieght'", "no field"},
-      {entry(",\"status\":\"gone\""), 3, "endpoints[1].status", "no status"},
-      {entry(",\"status\":1"), 3, "endpoints[1].status", "no text"},
-      {entry(",\"zone\":true"), 3, "endpoints[1].zone", "no text"},
-      {entry(",\"type\":[]"), 3, "endpoints[1].type", "no text"},
+      {entry(",\n\"wieght\":1"), 4, "endpoints[1].'wieght'", "not a field"},
+      {entry(",\n\"wieght\":{}"), 4, "endpoints[1].'wieght'", "not a field"},
+      {entry(",\"status\":\"gone\""), 3, "endpoints[1].status", "not a status"},
+      {entry(",\"status\":1"), 3, "endpoints[1].status", "not a string"},
+      {entry(",\"zone\":true"), 3, "endpoints[1].zone", "not a string"},
+      {entry(",\"type\":[]"), 3, "endpoints[1].type", "not a string"},
       {entry(",\"zone\":\"" + std::string(300, 'z') + "\""), 3, "endpoints[1].zone", "longer"},
-      {entry(",\"weight\":\"1\""), 3, "endpoints[1].weight", "no number"},
+      {entry(",\"weight\":\"1\""), 3, "endpoints[1].weight", "not a number"},
       {entry(",\"weight\":-1"), 3, "endpoints[1].weight", "range"},
       {entry(",\"weight\":1e300"), 3, "endpoints[1].weight", "range"},
       {entry(",\"weight\":18446744073709551615"), 3, "endpoints[1].weight", "range"},
       {entry(",\"since_ms\":-1"), 3, "endpoints[1].since_ms", "range"},
-      {entry(",\"since_ms\":1.5"), 3, "endpoints[1].since_ms", "no whole number"},
-      {of(R"({"name":"a","address":"127.0.0.1:1","group":1.0})"), 2, "endpoints[0].group", "no whole number"},
+      {entry(",\"since_ms\":1.5"), 3, "endpoints[1].since_ms", "not a whole number"},
+      {of(R"({"name":"a","address":"127.0.0.1:1","group":1.0})"), 2, "endpoints[0].group",
+       "not a whole number"},
       {of(R"({"name":"a","address":"127.0.0.1:1","group":99999999999999999999})"), 2, "endpoints[0].group",
-       "no whole number"},
-      {std::string(1'000'000, '['), 1, "", "no object"},
+       "not a whole number"},
+      {std::string(1'000'000, '['), 1, "", "not an object"},
   };
   for (const auto& c : cases) {
     SCOPED_TRACE(c.text.substr(0, 200));
@@ -125,12 +126,11 @@
     entries += (i > 0 ? "," : "") + (R"({"name":"s-)" + std::to_string(i)) +
                R"(","address":"127.0.0.1:8081","group":7})";
   };
-  for (std::size_t i = 0; i < kMostPartners; i++) add(i);
-  EXPECT_EQ(read_partners(of(entries)).endpoints.size(), kMostPartners);
-  add(kMostPartners);
-  EXPECT_NE(read_partners(of(entries)).trouble().find("more than 100000"), std::string::npos);
-  EXPECT_NE(read_partners(std::string(kMostPartnersBytes + 1, ' ')).trouble().find("bytes"),
-            std::string::npos);
+  for (std::size_t i = 0; i < kMaxPartners; i++) add(i);
+  EXPECT_EQ(read_partners(of(entries)).endpoints.size(), kMaxPartners);
+  add(kMaxPartners);
+  EXPECT_NE(read_partners(of(entries)).error().find("more than 100000"), std::string::npos);
+  EXPECT_NE(read_partners(std::string(kMaxPartnersBytes + 1, ' ')).error().find("bytes"), std::string::npos);
 }
 
 // Spoilt in any way, a list is read or refused; what is refused gives no endpoints.
--- a/tests/fleet/platform_test.cpp
+++ b/tests/fleet/platform_test.cpp
@@ -81,11 +81,11 @@
   start_all();
   Server& first = used();
   own.replace(both(&first).substr(0, 150));
-  wait_for([&] { return own.file->trouble() != ""; }, "it is told");
+  wait_for([&] { return own.file->error() != ""; }, "it is told");
   std::filesystem::remove(own.path());
-  wait_for([&] { return own.file->trouble().find("No such file") != std::string::npos; }, "it is gone");
+  wait_for([&] { return own.file->error().find("No such file") != std::string::npos; }, "it is gone");
   own.replace("{\"endpoints\":[" + partner("s-1", "nowhere", "ready") + "]}");
-  wait_for([&] { return own.file->trouble().find("nowhere") != std::string::npos; }, "it is told");
+  wait_for([&] { return own.file->error().find("nowhere") != std::string::npos; }, "it is told");
   live(milliseconds(1000));
   EXPECT_EQ(&used(), &first);
   EXPECT_EQ(health(), 200u);
@@ -132,7 +132,7 @@
   // The pages that the file has take some notices yet.
   std::vector<fleet::Notice> filling;
   for (int i = 0; i < 100; i++) filling.push_back({"filling" + std::to_string(i), {}, {}});
-  own.finals->limit_bytes(64 * 1024);
+  own.finals->set_max_bytes(64 * 1024);
   for (int n = 0; own.finals->store(filling, 1) == fleet::Finals::Stored::yes; n++)
     for (auto& f : filling) f.id = "filling" + std::to_string(n) + "-" + f.id.substr(0, 200);
   for (auto one_more = filling.begin(); one_more != filling.end(); ++one_more)
@@ -146,8 +146,8 @@
   EXPECT_EQ(hand_in_next(kUnsafe), 202u);
   wait_for([&] { return logged().find("notices: answered 503") != std::string::npos; }, "it is refused");
   EXPECT_EQ(own.finals->count(), before);
-  EXPECT_NE(own.server->status().finals_trouble, "");
-  own.finals->limit_bytes(0);
+  EXPECT_NE(own.server->status().notices_error, "");
+  own.finals->set_max_bytes(0);
   wait_for([&] { return own.finals->find("n0").has_value(); }, "the notice is stored");
   EXPECT_EQ(own.finals->find("n0")->repeats, 0);
 }
--- a/tests/fleet/server_test.cpp
+++ b/tests/fleet/server_test.cpp
@@ -80,7 +80,7 @@
       fleet::PlatformServer server(io, finals, own.options, own.callbacks);
       FAIL() << "it listens";
     } catch (const std::runtime_error& e) {
-      EXPECT_NE(std::string(e.what()).find("no loopback address"), std::string::npos) << e.what();
+      EXPECT_NE(std::string(e.what()).find("not a loopback address"), std::string::npos) << e.what();
     }
   }
   own.options.listen = {net::ip::make_address(own_address()), 0};
@@ -111,7 +111,7 @@
 }
 
 TEST_F(ServerTest, AnEmptyLineComesWhileNothingChanges) {
-  own.options.beat = milliseconds(20);
+  own.options.heartbeat_interval = milliseconds(20);
   start();
   const auto w = watch();
   wait_for([&] { return w->count("\r\n1\r\n\n\r\n") >= 1 && w->count("1\r\n\n\r\n") >= 3; }, "empty lines");
@@ -185,25 +185,25 @@
 // The reason that the disk gives stays with the relay, which sends it again.
 TEST_F(ServerTest, AFullDiskIsToldAndLivedThrough) {
   start();
-  own.finals->limit_bytes(4096);
+  own.finals->set_max_bytes(4096);
   const std::string many = [] {
     std::string all;
     for (int i = 0; i < 2000; i++) all += notice("m" + std::to_string(i)) + "\n";
     return all;
   }();
   EXPECT_EQ(ask(post(many))->status(), 503u);
-  EXPECT_NE(own.server->status().finals_trouble, "");
+  EXPECT_NE(own.server->status().notices_error, "");
   EXPECT_EQ(own.finals->count(), 0);
-  own.finals->limit_bytes(0);
+  own.finals->set_max_bytes(0);
   EXPECT_EQ(ask(post(many))->status(), 204u);
   EXPECT_EQ(own.finals->count(), 2000);
-  EXPECT_EQ(own.server->status().finals_trouble, "");
+  EXPECT_EQ(own.server->status().notices_error, "");
 }
 
 // One request that finds no room does not cost those that came with it.
 TEST_F(ServerTest, OneThatFindsNoRoomHarmsNoOther) {
   start();
-  own.finals->limit_bytes(200 * 1024);
+  own.finals->set_max_bytes(200 * 1024);
   std::string many;
   for (int i = 0; i < 12'000; i++) many += notice("m" + std::to_string(i)) + "\n";
   // Their last bytes come in one turn of the loop, so that they share a transaction.
@@ -247,7 +247,7 @@
 }
 
 TEST_F(ServerTest, HalfRequestsAndSilentConnectionsEnd) {
-  own.options.request_time = own.options.idle_time = milliseconds(1000);
+  own.options.request_timeout = own.options.idle_timeout = milliseconds(1000);
   start();
   const auto silent = connect(), head = send("POST /v2/finals HT"),
              body = send("POST /v2/finals HTTP/1.1\r\nContent-Length: 100\r\n\r\nhalf"),
@@ -275,8 +275,8 @@
 
 // A watch outlasts all limits on requests.
 TEST_F(ServerTest, AWatchIsNotEndedByRequestTimes) {
-  own.options.request_time = own.options.idle_time = own.options.write_time = milliseconds(500);
-  own.options.beat = milliseconds(30);
+  own.options.request_timeout = own.options.idle_timeout = own.options.write_timeout = milliseconds(500);
+  own.options.heartbeat_interval = milliseconds(30);
   start();
   const auto w = watch();
   wait_for([&] { return w->ended || w->count("1\r\n\n\r\n") > 40; }, "many beats");
@@ -284,7 +284,7 @@
 }
 
 TEST_F(ServerTest, SlowReadersAreDropped) {
-  own.options.write_time = milliseconds(3000);
+  own.options.write_timeout = milliseconds(3000);
   start();
   std::vector<fleet::Endpoint> large;
   for (int i = 0; i < 50'000; i++) large.push_back(one("s-" + std::to_string(i)));
@@ -373,7 +373,7 @@
 
 // The longest silent makes room; requests that are whole are served whatever number of halves stands.
 TEST_F(ServerTest, HalfRequestsInNumbersDoNotStallOthers) {
-  own.options.most_connections = 100;
+  own.options.max_connections = 100;
   start();
   const auto w = watch();
   for (int i = 0; i < 500; i++) {
@@ -386,7 +386,7 @@
 }
 
 TEST_F(ServerTest, BodiesUnderWayAreBounded) {
-  own.options.most_bodies = 3 << 20;
+  own.options.max_total_body_bytes = 3 << 20;
   start();
   for (int i = 0; i < 3; i++) send("POST /v2/finals HTTP/1.1\r\nContent-Length: 1048576\r\n\r\nhalf");
   wait_for([&] { return ask(post(notice("a")))->status() == 503; }, "no room");
@@ -471,22 +471,22 @@
   own.write(kTwo);
   wait_for([&] { return endpoints(2); }, "one written over");
   std::filesystem::remove(own.path());
-  wait_for([&] { return own.file->trouble() != ""; }, "it is missed");
+  wait_for([&] { return own.file->error() != ""; }, "it is missed");
   EXPECT_TRUE(endpoints(2));
   own.write(kOne);
   wait_for([&] { return endpoints(1); }, "one made anew");
-  EXPECT_EQ(own.file->trouble(), "");
+  EXPECT_EQ(own.file->error(), "");
 }
 
 // Looks find what no folder tells: here the folder itself is made anew.
 TEST_F(FileTest, IsLookedAtWhereNothingIsTold) {
   own.start();
   own.watch_file(milliseconds(20));
-  wait_for([&] { return own.file->trouble() != ""; }, "it is missed");
+  wait_for([&] { return own.file->error() != ""; }, "it is missed");
   own.write(kTwo);
   wait_for([&] { return endpoints(2); }, "the first list");
   std::filesystem::remove_all(folder + "/partners");
-  wait_for([&] { return own.file->trouble() != ""; }, "it is missed again");
+  wait_for([&] { return own.file->error() != ""; }, "it is missed again");
   own.write(kOne);
   wait_for([&] { return endpoints(1); }, "the list of a new folder");
 }
@@ -498,9 +498,9 @@
   wait_for([&] { return endpoints(2); }, "the list");
   const auto index = own.kept_index;
   own.replace("{\"endpoints\":[\n{\"name\":5}]}");
-  wait_for([&] { return own.file->trouble() != ""; }, "it is told");
-  EXPECT_NE(own.file->trouble().find("line 2: endpoints[0].name is no text"), std::string::npos)
-      << own.file->trouble();
+  wait_for([&] { return own.file->error() != ""; }, "it is told");
+  EXPECT_NE(own.file->error().find("line 2: endpoints[0].name is not a string"), std::string::npos)
+      << own.file->error();
   std::size_t looks = 0;
   net::steady_timer timer(io);
   std::function<void()> tick = [&] {
@@ -514,8 +514,8 @@
   timer.cancel();
   const auto lines = [&] {
     std::size_t n = 0;
-    for (auto at = own.log.find("is no text"); at != std::string::npos;
-         at = own.log.find("is no text", at + 1))
+    for (auto at = own.log.find("is not a string"); at != std::string::npos;
+         at = own.log.find("is not a string", at + 1))
       n++;
     return n;
   };
@@ -525,7 +525,7 @@
   own.replace("{\"endpoints\":[\n{\"name\":5}]}");
   wait_for([&] { return lines() == 2; }, "the next change is told");
   own.replace(kTwo);
-  wait_for([&] { return own.file->trouble().empty(); }, "it is good again");
+  wait_for([&] { return own.file->error().empty(); }, "it is good again");
   EXPECT_EQ(own.kept_index, index);
   for (const auto& c : clients) c->close();
 }
@@ -535,10 +535,12 @@
   own.start();
   std::filesystem::create_directories(own.path());
   own.watch_file();
-  wait_for([&] { return own.file->trouble().find("no file") != std::string::npos; }, "a folder is told");
+  wait_for([&] { return own.file->error().find("not a regular file") != std::string::npos; },
+           "a folder is told");
   std::filesystem::remove(own.path());
   ASSERT_EQ(::mkfifo(own.path().c_str(), 0600), 0);
-  wait_for([&] { return own.file->trouble().find("no file") != std::string::npos; }, "a pipe is told");
+  wait_for([&] { return own.file->error().find("not a regular file") != std::string::npos; },
+           "a pipe is told");
   own.replace(kOne);
   wait_for([&] { return endpoints(1); }, "the list");
 }
@@ -548,7 +550,8 @@
   own.can_keep = false;
   own.write(kTwo);
   own.watch_file(milliseconds(10));
-  wait_for([&] { return own.file->trouble().find("can't be taken in") != std::string::npos; }, "it is told");
+  wait_for([&] { return own.file->error().find("can't be published now") != std::string::npos; },
+           "it is told");
   own.can_keep = true;
   wait_for([&] { return endpoints(2); }, "the list");
 }
