--- a/fleet/admin_client.cpp
+++ b/fleet/admin_client.cpp
@@ -20,6 +20,7 @@
 
 namespace {
 
+// One request to a relay's admin socket. The handlers of its pending operations keep it alive.
 class AdminCall : public std::enable_shared_from_this<AdminCall> {
  public:
   AdminCall(net::io_context& io, AdminRequest request, std::function<void(AdminAnswer)> done)
--- a/fleet/api_server.cpp
+++ b/fleet/api_server.cpp
@@ -102,7 +102,7 @@
         if (ec) return;
         char name[128] = "";
         X509* const certificate = SSL_get_peer_certificate(self->stream_.native_handle());
-        if (certificate == nullptr) return;  // should not happen: the context requires a certificate
+        if (certificate == nullptr) return;  // the context requires one, so this is not expected
         X509_NAME_get_text_by_NID(X509_get_subject_name(certificate), NID_commonName, name, sizeof name);
         X509_free(certificate);
         // The certificate authority may have signed a name that is not UTF-8; it ends up in JSON.
@@ -240,8 +240,8 @@
   void discard_input() {
     set_timeout();
     beast::get_lowest_layer(stream_).async_read_some(
-        net::buffer(discard_buffer_), [self = this->shared_from_this()](error_code ec, std::size_t n) {
-          self->discarded_bytes_ += n;
+        net::buffer(discard_buffer_), [self = this->shared_from_this()](error_code ec, std::size_t size) {
+          self->discarded_bytes_ += size;
           if (ec || self->discarded_bytes_ > (4U << 20) || self->server_.expired()) return self->close();
           self->discard_input();
         });
@@ -257,8 +257,8 @@
   std::optional<Parser> parser_;
   std::string peer_, output_;
   std::shared_ptr<ApiStream> response_stream_;
-  std::shared_ptr<Session>
-      self_while_waiting_;  // keeps the session alive while only the stream's wake-up is pending
+  // Keeps the session alive while only the wake-up of the stream is pending.
+  std::shared_ptr<Session> self_while_waiting_;
   bool stream_ended_ = false;
   std::array<char, 4096> discard_buffer_{};
   std::size_t discarded_bytes_ = 0;
@@ -286,7 +286,7 @@
       const bool has_capacity = self->sessions.size() < self->limits.max_connections;
       const auto session = std::make_shared<Session<LocalStream>>(
           self, self->io, self->api, self->limits, LocalStream(std::move(socket)),
-          [impl = self.get()](Connection* c) { impl->sessions.erase(c); });
+          [impl = self.get()](Connection* connection) { impl->sessions.erase(connection); });
       // As many rejected connections again may wait for their 503 to be sent; beyond that, close at once.
       if (self->sessions.size() < 2 * self->limits.max_connections) {
         self->sessions.emplace(session.get(), session);
@@ -308,10 +308,12 @@
     // Anyone can open connections before the certificate is checked, so half are reserved for local clients.
     if (self->sessions.size() < self->limits.max_connections &&
         self->tls_sessions < self->limits.max_connections / 2) {
-      const auto session = std::make_shared<Session<TlsStream>>(
-          self, self->io, self->api, self->limits,
-          TlsStream(beast::tcp_stream(std::move(socket)), *self->tls),
-          [impl = self.get()](Connection* c) { impl->sessions.erase(c), impl->tls_sessions--; });
+      const auto session =
+          std::make_shared<Session<TlsStream>>(self, self->io, self->api, self->limits,
+                                               TlsStream(beast::tcp_stream(std::move(socket)), *self->tls),
+                                               [impl = self.get()](Connection* connection) {
+                                                 impl->sessions.erase(connection), impl->tls_sessions--;
+                                               });
       self->sessions.emplace(session.get(), session);
       self->tls_sessions++;
       session->start_tls();
--- a/fleet/finals.cpp
+++ b/fleet/finals.cpp
@@ -14,9 +14,9 @@
 namespace {
 
 constexpr std::size_t kMaxIdBytes = 256;
-constexpr std::int64_t kMaxAgainMs = 1'000'000'000'000;  // ms
-constexpr int kBusyTimeoutMs = 50;                       // longest wait for the lock of another process
-constexpr std::int64_t kMaxDeletedRows = 1000;  // rows deleted in one transaction, besides as many as it adds
+constexpr std::int64_t kMaxAgainMs = 1'000'000'000'000;
+constexpr int kBusyTimeoutMs = 50;              // longest wait for the lock of another process
+constexpr std::int64_t kMaxDeletedRows = 1000;  // per transaction, beyond as many as it adds
 
 std::string notice_problem(const rapidjson::Document& document) {
   if (!document.IsObject()) return "is not an object";
@@ -37,11 +37,11 @@
 
 }  // namespace
 
-const char* status_name(FinalStatus status) {
+const char* status_name(NoticeStatus status) {
   switch (status) {
-    case FinalStatus::undeliverable:
+    case NoticeStatus::undeliverable:
       return "undeliverable";
-    case FinalStatus::deferred:
+    case NoticeStatus::deferred:
       return "deferred";
   }
   return "";
@@ -66,7 +66,7 @@
     }
     Notice notice;
     notice.id.assign(document["id"].GetString(), document["id"].GetStringLength());
-    notice.status = document["status"] == "deferred" ? FinalStatus::deferred : FinalStatus::undeliverable;
+    notice.status = document["status"] == "deferred" ? NoticeStatus::deferred : NoticeStatus::undeliverable;
     if (const auto again = document.FindMember("again_ms");
         again != document.MemberEnd() && !again->value.IsNull())
       notice.again_ms = again->value.GetInt64();
@@ -85,22 +85,22 @@
   ~Run() { sqlite3_reset(statement_), sqlite3_clear_bindings(statement_); }
   Run(const Run&) = delete;
   Run& operator=(const Run&) = delete;
-  void bind(int at, std::int64_t number) { sqlite3_bind_int64(statement_, at, number); }
-  void bind(int at, std::string_view text) {
-    sqlite3_bind_text(statement_, at, text.data(), static_cast<int>(text.size()), SQLITE_STATIC);
+  void bind(int index, std::int64_t number) { sqlite3_bind_int64(statement_, index, number); }
+  void bind(int index, std::string_view text) {
+    sqlite3_bind_text(statement_, index, text.data(), static_cast<int>(text.size()), SQLITE_STATIC);
   }
   int step() { return sqlite3_step(statement_); }
-  std::int64_t number(int at) const { return sqlite3_column_int64(statement_, at); }
-  Final row() const {
-    Final stored;
-    const auto text = [this](int at) {
-      const auto* bytes = reinterpret_cast<const char*>(sqlite3_column_text(statement_, at));
+  std::int64_t number(int index) const { return sqlite3_column_int64(statement_, index); }
+  StoredNotice row() const {
+    StoredNotice stored;
+    const auto text = [this](int index) {
+      const auto* bytes = reinterpret_cast<const char*>(sqlite3_column_text(statement_, index));
       return bytes == nullptr
                  ? std::string()
-                 : std::string(bytes, static_cast<std::size_t>(sqlite3_column_bytes(statement_, at)));
+                 : std::string(bytes, static_cast<std::size_t>(sqlite3_column_bytes(statement_, index)));
     };
     stored.notice.id = text(0);
-    stored.notice.status = text(1) == "deferred" ? FinalStatus::deferred : FinalStatus::undeliverable;
+    stored.notice.status = text(1) == "deferred" ? NoticeStatus::deferred : NoticeStatus::undeliverable;
     if (sqlite3_column_type(statement_, 2) != SQLITE_NULL) stored.notice.again_ms = number(2);
     stored.received_ms = number(3);
     stored.repeats = number(4);
@@ -142,8 +142,8 @@
       "SELECT id,status,again_ms,received_ms,repeats FROM finals ORDER BY received_ms DESC, rowid DESC LIMIT "
       "?1");
   const Statement counted = prepare("SELECT count(*) FROM finals");
-  Run r(counted);
-  if (r.step() == SQLITE_ROW) count_ = r.number(0);
+  Run run(counted);
+  if (run.step() == SQLITE_ROW) count_ = run.number(0);
   set_max_bytes(options.max_bytes);
 }
 Finals::~Finals() = default;
@@ -166,8 +166,8 @@
   std::int64_t size = 4096;
   {
     const Statement page = prepare("PRAGMA page_size");
-    Run r(page);
-    if (r.step() == SQLITE_ROW) size = r.number(0);
+    Run run(page);
+    if (run.step() == SQLITE_ROW) size = run.number(0);
   }
   constexpr std::int64_t kMaxPages = 4294967294;  // the maximum of SQLite
   const std::int64_t pages = max_bytes > 0 ? std::max<std::int64_t>(1, max_bytes / size) : kMaxPages;
@@ -176,13 +176,13 @@
 
 int Finals::insert_all(std::span<const Notice> notices, std::int64_t now_ms, std::int64_t& added) {
   for (const auto& notice : notices) {
-    Run r(insert_);
-    r.bind(1, notice.id), r.bind(2, std::string_view(status_name(notice.status))), r.bind(4, now_ms);
-    if (notice.again_ms) r.bind(3, *notice.again_ms);
-    int code = r.step();
+    Run run(insert_);
+    run.bind(1, notice.id), run.bind(2, std::string_view(status_name(notice.status))), run.bind(4, now_ms);
+    if (notice.again_ms) run.bind(3, *notice.again_ms);
+    int code = run.step();
     if (code == SQLITE_ROW) {
-      added += r.number(0) == 0;
-      code = r.step();
+      added += run.number(0) == 0;
+      code = run.step();
     }
     if (code != SQLITE_DONE) return code;
   }
@@ -190,9 +190,9 @@
 }
 
 int Finals::delete_oldest(std::int64_t rows, std::int64_t& deleted) {
-  Run r(delete_);
-  r.bind(1, INT64_MAX), r.bind(2, rows);
-  const int code = r.step();
+  Run run(delete_);
+  run.bind(1, INT64_MAX), run.bind(2, rows);
+  const int code = run.step();
   if (code != SQLITE_DONE) return code;
   deleted += sqlite3_changes64(db_.get());
   return SQLITE_OK;
@@ -203,55 +203,55 @@
   if (sqlite3_get_autocommit(db_.get()) == 0) execute("ROLLBACK");
 }
 
-Finals::Stored Finals::store(std::span<const Notice> notices, std::int64_t now_ms) {
+Finals::StoreResult Finals::store(std::span<const Notice> notices, std::int64_t now_ms) {
   error_.clear();
-  if (notices.empty()) return Stored::yes;
+  if (notices.empty()) return StoreResult::yes;
   std::int64_t added = 0, deleted = 0;
   int code = execute("BEGIN IMMEDIATE");
   if (code == SQLITE_OK) code = insert_all(notices, now_ms, added);
-  if (const std::int64_t over = count_ + added - options_.max_notices; code == SQLITE_OK && over > 0)
-    code = delete_oldest(std::min(over, added + kMaxDeletedRows), deleted);
+  if (const std::int64_t excess = count_ + added - options_.max_notices; code == SQLITE_OK && excess > 0)
+    code = delete_oldest(std::min(excess, added + kMaxDeletedRows), deleted);
   if (code == SQLITE_OK) code = execute("COMMIT");
   if (code == SQLITE_OK) {
     count_ += added - deleted;
-    return Stored::yes;
+    return StoreResult::yes;
   }
   error_ = path_ + ": " + sqlite3_errmsg(db_.get());
   rollback();
-  return (code & 0xff) == SQLITE_FULL ? Stored::full : Stored::failed;
+  return (code & 0xff) == SQLITE_FULL ? StoreResult::full : StoreResult::failed;
 }
 
 std::size_t Finals::prune(std::int64_t now_ms, std::size_t max_rows) {
   const std::int64_t before = now_ms - options_.keep_ms;
-  const auto most = static_cast<std::int64_t>(max_rows);
-  const std::int64_t over = std::min(count_ - options_.max_notices, most);
+  const auto max_deleted = static_cast<std::int64_t>(max_rows);
+  const std::int64_t excess = std::min(count_ - options_.max_notices, max_deleted);
   {
     // Writes nothing and takes no lock if there is nothing to delete.
     Run first(oldest_);
     first.bind(1, 0);
     const bool aged = first.step() == SQLITE_ROW && first.number(0) < before;
-    if (!aged && over <= 0) return 0;
+    if (!aged && excess <= 0) return 0;
   }
-  Run r(delete_);
-  r.bind(1, over > 0 ? INT64_MAX : before), r.bind(2, over > 0 ? over : most);
-  if (r.step() != SQLITE_DONE) return 0;
+  Run run(delete_);
+  run.bind(1, excess > 0 ? INT64_MAX : before), run.bind(2, excess > 0 ? excess : max_deleted);
+  if (run.step() != SQLITE_DONE) return 0;
   const auto deleted = sqlite3_changes64(db_.get());
   count_ -= deleted;
   return static_cast<std::size_t>(deleted);
 }
 
-std::optional<Final> Finals::find(const std::string& id) {
-  Run r(find_);
-  r.bind(1, std::string_view(id));
-  if (r.step() != SQLITE_ROW) return std::nullopt;
-  return r.row();
+std::optional<StoredNotice> Finals::find(const std::string& id) {
+  Run run(find_);
+  run.bind(1, std::string_view(id));
+  if (run.step() != SQLITE_ROW) return std::nullopt;
+  return run.row();
 }
 
-std::vector<Final> Finals::newest(std::size_t max_notices) {
-  std::vector<Final> all;
-  Run r(newest_);
-  r.bind(1, static_cast<std::int64_t>(max_notices));
-  while (r.step() == SQLITE_ROW) all.push_back(r.row());
+std::vector<StoredNotice> Finals::newest(std::size_t max_notices) {
+  std::vector<StoredNotice> all;
+  Run run(newest_);
+  run.bind(1, static_cast<std::int64_t>(max_notices));
+  while (run.step() == SQLITE_ROW) all.push_back(run.row());
   return all;
 }
 
--- a/fleet/finals.hpp
+++ b/fleet/finals.hpp
@@ -15,18 +15,19 @@
 
 namespace heronvane::fleet {
 
-enum class FinalStatus { undeliverable, deferred };
-const char* status_name(FinalStatus status);
+enum class NoticeStatus { undeliverable, deferred };
+const char* status_name(NoticeStatus status);
 
+// The final answer that a relay gives for a message that it did not deliver.
 struct Notice {
   std::string id;  // 1 to 256 bytes of UTF-8 without control characters
-  FinalStatus status = FinalStatus::undeliverable;
+  NoticeStatus status = NoticeStatus::undeliverable;
   std::optional<std::int64_t> again_ms;  // 0 or more; absent if the relay gave none
   bool operator==(const Notice&) const = default;
 };
 
 // A notice as it is stored.
-struct Final {
+struct StoredNotice {
   Notice notice;                 // as first received
   std::int64_t received_ms = 0;  // Unix time of the first receipt
   std::int64_t repeats = 0;      // how often it was received again
@@ -36,14 +37,15 @@
 // the line's number and the reason.
 std::optional<std::vector<Notice>> read_notices(std::string_view body, std::string& problem);
 
+// The stored notices. Notices beyond the limits of age and number are deleted, oldest first.
 class Finals {
  public:
   struct Options {
     std::int64_t keep_ms = 7LL * 24 * 3600 * 1000;
-    std::int64_t max_notices = 1'000'000;  // notices; beyond it the oldest are deleted
+    std::int64_t max_notices = 1'000'000;  // more are deleted
     std::int64_t max_bytes = 0;            // of the file without its write-ahead log; 0: no limit
   };
-  enum class Stored { yes, full, failed };
+  enum class StoreResult { yes, full, failed };
 
   // Opens or creates the file (mode 0600). Throws std::runtime_error, with advice in its text, if it can't.
   explicit Finals(const std::string& path) : Finals(path, Options()) {}
@@ -54,13 +56,13 @@
 
   // Stores all notices in one transaction, or none. Returns `yes` once they would survive a power loss,
   // `full` if the disk or the file's limit is exhausted.
-  Stored store(std::span<const Notice> notices, std::int64_t now_ms);
+  StoreResult store(std::span<const Notice> notices, std::int64_t now_ms);
   // Deletes notices beyond the limits of age and number, oldest first, at most `max_rows`; returns how many.
   std::size_t prune(std::int64_t now_ms, std::size_t max_rows = 500);
   void set_max_bytes(std::int64_t max_bytes);  // sets Options::max_bytes
 
-  std::optional<Final> find(const std::string& id);
-  std::vector<Final> newest(std::size_t max_notices);  // newest first
+  std::optional<StoredNotice> find(const std::string& id);
+  std::vector<StoredNotice> newest(std::size_t max_notices);  // newest first
   std::int64_t count() const { return count_; }
   const std::string& error() const { return error_; }  // of the last store; "" if it succeeded
 
--- a/fleet/partner_file.cpp
+++ b/fleet/partner_file.cpp
@@ -37,17 +37,19 @@
   int fd;
 };
 
-std::int64_t nanoseconds(const timespec& t) { return std::int64_t{t.tv_sec} * 1'000'000'000 + t.tv_nsec; }
+std::int64_t nanoseconds(const timespec& time) {
+  return std::int64_t{time.tv_sec} * 1'000'000'000 + time.tv_nsec;
+}
 
 // Tells versions of the file apart; all 0 if there is no file.
 struct Identity {
   Identity() = default;
-  explicit Identity(const struct stat& s)
-      : device(s.st_dev),
-        inode(s.st_ino),
-        size(s.st_size),
-        modified(nanoseconds(s.st_mtim)),
-        changed(nanoseconds(s.st_ctim)) {}
+  explicit Identity(const struct stat& file_info)
+      : device(file_info.st_dev),
+        inode(file_info.st_ino),
+        size(file_info.st_size),
+        modified(nanoseconds(file_info.st_mtim)),
+        changed(nanoseconds(file_info.st_ctim)) {}
   dev_t device = 0;
   ino_t inode = 0;
   off_t size = 0;
@@ -61,33 +63,33 @@
 };
 
 FileContent read_file(const std::string& path) {
-  FileContent t;
+  FileContent content;
   const auto failed = [&](const char* what) {
-    t.problem = std::string("can't be read: ") + what;
-    return std::move(t);
+    content.problem = std::string("can't be read: ") + what;
+    return std::move(content);
   };
   // O_NONBLOCK: opening a FIFO at this path must not block the event loop.
   const Descriptor file(::open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK));
   if (file.fd < 0) return failed(std::strerror(errno));
-  struct stat s {};
-  if (::fstat(file.fd, &s) != 0) return failed(std::strerror(errno));
-  t.identity = Identity(s);
-  if (!S_ISREG(s.st_mode)) return failed("it is not a regular file");
-  if (static_cast<std::size_t>(s.st_size) > kMaxPartnersBytes)
+  struct stat file_info {};
+  if (::fstat(file.fd, &file_info) != 0) return failed(std::strerror(errno));
+  content.identity = Identity(file_info);
+  if (!S_ISREG(file_info.st_mode)) return failed("it is not a regular file");
+  if (static_cast<std::size_t>(file_info.st_size) > kMaxPartnersBytes)
     return failed(("it has more than " + std::to_string(kMaxPartnersBytes) + " bytes").c_str());
   // One byte more than its size, to detect a file that grows.
-  t.bytes.resize(static_cast<std::size_t>(s.st_size) + 1);
+  content.bytes.resize(static_cast<std::size_t>(file_info.st_size) + 1);
   std::size_t received = 0;
-  while (received < t.bytes.size()) {
-    const auto n = ::read(file.fd, t.bytes.data() + received, t.bytes.size() - received);
+  while (received < content.bytes.size()) {
+    const auto n = ::read(file.fd, content.bytes.data() + received, content.bytes.size() - received);
     if (n < 0 && errno == EINTR) continue;
     if (n < 0) return failed(std::strerror(errno));
     if (n == 0) break;
     received += static_cast<std::size_t>(n);
   }
-  if (received == t.bytes.size()) return failed("it is being written");
-  t.bytes.resize(received);
-  return t;
+  if (received == content.bytes.size()) return failed("it is being written");
+  content.bytes.resize(received);
+  return content;
 }
 
 }  // namespace
@@ -158,26 +160,26 @@
   }
 
   void check_file() {
-    struct stat s {};
-    const Identity identity = ::stat(path_.c_str(), &s) == 0 ? Identity(s) : Identity();
+    struct stat file_info {};
+    const Identity identity = ::stat(path_.c_str(), &file_info) == 0 ? Identity(file_info) : Identity();
     if (last_identity_ == identity && settled_) return;
     const std::int64_t now = std::chrono::duration_cast<std::chrono::nanoseconds>(
                                  std::chrono::system_clock::now().time_since_epoch())
                                  .count();
-    FileContent text = read_file(path_);
-    settled_ = std::max(text.identity.modified, text.identity.changed) < now - kRecentNs;
-    const bool unchanged = last_identity_ == text.identity;
-    last_identity_ = text.identity;
-    if (text.problem.empty()) {
-      PartnerList list = read_partners(text.bytes);
-      text.problem = list.error();
-      if (text.problem.empty() && !on_list_(std::move(list.endpoints))) {
-        text.problem = "can't be published now; will be tried again";
+    FileContent content = read_file(path_);
+    settled_ = std::max(content.identity.modified, content.identity.changed) < now - kRecentNs;
+    const bool unchanged = last_identity_ == content.identity;
+    last_identity_ = content.identity;
+    if (content.problem.empty()) {
+      PartnerList list = read_partners(content.bytes);
+      content.problem = list.error();
+      if (content.problem.empty() && !on_list_(std::move(list.endpoints))) {
+        content.problem = "can't be published now; will be tried again";
         settled_ = false;
       }
     }
     std::string error =
-        text.problem.empty() ? "" : path_ + ": " + text.problem + " (the last valid list stays)";
+        content.problem.empty() ? "" : path_ + ": " + content.problem + " (the last valid list stays)";
     if (!error.empty() && !(unchanged && error == error_)) log_("partners: " + error);
     if (error.empty() && !error_.empty()) log_("partners: " + path_ + ": read successfully again");
     error_ = std::move(error);
@@ -196,8 +198,8 @@
 };
 
 PartnerFile::PartnerFile(net::io_context& io, std::string path, OnList on_list, Log log,
-                         std::chrono::milliseconds check_file)
-    : impl_(std::make_shared<Impl>(io, std::move(path), std::move(on_list), std::move(log), check_file)) {
+                         std::chrono::milliseconds poll_interval)
+    : impl_(std::make_shared<Impl>(io, std::move(path), std::move(on_list), std::move(log), poll_interval)) {
   impl_->start();
 }
 PartnerFile::~PartnerFile() { impl_->stop(); }
--- a/fleet/partners.cpp
+++ b/fleet/partners.cpp
@@ -17,7 +17,7 @@
 
 constexpr std::size_t kMaxProblems = 20;
 constexpr std::size_t kMaxTextBytes = 256;                // bytes
-constexpr std::int64_t kMaxUnixMs = 100'000'000'000'000;  // ms, the limit of relays
+constexpr std::int64_t kMaxUnixMs = 100'000'000'000'000;  // the limit of relays
 constexpr double kMaxWeight = 1e6;
 
 // Input stream for rapidjson that counts lines.
@@ -59,9 +59,9 @@
 std::string address_problem(const std::string& text) {
   const auto colon = text.rfind(':');
   if (colon == std::string::npos) return quoted(text) + " has no port";
-  boost::system::error_code bad;
-  const auto address = boost::asio::ip::make_address(text.substr(0, colon), bad);
-  if (bad || address.is_unspecified()) return quoted(text) + " is not a numeric address with a port";
+  boost::system::error_code ec;
+  const auto address = boost::asio::ip::make_address(text.substr(0, colon), ec);
+  if (ec || address.is_unspecified()) return quoted(text) + " is not a numeric address with a port";
   std::uint16_t port = 0;
   const char *first = text.data() + colon + 1, *last = text.data() + text.size();
   const auto [end, error] = std::from_chars(first, last, port);
@@ -76,19 +76,19 @@
   // ---- SAX handler of rapidjson; false ends the parse. ----
   bool Null() {
     if (position_ == Position::entry) return true;  // as if the field were absent
-    return scalar_outside();
+    return scalar_outside_entry();
   }
-  bool Bool(bool) { return position_ == Position::entry ? wrong_type() : scalar_outside(); }
+  bool Bool(bool) { return position_ == Position::entry ? wrong_type() : scalar_outside_entry(); }
   bool Int(int n) { return Int64(n); }
   bool Uint(unsigned n) { return Int64(n); }
   bool Uint64(std::uint64_t n) {
     return n <= INT64_MAX ? Int64(static_cast<std::int64_t>(n)) : too_large_integer();
   }
-  bool Int64(std::int64_t n) { return position_ == Position::entry ? integer(n) : scalar_outside(); }
-  bool Double(double n) { return position_ == Position::entry ? number(n) : scalar_outside(); }
+  bool Int64(std::int64_t n) { return position_ == Position::entry ? integer(n) : scalar_outside_entry(); }
+  bool Double(double n) { return position_ == Position::entry ? number(n) : scalar_outside_entry(); }
   bool RawNumber(const char*, rapidjson::SizeType, bool) { return false; }
   bool String(const char* s, rapidjson::SizeType n, bool) {
-    return position_ == Position::entry ? text({s, n}) : scalar_outside();
+    return position_ == Position::entry ? text({s, n}) : scalar_outside_entry();
   }
   bool StartObject() {
     if (position_ == Position::before) return position_ = Position::top, true;
@@ -161,7 +161,7 @@
     }
     return false;  // its content would be read as fields of an endpoint
   }
-  bool scalar_outside() {
+  bool scalar_outside_entry() {
     if (position_ == Position::top && top_ == Top::ignored) return true;
     return unexpected_value();
   }
@@ -185,7 +185,7 @@
     return add_field_problem("is not a string", "write it in double quotes");
   }
   bool too_large_integer() {
-    if (position_ != Position::entry) return scalar_outside();
+    if (position_ != Position::entry) return scalar_outside_entry();
     return field_ == Field::weight ? number(1e18) : wrong_type();
   }
 
@@ -228,9 +228,9 @@
         return true;
       case Field::address: {
         current().address = s;
-        const std::string wrong = address_problem(current().address);
-        return wrong.empty() ||
-               add_field_problem(wrong, "write a numeric address and a port, such as 10.1.0.18:8081");
+        const std::string address_error = address_problem(current().address);
+        return address_error.empty() ||
+               add_field_problem(address_error, "write a numeric address and a port, such as 10.1.0.18:8081");
       }
       case Field::zone:
         return current().zone = s, true;
@@ -306,9 +306,9 @@
 
 PartnerList read_partners(std::string_view text) {
   PartnerList list;
-  const auto refuse = [&](PartnerProblem add_problem) {
+  const auto refuse = [&](PartnerProblem problem) {
     list.endpoints.clear();
-    list.problems.push_back(std::move(add_problem));
+    list.problems.push_back(std::move(problem));
     return std::move(list);
   };
   if (text.size() > kMaxPartnersBytes)
--- a/fleet/platform_server.cpp
+++ b/fleet/platform_server.cpp
@@ -385,9 +385,9 @@
   // Watches at the same index share one line.
   SharedText changes_since(std::int64_t index) {
     if (!catalog_.has_history_since(index)) return snapshot();
-    auto& kept = change_lines_[index];
-    SharedText line = kept.lock();
-    if (!line) kept = line = std::make_shared<const std::string>(catalog_.changes_since(index));
+    auto& cached_line = change_lines_[index];
+    SharedText line = cached_line.lock();
+    if (!line) cached_line = line = std::make_shared<const std::string>(catalog_.changes_since(index));
     return line;
   }
   void start_watch(const SessionPtr& session, std::int64_t since) {
@@ -473,12 +473,12 @@
     const std::int64_t now = callbacks_.now_ms();
     std::vector<Notice> all;
     for (const auto& p : batch) all.insert(all.end(), p.notices.begin(), p.notices.end());
-    const bool stored = finals_.store(all, now) == Finals::Stored::yes;
+    const bool stored = finals_.store(all, now) == Finals::StoreResult::yes;
     std::string error = finals_.error();
     for (const auto& p : batch) {
       // If the batch does not fit on the disk, single requests of it may.
       const bool request_stored =
-          stored || (batch.size() > 1 && finals_.store(p.notices, now) == Finals::Stored::yes);
+          stored || (batch.size() > 1 && finals_.store(p.notices, now) == Finals::StoreResult::yes);
       if (!request_stored && !finals_.error().empty()) error = finals_.error();
       if (p.session->closed) continue;
       request_stored ? respond(p.session, 204, nullptr, "", "")
--- a/tests/fleet/admin_client_test.cpp
+++ b/tests/fleet/admin_client_test.cpp
@@ -1,4 +1,4 @@
-// Asking relays that answer, that are silent, that talk without end, and that are not there.
+// The admin client with relays that answer, don't answer, send too much, or don't exist.
 #include "admin_client.hpp"
 
 #include <fcntl.h>
@@ -30,93 +30,98 @@
   }
   ~AdminClientTest() override { std::filesystem::remove_all(folder); }
 
-  void serve(std::function<void(std::shared_ptr<local::socket>)> with) {
+  void serve(std::function<void(std::shared_ptr<local::socket>)> on_connection) {
     acceptor.emplace(io, local::endpoint(folder + "/admin.sock"));
-    accept(std::move(with));
+    accept(std::move(on_connection));
   }
-  void accept(std::function<void(std::shared_ptr<local::socket>)> with) {
-    acceptor->async_accept([this, with](error_code bad, local::socket s) {
-      if (bad) return;
-      kept.push_back(std::make_shared<local::socket>(std::move(s)));
-      with(kept.back());
-      accept(with);
+  void accept(std::function<void(std::shared_ptr<local::socket>)> on_connection) {
+    acceptor->async_accept([this, on_connection](error_code ec, local::socket socket) {
+      if (ec) return;
+      connections.push_back(std::make_shared<local::socket>(std::move(socket)));
+      on_connection(connections.back());
+      accept(on_connection);
     });
   }
-  AdminAnswer ask(std::chrono::milliseconds patience = std::chrono::seconds(30)) {
-    std::optional<AdminAnswer> got;
+  AdminAnswer ask(std::chrono::milliseconds timeout = std::chrono::seconds(30)) {
+    std::optional<AdminAnswer> received;
     ask_admin(
         io, {folder, false, "/v1/status", ""},
-        [&](AdminAnswer a) {
-          EXPECT_FALSE(got);
-          got = std::move(a);
+        [&](AdminAnswer answer) {
+          EXPECT_FALSE(received);
+          received = std::move(answer);
         },
-        patience);
-    EXPECT_FALSE(got);  // never from within the call
+        timeout);
+    EXPECT_FALSE(received);  // never from within the call
     const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(30);
-    while (!got && std::chrono::steady_clock::now() < until) {
+    while (!received && std::chrono::steady_clock::now() < until) {
       io.restart();
       io.run_one_for(std::chrono::milliseconds(50));
     }
-    EXPECT_TRUE(got);
-    return got.value_or(AdminAnswer{});
+    EXPECT_TRUE(received);
+    return received.value_or(AdminAnswer{});
   }
   net::io_context io;
   std::string folder;
   std::optional<local::acceptor> acceptor;
-  std::vector<std::shared_ptr<local::socket>> kept;
+  std::vector<std::shared_ptr<local::socket>> connections;
 };
 
-TEST_F(AdminClientTest, AnAnswerComes) {
-  serve([](auto s) {
+TEST_F(AdminClientTest, ReturnsStatusAndBodyOfTheAnswer) {
+  serve([](auto socket) {
     const auto text = std::make_shared<std::string>("HTTP/1.1 409 X\r\nContent-Length: 2\r\n\r\n{}");
-    net::async_write(*s, net::buffer(*text), [s, text](error_code, std::size_t) {});
+    net::async_write(*socket, net::buffer(*text), [socket, text](error_code, std::size_t) {});
   });
-  const auto a = ask();
-  EXPECT_EQ(a.status, 409u);
-  EXPECT_EQ(a.body, "{}");
+  const auto answer = ask();
+  EXPECT_EQ(answer.status, 409u);
+  EXPECT_EQ(answer.body, "{}");
 }
-TEST_F(AdminClientTest, NoSocketAndNoFolderAreNoAnswer) {
+TEST_F(AdminClientTest, AMissingSocketOrFolderGivesNoAnswer) {
   EXPECT_EQ(ask().status, 0u);
   std::filesystem::remove_all(folder);
-  const auto a = ask();
-  EXPECT_EQ(a.status, 0u);
-  EXPECT_FALSE(a.error.empty());
+  const auto answer = ask();
+  EXPECT_EQ(answer.status, 0u);
+  EXPECT_FALSE(answer.error.empty());
 }
-// Else an agent that has no descriptor left would take all its relays for silent, and end them.
-TEST_F(AdminClientTest, WantOfDescriptorsIsNotTheRelaysSilence) {
-  EXPECT_FALSE(ask().local_failure);  // nobody listens
+// An agent without free descriptors must not conclude that all its relays have stopped answering, and end
+// them.
+TEST_F(AdminClientTest, LackOfDescriptorsIsALocalFailure) {
+  EXPECT_FALSE(ask().local_failure);  // no listener
   const int next = ::open("/dev/null", O_RDONLY | O_CLOEXEC);
   ::close(next);
   rlimit before{};
   ::getrlimit(RLIMIT_NOFILE, &before);
   rlimit none = before;
   none.rlim_cur = static_cast<rlim_t>(next);
-  std::optional<AdminAnswer> got;
+  std::optional<AdminAnswer> received;
   ::setrlimit(RLIMIT_NOFILE, &none);
-  ask_admin(io, {folder, false, "/v1/status", ""}, [&](AdminAnswer a) { got = std::move(a); });
+  ask_admin(io, {folder, false, "/v1/status", ""}, [&](AdminAnswer answer) { received = std::move(answer); });
   ::setrlimit(RLIMIT_NOFILE, &before);
   io.restart();
   io.run();
-  ASSERT_TRUE(got);
-  EXPECT_EQ(got->status, 0u);
-  EXPECT_TRUE(got->local_failure) << got->error;
+  ASSERT_TRUE(received);
+  EXPECT_EQ(received->status, 0u);
+  EXPECT_TRUE(received->local_failure) << received->error;
 }
-TEST_F(AdminClientTest, ASilentOneIsNotWaitedForLong) {
+TEST_F(AdminClientTest, ASilentRelayTimesOut) {
   serve([](auto) {});
   EXPECT_EQ(ask(std::chrono::milliseconds(100)).status, 0u);
 }
-TEST_F(AdminClientTest, OneThatTalksWithoutEndIsCutOff) {
+TEST_F(AdminClientTest, ATooLongAnswerGivesNoAnswer) {
   const auto text = std::make_shared<std::string>("HTTP/1.1 200 X\r\nContent-Length: 999999999\r\n\r\n");
-  serve([text](auto s) { net::async_write(*s, net::buffer(*text), [s, text](error_code, std::size_t) {}); });
+  serve([text](auto socket) {
+    net::async_write(*socket, net::buffer(*text), [socket, text](error_code, std::size_t) {});
+  });
   EXPECT_EQ(ask().status, 0u);
 }
-TEST_F(AdminClientTest, GarbageIsNoAnswer) {
+TEST_F(AdminClientTest, AMalformedAnswerGivesNoAnswer) {
   const auto text = std::make_shared<std::string>("nonsense\r\n\r\n");
-  serve([text](auto s) { net::async_write(*s, net::buffer(*text), [s, text](error_code, std::size_t) {}); });
+  serve([text](auto socket) {
+    net::async_write(*socket, net::buffer(*text), [socket, text](error_code, std::size_t) {});
+  });
   EXPECT_EQ(ask().status, 0u);
 }
-// As of a relay that was stopped: connections queue up until no more are taken.
-TEST_F(AdminClientTest, AFullQueueIsNoAnswerAndBlocksNothing) {
+// A relay stopped by SIGSTOP: connections queue up until the accept queue is full.
+TEST_F(AdminClientTest, AFullAcceptQueueGivesNoAnswerWithoutBlocking) {
   acceptor.emplace(io);
   acceptor->open();
   acceptor->bind(local::endpoint(folder + "/admin.sock"));
--- a/tests/fleet/api_server_test.cpp
+++ b/tests/fleet/api_server_test.cpp
@@ -1,4 +1,4 @@
-// The API on sockets: what comes in is answered or dropped, and nothing else suffers.
+// The API server: each request is answered or its connection closed, and no client affects others.
 #include "api_server.hpp"
 
 #include <gtest/gtest.h>
@@ -52,7 +52,7 @@
   std::string folder, path;
 };
 
-TEST_F(ApiServerTest, AnswersCarryTheVersionAndConnectionsLast) {
+TEST_F(ApiServerTest, ResponsesCarryTheVersionAndConnectionsPersist) {
   start();
   const std::string one = "GET /v1/agent HTTP/1.1\r\nHost: a\r\n\r\n";
   const std::string last = "GET /v1/agent HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
@@ -64,13 +64,13 @@
   EXPECT_NE(all.find("X-Heronvane-Api: 1\r\n"), std::string::npos);
 }
 
-TEST_F(ApiServerTest, TheSocketIsTheUsersAlone) {
+TEST_F(ApiServerTest, OnlyThisUserMayUseTheSocket) {
   start();
   struct stat about {};
   ASSERT_EQ(::stat(path.c_str(), &about), 0);
   EXPECT_EQ(about.st_mode & 0777, 0600u);
   if (::geteuid() != 0) GTEST_SKIP() << "only root can be another user";
-  // Even where the file's mode lets another user in.
+  // Another user is rejected even if the mode of the socket permits the connect.
   ::chmod(path.c_str(), 0666);
   const pid_t child = ::fork();
   if (child == 0) {
@@ -88,29 +88,29 @@
   EXPECT_EQ(WEXITSTATUS(status), 0);
 }
 
-TEST_F(ApiServerTest, LimitsAreKept) {
+TEST_F(ApiServerTest, EnforcesSizeAndTimeLimits) {
   ApiLimits limits;
   limits.io_timeout = std::chrono::milliseconds(300);
   start(limits);
   EXPECT_EQ(raw("POST /v1/operations HTTP/1.1\r\nHost: a\r\nContent-Length: 1048577\r\n\r\n").status, 413u);
   EXPECT_EQ(raw("GET /v1/agent HTTP/1.1\r\nX: " + std::string(17'000, 'x') + "\r\n\r\n").status, 413u);
   EXPECT_EQ(raw("nonsense\r\n\r\n").status, 400u);
-  // The largest body that is read, and a request that never ends.
+  // The largest permitted body, and requests that never end.
   const std::string body(1 << 20, ' ');
   EXPECT_EQ(ask(path, "POST", "/v1/operations", body).status, 400u);
   EXPECT_EQ(raw("GET /v1/agent HTT").status, 0u);
   EXPECT_EQ(raw("POST /v1/operations HTTP/1.1\r\nHost: a\r\nContent-Length: 10\r\n\r\n{").status, 0u);
 }
 
-TEST_F(ApiServerTest, TheSixtyFifthIsTurnedAwayAndRoomComesBack) {
+TEST_F(ApiServerTest, The65thConnectionGets503UntilOthersClose) {
   start();
   std::vector<int> held;
   for (int i = 0; i < 64; i++) {
     held.push_back(connect_to(path));
     ASSERT_GE(held.back(), 0);
   }
-  Answer turned_away;
-  EXPECT_EQ((turned_away = ask(path, "GET", "/v1/agent")).status, 503u);
+  Answer rejected;
+  EXPECT_EQ((rejected = ask(path, "GET", "/v1/agent")).status, 503u);
   for (const int fd : held) ::close(fd);
   const auto until = std::chrono::steady_clock::now() + kPatience;
   unsigned status = 0;
@@ -119,8 +119,8 @@
   EXPECT_EQ(status, 200u);
 }
 
-// One that follows and does not read is dropped; what is kept for it is bounded meanwhile.
-TEST_F(ApiServerTest, ASlowReaderIsDropped) {
+// A follower that does not read is disconnected after the timeout; the memory for it is bounded until then.
+TEST_F(ApiServerTest, ASlowFollowerIsDisconnected) {
   ApiLimits limits;
   limits.io_timeout = std::chrono::milliseconds(300);
   start(limits);
@@ -147,8 +147,8 @@
   ::close(fd);
 }
 
-// A reader that goes away is noticed though nothing is said.
-TEST_F(ApiServerTest, AFollowerThatLeavesIsLetGo) {
+// The close of a follower's connection is detected though there is nothing to send.
+TEST_F(ApiServerTest, AFollowerThatDisconnectsIsReleased) {
   start();
   ASSERT_EQ(
       ask(path, "POST", "/v1/operations",
@@ -179,15 +179,15 @@
   EXPECT_TRUE(gone);
 }
 
-// 10,000 requests spoilt in ways that a seed draws: each is answered or dropped, and the next sound one
-// served.
-TEST_F(ApiServerTest, MalformedRequestsHarmNobody) {
+// 10,000 randomly corrupted requests: each is answered or its connection closed, and a valid request is
+// served afterwards.
+TEST_F(ApiServerTest, MalformedRequestsDoNotAffectOthers) {
   start();
   std::mt19937 random(20261201);
-  const auto draw = [&](std::size_t below) {
+  const auto random_below = [&](std::size_t below) {
     return std::uniform_int_distribution<std::size_t>(0, below - 1)(random);
   };
-  const std::vector<std::string> sound{
+  const std::vector<std::string> valid{
       "GET /v1/agent HTTP/1.1\r\nHost: a\r\n\r\n",
       "GET /v1/operations?limit=5 HTTP/1.1\r\nHost: a\r\n\r\n",
       "GET /v1/instances/n0/log?lines=10 HTTP/1.1\r\nHost: a\r\n\r\n",
@@ -201,27 +201,27 @@
       "\"n0\",\"listen\":\"127.0.0.1:1\"}]}}"};
   int answered = 0;
   for (int i = 0; i < 10'000; i++) {
-    std::string bytes = sound[draw(sound.size())];
-    for (std::size_t changes = 1 + draw(4); changes > 0; changes--) {
-      const auto at = draw(bytes.size());
-      switch (draw(6)) {
+    std::string bytes = valid[random_below(valid.size())];
+    for (std::size_t changes = 1 + random_below(4); changes > 0; changes--) {
+      const auto at = random_below(bytes.size());
+      switch (random_below(6)) {
         case 0:
-          bytes[at] = static_cast<char>(draw(256));
+          bytes[at] = static_cast<char>(random_below(256));
           break;
         case 1:
-          bytes.erase(at, 1 + draw(8));
+          bytes.erase(at, 1 + random_below(8));
           break;
         case 2:
-          bytes.insert(at, std::string(1 + draw(20), static_cast<char>(draw(256))));
+          bytes.insert(at, std::string(1 + random_below(20), static_cast<char>(random_below(256))));
           break;
         case 3:
           bytes.resize(at + 1);
           break;
         case 4:
-          bytes.insert(at, bytes.substr(draw(bytes.size()), draw(40)));
+          bytes.insert(at, bytes.substr(random_below(bytes.size()), random_below(40)));
           break;
         case 5:
-          bytes.insert(at, std::string(draw(3'000), "[{\"9\\"[draw(5)]));
+          bytes.insert(at, std::string(random_below(3'000), "[{\"9\\"[random_below(5)]));
           break;
       }
       if (bytes.empty()) bytes = "x";
@@ -231,12 +231,12 @@
     ::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL);
     ::shutdown(fd, SHUT_WR);
     char piece[4096];
-    bool any = false;
-    // A whole answer to a request that was sound after all may be followed: not waited for.
+    bool has_response = false;
+    // Reads only once: a request that is still valid may get a streamed response that does not end.
     const auto n = ::recv(fd, piece, sizeof piece, 0);
-    any = n > 0;
-    answered += any;
-    if (any) {
+    has_response = n > 0;
+    answered += has_response;
+    if (has_response) {
       EXPECT_EQ(std::string(piece, 5), "HTTP/") << i;
     }
     ::close(fd);
@@ -267,9 +267,9 @@
     std::fclose(f);
   }
 };
-// Signed by `issuer`, or by itself.
+// Signed by `issuer`; self-signed if that is null.
 std::unique_ptr<Identity> identity(const char* name, const Identity* issuer, long serial,
-                                   int coded = MBSTRING_ASC) {
+                                   int encoding = MBSTRING_ASC) {
   auto i = std::make_unique<Identity>();
   i->key = EVP_EC_gen("P-256");
   i->certificate = X509_new();
@@ -278,7 +278,7 @@
   X509_gmtime_adj(X509_getm_notBefore(i->certificate), -3600);
   X509_gmtime_adj(X509_getm_notAfter(i->certificate), 3600);
   X509_set_pubkey(i->certificate, i->key);
-  X509_NAME_add_entry_by_txt(X509_get_subject_name(i->certificate), "CN", coded,
+  X509_NAME_add_entry_by_txt(X509_get_subject_name(i->certificate), "CN", encoding,
                              reinterpret_cast<const unsigned char*>(name), -1, -1, 0);
   X509_set_issuer_name(i->certificate,
                        X509_get_subject_name(issuer != nullptr ? issuer->certificate : i->certificate));
@@ -306,8 +306,8 @@
                             {folder + "/agent.pem", folder + "/agent.key", folder + "/ca.pem"});
     thread = std::thread([this] { io.run(); });
   }
-  // Empty: no answer.
-  // `session`: what an earlier connection left is offered, and this one's kept in its place.
+  // Returns the response; empty if there is none. Offers `session` for resumption, if it is not empty, and
+  // replaces it with the session of this connection.
   std::string ask_tls(const std::string& who, int most_version = TLS1_3_VERSION,
                       std::vector<unsigned char>* session = nullptr) {
     net::io_context own;
@@ -337,7 +337,7 @@
     if (!bad) net::write(s, net::buffer(bytes), bad);
     std::string all;
     if (!bad) net::read(s, net::dynamic_buffer(all), bad);
-    // By now a session that the agent gave out has come too.
+    // With TLS 1.3, session tickets arrive after the handshake; any would have been read by now.
     if (session != nullptr) {
       SSL_SESSION* const left = SSL_get0_session(s.native_handle());
       session->resize(static_cast<std::size_t>(i2d_SSL_SESSION(left, nullptr)));
@@ -349,15 +349,15 @@
   net::ip::tcp::endpoint at;
 };
 
-TEST_F(TlsTest, OnlyHoldersOfACertificateAreAnswered) {
+TEST_F(TlsTest, OnlyHoldersOfACertificateGetAResponse) {
   EXPECT_NE(ask_tls("ops").find("X-Heronvane-Api: 1"), std::string::npos);
   EXPECT_EQ(agent.last_by, "certificate ops");
   EXPECT_EQ(ask_tls(""), "");
   EXPECT_EQ(ask_tls("stranger"), "");
   EXPECT_NE(ask_tls("ops", TLS1_2_VERSION), "");
 }
-// Strangers who connect and say nothing leave room for those of this machine.
-TEST_F(TlsTest, SilentStrangersDoNotTakeAllRoom) {
+// Remote connections without a certificate must not use up the connections of local clients.
+TEST_F(TlsTest, ConnectionsWithoutCertificateLeaveCapacityForLocalClients) {
   std::promise<void> listens;
   net::post(io, [&] {
     server->listen_local(path);
@@ -367,26 +367,26 @@
   net::io_context own;
   std::vector<net::ip::tcp::socket> held;
   for (int i = 0; i < 100; i++) held.emplace_back(own).connect(at);
-  // The last one is closed: by then all were looked at.
+  // The last one is closed by the server; by then all have been accepted.
   char byte = 0;
   error_code end;
   held.back().read_some(net::buffer(&byte, 1), end);
   EXPECT_TRUE(end);
   EXPECT_EQ(ask(path, "GET", "/v1/agent").status, 200u);
 }
-// As clients do that connect more than once.
+// Clients that connect repeatedly offer the session of an earlier connection.
 TEST_F(TlsTest, AnEarlierSessionMayBeOffered) {
   for (const int version : {TLS1_2_VERSION, TLS1_3_VERSION}) {
     std::vector<unsigned char> session;
     for (int i = 0; i < 3; i++) EXPECT_NE(ask_tls("ops", version, &session), "") << version << " " << i;
   }
 }
-TEST_F(TlsTest, ANameThatIsNoUtf8LeavesAnswersJson) {
+TEST_F(TlsTest, ANameThatIsNotUtf8IsMadePrintable) {
   EXPECT_NE(ask_tls("latin").find("X-Heronvane-Api: 1"), std::string::npos);
   EXPECT_EQ(agent.last_by, "certificate J?rg");
 }
 TEST_F(TlsTest, OldVersionsAreRefused) { EXPECT_EQ(ask_tls("ops", TLS1_1_VERSION), ""); }
-TEST_F(TlsTest, PlainTextIsDropped) {
+TEST_F(TlsTest, PlainTextGetsNoResponse) {
   net::io_context own;
   net::ip::tcp::socket s(own);
   s.connect(at);
@@ -397,7 +397,7 @@
   net::read(s, net::dynamic_buffer(all), bad);
   EXPECT_EQ(all.find("HTTP"), std::string::npos);
 }
-TEST_F(TlsTest, FilesThatCannotBeUsedAreNamed) {
+TEST_F(TlsTest, ErrorsNameTheUnusableFile) {
   ApiServer other(io, api);
   try {
     other.listen_tls({net::ip::make_address("127.0.0.1"), 0},
--- a/tests/fleet/api_test.cpp
+++ b/tests/fleet/api_test.cpp
@@ -1,4 +1,4 @@
-// Each request of the API and what it answers, without sockets.
+// Each request of the API and its response, without sockets.
 #include "api.hpp"
 
 #include <gtest/gtest.h>
@@ -16,14 +16,14 @@
  protected:
   ApiResponse ask(const std::string& method, const std::string& target, const std::string& body = "",
                   const std::string& peer = "uid 0 pid 1") {
-    ApiResponse got;
+    ApiResponse response;
     int answers = 0;
     api.handle({method, target, body, peer}, [&](ApiResponse r) {
-      got = std::move(r);
+      response = std::move(r);
       answers++;
     });
     EXPECT_EQ(answers, 1) << method << " " << target;
-    return got;
+    return response;
   }
   rapidjson::Document json(const ApiResponse& r) { return parse_json(r.body); }
   std::string code(const ApiResponse& r) {
@@ -34,7 +34,7 @@
   Api api{agent};
 };
 
-TEST_F(ApiTest, TheAgentTellsOfItself) {
+TEST_F(ApiTest, DescribesTheAgent) {
   const auto v = json(ask("GET", "/v1/agent"));
   EXPECT_STREQ(v["name"].GetString(), "host");
   EXPECT_EQ(v["api"].GetInt(), 1);
@@ -43,7 +43,7 @@
   EXPECT_TRUE(v["platform"].IsNull());
 }
 
-TEST_F(ApiTest, AFleetIsAppliedAndTold) {
+TEST_F(ApiTest, AppliesAFleetAndReportsIt) {
   const auto plan =
       ask("POST", "/v1/operations", kApply.substr(0, kApply.size() - 1) + R"(,"dry_run":true})");
   EXPECT_EQ(plan.status, 200u);
@@ -70,7 +70,7 @@
   EXPECT_EQ(ask("GET", "/v1/instances/n0/log?lines=7").stream->next().bytes, "the last 7\n");
 }
 
-TEST_F(ApiTest, OfTwoThatTouchAnInstanceTheSecondIsToldOfTheFirst) {
+TEST_F(ApiTest, TheSecondOperationOnAnInstanceConflictsWithTheFirst) {
   ask("POST", "/v1/operations", kApply);
   const auto second = ask("POST", "/v1/operations", R"({"kind":"restart","names":["n0"],"by":"other"})");
   EXPECT_EQ(second.status, 409u);
@@ -84,7 +84,7 @@
   EXPECT_EQ(third.status, 202u);
 }
 
-TEST_F(ApiTest, OneMadeAgainstAnOldGenerationIsStale) {
+TEST_F(ApiTest, AnOldGenerationIsStale) {
   ask("POST", "/v1/operations", kApply);
   ask("DELETE", "/v1/operations/1");
   const auto stale = ask("POST", "/v1/operations", R"({"kind":"up","names":"all","generation":0})");
@@ -102,14 +102,14 @@
   EXPECT_EQ(ask("DELETE", "/v1/operations/999").status, 404u);
 }
 
-TEST_F(ApiTest, AFullDiskIsStorage) {
+TEST_F(ApiTest, AFullDiskGivesAStorageError) {
   agent.storage_full = true;
   const auto r = ask("POST", "/v1/operations", kApply);
   EXPECT_EQ(r.status, 507u);
   EXPECT_EQ(code(r), "storage");
 }
 
-TEST_F(ApiTest, AHolderTakesOverOrEachSaysWhyNot) {
+TEST_F(ApiTest, TakeoverNamesTheHolderOrTheRefusals) {
   EXPECT_EQ(json(ask("POST", "/v1/takeover/n9"))["by"].GetString(), std::string("n1"));
   const auto refused = ask("POST", "/v1/takeover/n8");
   EXPECT_EQ(refused.status, 409u);
@@ -117,21 +117,21 @@
             std::string::npos);
 }
 
-TEST_F(ApiTest, MessagesAreToldAsRelaysTellThem) {
+TEST_F(ApiTest, MessagesAreReportedAsRelaysReportThem) {
   const auto v = json(ask("GET", "/v1/messages/m%201"));
   EXPECT_STREQ(v["found"][0]["instance"].GetString(), "n0");
   EXPECT_STREQ(v["found"][0]["id"].GetString(), "m%201");
   EXPECT_STREQ(v["not_asked"][0].GetString(), "n1");
 }
 
-TEST_F(ApiTest, TheCertificateStandsBesideTheName) {
+TEST_F(ApiTest, RecordsTheCertificateBesideTheGivenName) {
   ask("POST", "/v1/operations", kApply, "certificate ops");
   EXPECT_EQ(agent.last_by, "me (certificate ops)");
   ask("POST", "/v1/operations", R"({"kind":"up","names":"all"})", "certificate ops");
   EXPECT_EQ(agent.last_by, "certificate ops");
 }
 
-TEST_F(ApiTest, WhatIsWrongIsNamed) {
+TEST_F(ApiTest, MalformedRequestsGetAnErrorCode) {
   struct Case {
     std::string method, target, body;
     unsigned status;
@@ -198,8 +198,8 @@
   }
 }
 
-// One that reads slowly misses what is between, and costs no more memory for it.
-TEST(LineStreamTest, ASlowReaderGetsTheNewest) {
+// A slow reader skips intermediate lines, so that the memory for it is bounded.
+TEST(LineStreamTest, ASlowReaderGetsTheNewestLine) {
   LineStream s(1'000);
   for (int i = 0; i < 10'000; i++) s.push("line " + std::to_string(i), i == 9'999);
   std::string last;
--- a/tests/fleet/catalog_test.cpp
+++ b/tests/fleet/catalog_test.cpp
@@ -1,4 +1,4 @@
-// The list, its index and its history: whatever a follower saw last, it ends with the list that holds.
+// The list, its index and its history: whatever a follower received last, it ends with the current list.
 #include "fleet/catalog.hpp"
 
 #include <gtest/gtest.h>
@@ -15,9 +15,9 @@
   return {name, "127.0.0.1:8081", "a", "small", 7, status, 1.0, 0};
 }
 
-// What a relay makes of the lines it is told.
+// Applies lines as a relay does.
 struct Follower {
-  void take(const std::string& line) {
+  void apply_line(const std::string& line) {
     ASSERT_EQ(line.back(), '\n');
     ASSERT_EQ(line.find('\n'), line.size() - 1);
     rapidjson::Document v;
@@ -49,7 +49,7 @@
 
 void publish(Catalog& c, std::vector<Endpoint> list) { c.apply(c.compare(std::move(list))); }
 
-TEST(Catalog, CountsAndTellsWhatChanged) {
+TEST(Catalog, CountsAndSendsChanges) {
   Catalog c;
   EXPECT_FALSE(c.published());
   publish(c, {endpoint("a"), endpoint("b"), endpoint("c")});
@@ -65,7 +65,7 @@
   EXPECT_EQ(u.index, first + 1);
   c.apply(u);
   Follower f;
-  f.take(c.changes_since(first));
+  f.apply_line(c.changes_since(first));
   EXPECT_EQ(f.entries, 4u);
   EXPECT_NE(c.changes_since(first).find(
                 R"("name":"c","address":"127.0.0.1:8081","zone":"a","type":"small","group":7,)"
@@ -82,21 +82,21 @@
   EXPECT_EQ(c.changes_since(42), "{\"index\":42,\"snapshot\":false,\"endpoints\":[]}\n");
 }
 
-// The list may have changed while nobody watched its file: the index that was kept says nothing of this list.
-TEST(Catalog, AfterARestartEveryoneIsToldTheWholeList) {
+// The list may have changed while the agent was down, so the stored index does not identify this list.
+TEST(Catalog, AfterARestartFollowersGetTheWholeList) {
   Catalog before;
   publish(before, {endpoint("a"), endpoint("b")});
   Follower f;
-  f.take(before.snapshot());
+  f.apply_line(before.snapshot());
   Catalog after(before.index());
   publish(after, {endpoint("a")});
   EXPECT_GT(after.index(), f.index);
-  f.take(after.changes_since(f.index));
+  f.apply_line(after.changes_since(f.index));
   EXPECT_EQ(f.list.size(), 1u);
 }
 
-// An index from elsewhere, such as one lost and counted anew, gets the whole list.
-TEST(Catalog, AnIndexThatWasNeverToldGetsTheWholeList) {
+// An index that was never published, for example after the stored index was lost, gets the whole list.
+TEST(Catalog, AnUnknownIndexGetsTheWholeList) {
   Catalog c;
   publish(c, {endpoint("a")});
   EXPECT_EQ(c.changes_since(c.index() + 1), c.snapshot());
@@ -114,65 +114,65 @@
   std::vector<Endpoint> large;
   for (int i = 0; i < 20; i++) large.push_back(endpoint("b" + std::to_string(i)));
   publish(c, large);
-  EXPECT_FALSE(c.has_history_since(c.index() - 1));  // it would hold more than is kept
+  EXPECT_FALSE(c.has_history_since(c.index() - 1));  // the change has more entries than the history keeps
   EXPECT_TRUE(c.has_history_since(c.index()));
 }
 
-// Random lists: followers that stop at any index, and go on later, end with the list that holds.
-TEST(Catalog, AFollowerFromAnyIndexEndsWithTheList) {
+// Random lists: followers that stop at any index and resume later end with the current list.
+TEST(Catalog, FollowersFromAnyIndexEndWithTheCurrentList) {
   for (unsigned seed = 1; seed <= 200; seed++) {
     SCOPED_TRACE(seed);
     std::mt19937 random(seed);
-    const auto upto = [&](unsigned n) { return static_cast<unsigned>(random() % (n + 1)); };
-    const std::size_t history = upto(60);
-    Catalog c(upto(5), history);
-    std::vector<Follower> followers(1);  // the first never saw anything
+    const auto random_up_to = [&](unsigned n) { return static_cast<unsigned>(random() % (n + 1)); };
+    const std::size_t history = random_up_to(60);
+    Catalog c(random_up_to(5), history);
+    std::vector<Follower> followers(1);  // the first has received nothing
     std::vector<Endpoint> list;
     std::int64_t last = -1;
     for (unsigned step = 0; step < 40; step++) {
-      if (upto(19) == 0) c = Catalog(c.index(), history);  // a restart
-      for (unsigned n = upto(4); n > 0; n--) {
-        const std::string name = "e" + std::to_string(upto(12));
+      if (random_up_to(19) == 0) c = Catalog(c.index(), history);  // a restart
+      for (unsigned n = random_up_to(4); n > 0; n--) {
+        const std::string name = "e" + std::to_string(random_up_to(12));
         std::erase_if(list, [&](const Endpoint& e) { return e.name == name; });
-        if (upto(2) == 0) continue;
-        auto e = endpoint(name, upto(3) == 0 ? Status::draining : Status::ready);
-        e.weight = upto(2) * 0.1, e.group = upto(1), e.since_ms = upto(1);
+        if (random_up_to(2) == 0) continue;
+        auto e = endpoint(name, random_up_to(3) == 0 ? Status::draining : Status::ready);
+        e.weight = random_up_to(2) * 0.1, e.group = random_up_to(1), e.since_ms = random_up_to(1);
         list.push_back(e);
       }
       std::shuffle(list.begin(), list.end(), random);
-      const bool fresh = !c.published();
+      const bool is_first = !c.published();
       const auto u = c.compare(list);
-      EXPECT_EQ(u.index > c.index(), fresh || !u.changes.empty());
+      EXPECT_EQ(u.index > c.index(), is_first || !u.changes.empty());
       c.apply(u);
       EXPECT_GE(c.index(), last);
       last = c.index();
-      Follower now;
-      now.take(c.snapshot());
-      EXPECT_EQ(now.list.size(), list.size());
-      for (const auto& e : list) EXPECT_EQ(now.list[e.name], e);
-      const Follower stays = followers[upto(static_cast<unsigned>(followers.size()) - 1)];
+      Follower current;
+      current.apply_line(c.snapshot());
+      EXPECT_EQ(current.list.size(), list.size());
+      for (const auto& e : list) EXPECT_EQ(current.list[e.name], e);
+      const Follower paused_follower = followers[random_up_to(static_cast<unsigned>(followers.size()) - 1)];
       for (auto& f : followers) {
-        if (upto(2) == 0) continue;
-        f.take(c.changes_since(f.index));
-        EXPECT_EQ(f, now);
+        if (random_up_to(2) == 0) continue;
+        f.apply_line(c.changes_since(f.index));
+        EXPECT_EQ(f, current);
       }
-      followers.push_back(stays);
+      followers.push_back(paused_follower);
     }
-    Follower now;
-    now.take(c.snapshot());
+    Follower current;
+    current.apply_line(c.snapshot());
     for (auto& f : followers) {
-      f.take(c.changes_since(f.index));
-      EXPECT_EQ(f, now);
+      f.apply_line(c.changes_since(f.index));
+      EXPECT_EQ(f, current);
     }
   }
 }
 
-// What it tells can be taken as a partner list.
-TEST(Catalog, ItsWholeListIsAPartnerList) {
+// The snapshot that relays get can be used as a partner list.
+TEST(Catalog, TheSnapshotIsAValidPartnerList) {
   Catalog c;
-  auto odd = endpoint("quote\" \xc3\xa9");
-  odd.weight = 0.1;
-  publish(c, {odd, endpoint("b", Status::draining)});
+  auto escaped = endpoint("quote\" \xc3\xa9");
+  escaped.weight = 0.1;
+  publish(c, {escaped, endpoint("b", Status::draining)});
   const auto list = read_partners(c.snapshot());
   EXPECT_EQ(list.error(), "");
   EXPECT_TRUE(c.compare(list.endpoints).changes.empty());
--- a/tests/fleet/fleet_file_test.cpp
+++ b/tests/fleet/fleet_file_test.cpp
@@ -1,4 +1,4 @@
-// The fleet as it is applied: slips are named, and what relays get is what they read.
+// The fleet file: errors name the field, and relays can read the configuration made from it.
 #include "fleet_file.hpp"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
 const std::string kTwo =
     R"("instances":[{"name":"n0","listen":"127.0.0.1:8081"},{"name":"n1","listen":"127.0.0.1:8082"}])";
 
-std::string trouble(const std::string& json) {
+std::string error_of(const std::string& json) {
   try {
     Fleet::read(json);
     return "";
@@ -26,7 +26,7 @@
   }
 }
 
-TEST(FleetFileTest, RelaysReadTheirConfiguration) {
+TEST(FleetFileTest, RelaysCanReadTheConfiguration) {
   const Fleet f = Fleet::read(
       R"({"discovery":"127.0.0.1:8500","limits":{"disk_mb":7},"store":{"durability":"machine"},)" + kTwo +
       "}");
@@ -45,7 +45,7 @@
   EXPECT_THROW(f.config("n2", 1, 1), std::exception);
 }
 
-TEST(FleetFileTest, InstancesAreMembersOfEachOthersCopies) {
+TEST(FleetFileTest, InstancesAreMembersForCopies) {
   const std::string head = R"({"discovery":"127.0.0.1:8500","copies":{"cluster":"north","holders":1,
       "member":[{"name":"far","address":"10.0.0.9:9400","machine":"b"}]},"instances":[)";
   const Fleet f =
@@ -59,22 +59,22 @@
   EXPECT_EQ(c.members[1].address, "127.0.0.1:9401");
   EXPECT_EQ(c.members[1].machine, "a");
   EXPECT_NE(
-      trouble(head + R"({"name":"n0","listen":"127.0.0.1:8081"}]})").find("instances[0].copies: is missing"),
+      error_of(head + R"({"name":"n0","listen":"127.0.0.1:8081"}]})").find("instances[0].copies: is missing"),
       std::string::npos);
-  EXPECT_NE(trouble(R"({"discovery":"127.0.0.1:8500","instances":[{"name":"n0","listen":"127.0.0.1:8081",
+  EXPECT_NE(error_of(R"({"discovery":"127.0.0.1:8500","instances":[{"name":"n0","listen":"127.0.0.1:8081",
                     "copies":"127.0.0.1:9401"}]})")
                 .find("requires fleet.copies"),
             std::string::npos);
 }
 
-TEST(FleetFileTest, ThePlatformIsTheirDiscovery) {
+TEST(FleetFileTest, ThePlatformIsTheDefaultDiscovery) {
   const Fleet f = Fleet::read(R"({"platform":{"listen":"127.0.0.1:8500","partners":[]},)" + kTwo + "}");
   EXPECT_EQ(read_config(f.config("n0", 1, 1)).discovery.port(), 8500);
   EXPECT_EQ(f.platform()->partners, R"({"endpoints":[]})");
 }
 
-// A partner more changes the platform alone: no relay is restarted for it.
-TEST(FleetFileTest, PartnersAreNoPartOfConfigurations) {
+// An added partner changes only the platform: no relay is restarted for it.
+TEST(FleetFileTest, PartnersAreNotPartOfTheConfiguration) {
   const auto one = Fleet::read(R"({"platform":{"listen":"127.0.0.1:8500","partners":[]},)" + kTwo + "}");
   const auto two = Fleet::read(
       R"({"platform":{"listen":"127.0.0.1:8500","partners":[{"name":"s","address":"127.0.0.1:5","group":7}]},)" +
@@ -83,9 +83,9 @@
   EXPECT_NE(one.spec().loose, two.spec().loose);
 }
 
-TEST(FleetFileTest, SlipsAreNamed) {
+TEST(FleetFileTest, ErrorsNameTheField) {
   const std::string d = R"({"discovery":"127.0.0.1:8500",)";
-  EXPECT_EQ(trouble(d + kTwo + "}"), "");
+  EXPECT_EQ(error_of(d + kTwo + "}"), "");
   const std::pair<std::string, std::string> all[] = {
       {"[]", "fleet: must be an object"},
       {"{", "JSON: "},
@@ -114,20 +114,20 @@
        "fleet.platform.partners: "},
   };
   for (const auto& [json, what] : all)
-    EXPECT_NE(trouble(json).find(what), std::string::npos) << json << "\n" << trouble(json);
+    EXPECT_NE(error_of(json).find(what), std::string::npos) << json << "\n" << error_of(json);
   std::string deep = d + kTwo + R"(,"settings":)";
   deep += std::string(100'000, '[') + std::string(100'000, ']') + "}";
-  EXPECT_NE(trouble(deep).find("nested deeper"), std::string::npos);
+  EXPECT_NE(error_of(deep).find("nested deeper"), std::string::npos);
 }
 
-TEST(JsonTest, AnyBytesBecomeUtf8) {
+TEST(JsonTest, PrintableReplacesInvalidUtf8) {
   EXPECT_EQ(printable("a\xc3\xa4\xe2\x82\xac\xf0\x9f\x98\x80"), "a\xc3\xa4\xe2\x82\xac\xf0\x9f\x98\x80");
   EXPECT_EQ(printable("\xff\xc0\x80x\xed\xa0\x80\xe2\x82"), "???x?????");
 }
 
-// A folder that can't be looked at is not gone: the relay in it would be ended for a disk that did not
-// answer.
-TEST(InstanceFolderTest, OnlyWhatIsKnownToBeGoneIsGone) {
+// A state folder that can't be accessed does not count as deleted: the relay in it would be ended because of
+// a disk that does not respond.
+TEST(InstanceFolderTest, AnInaccessibleFolderDoesNotCountAsDeleted) {
   namespace fs = std::filesystem;
   const std::string data = (fs::temp_directory_path() / ("folder-" + std::to_string(::getpid()))).string();
   const InstanceFolder folder(data, "n0");
--- a/tests/fleet/partners_test.cpp
+++ b/tests/fleet/partners_test.cpp
@@ -1,4 +1,4 @@
-// The partner list: what is wrong is told with its line, its field and what to do.
+// The partner list: each problem has its line, its field and advice.
 #include "fleet/partners.hpp"
 
 #include <gtest/gtest.h>
@@ -12,11 +12,11 @@
     R"({"name":"s-1","address":"127.0.0.1:8081","zone":"a","type":"small","group":7,"status":"draining",)"
     R"("weight":0.1,"since_ms":1700000000000})";
 
-std::string of(const std::string& entries) { return "{\"endpoints\":[\n" + entries + "\n]}\n"; }
+std::string list_of(const std::string& entries) { return "{\"endpoints\":[\n" + entries + "\n]}\n"; }
 
-TEST(Partners, AreRead) {
+TEST(Partners, ValidListsAreParsed) {
   const auto list = read_partners(
-      of(kGood + ",\n" + R"({"name":"s-2","address":"::1:80","group":-3,"zone":null,"weight":2})"));
+      list_of(kGood + ",\n" + R"({"name":"s-2","address":"::1:80","group":-3,"zone":null,"weight":2})"));
   ASSERT_EQ(list.error(), "");
   ASSERT_EQ(list.endpoints.size(), 2u);
   EXPECT_EQ(list.endpoints[0],
@@ -33,14 +33,14 @@
 };
 
 TEST(Partners, EachProblemNamesItsLineAndField) {
-  const auto entry = [](const std::string& fields) {
-    return of(kGood + ",\n{\"name\":\"s-2\",\"address\":\"127.0.0.1:1\",\"group\":1" + fields + "}");
+  const auto with_fields = [](const std::string& fields) {
+    return list_of(kGood + ",\n{\"name\":\"s-2\",\"address\":\"127.0.0.1:1\",\"group\":1" + fields + "}");
   };
-  const auto at = [](const std::string& address) {
-    return of(R"({"name":"s-2","group":1,)"
-              "\n"
-              R"("address":")" +
-              address + "\"}");
+  const auto with_address = [](const std::string& address) {
+    return list_of(R"({"name":"s-2","group":1,)"
+                   "\n"
+                   R"("address":")" +
+                   address + "\"}");
   };
   const std::vector<Case> cases = {
       {"", 1, "", "not JSON"},
@@ -52,44 +52,44 @@
       {"{\"endpoints\":[],\"endpoints\":[]}", 1, "endpoints", "twice"},
       {"{\"endpoints\":[5]}", 1, "endpoints", "not an object"},
       {"{\"endpoints\":[[]]}", 1, "endpoints", "not an object"},
-      {of(kGood + "\n" + kGood), 3, "", "not JSON"},
-      {of(kGood + ","), 3, "", "not JSON"},
-      {of(kGood).substr(0, 60), 2, "", "not JSON"},
-      {of(kGood) + "x", 4, "", "not JSON"},
-      {of(kGood) + std::string(1, '\0'), 4, "", "byte 0"},
-      {of("{\"name\":\"\xff\"}"), 2, "", "not JSON"},
-      {of(kGood + ",\n" + kGood), 3, "endpoints[1].name", "line 2"},
-      {of(R"({"name":"","address":"127.0.0.1:1","group":1})"), 2, "endpoints[0].name", "empty"},
-      {of(R"({"address":"127.0.0.1:1","group":1})"), 2, "endpoints[0].name", "missing"},
-      {of(R"({"name":"a","group":1})"), 2, "endpoints[0].address", "missing"},
-      {of(R"({"name":"a","address":"127.0.0.1:1"})"), 2, "endpoints[0].group", "missing"},
-      {of(R"({"name":"a\u0001","address":"127.0.0.1:1","group":1})"), 2, "endpoints[0].name", "control"},
-      {at("s-1.svc:80"), 3, "endpoints[0].address", "numeric"},
-      {at("127.0.0.1"), 3, "endpoints[0].address", "no port"},
-      {at("127.0.0.1:"), 3, "endpoints[0].address", "not end in a port"},
-      {at("127.0.0.1:0"), 3, "endpoints[0].address", "not end in a port"},
-      {at("127.0.0.1:65536"), 3, "endpoints[0].address", "not end in a port"},
-      {at("127.0.0.1:+1"), 3, "endpoints[0].address", "not end in a port"},
-      {at("[::1]:80"), 3, "endpoints[0].address", "numeric"},  // relays can't read it
-      {at("0.0.0.0:80"), 3, "endpoints[0].address", "numeric"},
-      {entry(",\n\"group\":1"), 4, "endpoints[1].group", "twice"},
-      {entry(",\n\"wieght\":1"), 4, "endpoints[1].'wieght'", "not a field"},
-      {entry(",\n\"wieght\":{}"), 4, "endpoints[1].'wieght'", "not a field"},
-      {entry(",\"status\":\"gone\""), 3, "endpoints[1].status", "not a status"},
-      {entry(",\"status\":1"), 3, "endpoints[1].status", "not a string"},
-      {entry(",\"zone\":true"), 3, "endpoints[1].zone", "not a string"},
-      {entry(",\"type\":[]"), 3, "endpoints[1].type", "not a string"},
-      {entry(",\"zone\":\"" + std::string(300, 'z') + "\""), 3, "endpoints[1].zone", "longer"},
-      {entry(",\"weight\":\"1\""), 3, "endpoints[1].weight", "not a number"},
-      {entry(",\"weight\":-1"), 3, "endpoints[1].weight", "range"},
-      {entry(",\"weight\":1e300"), 3, "endpoints[1].weight", "range"},
-      {entry(",\"weight\":18446744073709551615"), 3, "endpoints[1].weight", "range"},
-      {entry(",\"since_ms\":-1"), 3, "endpoints[1].since_ms", "range"},
-      {entry(",\"since_ms\":1.5"), 3, "endpoints[1].since_ms", "not a whole number"},
-      {of(R"({"name":"a","address":"127.0.0.1:1","group":1.0})"), 2, "endpoints[0].group",
-       "not a whole number"},
-      {of(R"({"name":"a","address":"127.0.0.1:1","group":99999999999999999999})"), 2, "endpoints[0].group",
+      {list_of(kGood + "\n" + kGood), 3, "", "not JSON"},
+      {list_of(kGood + ","), 3, "", "not JSON"},
+      {list_of(kGood).substr(0, 60), 2, "", "not JSON"},
+      {list_of(kGood) + "x", 4, "", "not JSON"},
+      {list_of(kGood) + std::string(1, '\0'), 4, "", "byte 0"},
+      {list_of("{\"name\":\"\xff\"}"), 2, "", "not JSON"},
+      {list_of(kGood + ",\n" + kGood), 3, "endpoints[1].name", "line 2"},
+      {list_of(R"({"name":"","address":"127.0.0.1:1","group":1})"), 2, "endpoints[0].name", "empty"},
+      {list_of(R"({"address":"127.0.0.1:1","group":1})"), 2, "endpoints[0].name", "missing"},
+      {list_of(R"({"name":"a","group":1})"), 2, "endpoints[0].address", "missing"},
+      {list_of(R"({"name":"a","address":"127.0.0.1:1"})"), 2, "endpoints[0].group", "missing"},
+      {list_of(R"({"name":"a\u0001","address":"127.0.0.1:1","group":1})"), 2, "endpoints[0].name", "control"},
+      {with_address("s-1.svc:80"), 3, "endpoints[0].address", "numeric"},
+      {with_address("127.0.0.1"), 3, "endpoints[0].address", "no port"},
+      {with_address("127.0.0.1:"), 3, "endpoints[0].address", "not end in a port"},
+      {with_address("127.0.0.1:0"), 3, "endpoints[0].address", "not end in a port"},
+      {with_address("127.0.0.1:65536"), 3, "endpoints[0].address", "not end in a port"},
+      {with_address("127.0.0.1:+1"), 3, "endpoints[0].address", "not end in a port"},
+      {with_address("[::1]:80"), 3, "endpoints[0].address", "numeric"},  // relays can't parse it
+      {with_address("0.0.0.0:80"), 3, "endpoints[0].address", "numeric"},
+      {with_fields(",\n\"group\":1"), 4, "endpoints[1].group", "twice"},
+      {with_fields(",\n\"wieght\":1"), 4, "endpoints[1].'wieght'", "not a field"},
+      {with_fields(",\n\"wieght\":{}"), 4, "endpoints[1].'wieght'", "not a field"},
+      {with_fields(",\"status\":\"gone\""), 3, "endpoints[1].status", "not a status"},
+      {with_fields(",\"status\":1"), 3, "endpoints[1].status", "not a string"},
+      {with_fields(",\"zone\":true"), 3, "endpoints[1].zone", "not a string"},
+      {with_fields(",\"type\":[]"), 3, "endpoints[1].type", "not a string"},
+      {with_fields(",\"zone\":\"" + std::string(300, 'z') + "\""), 3, "endpoints[1].zone", "longer"},
+      {with_fields(",\"weight\":\"1\""), 3, "endpoints[1].weight", "not a number"},
+      {with_fields(",\"weight\":-1"), 3, "endpoints[1].weight", "range"},
+      {with_fields(",\"weight\":1e300"), 3, "endpoints[1].weight", "range"},
+      {with_fields(",\"weight\":18446744073709551615"), 3, "endpoints[1].weight", "range"},
+      {with_fields(",\"since_ms\":-1"), 3, "endpoints[1].since_ms", "range"},
+      {with_fields(",\"since_ms\":1.5"), 3, "endpoints[1].since_ms", "not a whole number"},
+      {list_of(R"({"name":"a","address":"127.0.0.1:1","group":1.0})"), 2, "endpoints[0].group",
        "not a whole number"},
+      {list_of(R"({"name":"a","address":"127.0.0.1:1","group":99999999999999999999})"), 2,
+       "endpoints[0].group", "not a whole number"},
       {std::string(1'000'000, '['), 1, "", "not an object"},
   };
   for (const auto& c : cases) {
@@ -106,10 +106,10 @@
   }
 }
 
-TEST(Partners, AllProblemsAreToldUpToABound) {
-  const auto list = read_partners(of(R"({"name":"","address":"x","group":"7"},)"
-                                     "\n"
-                                     R"({"name":"a"})"));
+TEST(Partners, ReportsAllProblemsUpToALimit) {
+  const auto list = read_partners(list_of(R"({"name":"","address":"x","group":"7"},)"
+                                          "\n"
+                                          R"({"name":"a"})"));
   std::vector<std::string> fields;
   for (const auto& p : list.problems) fields.push_back(p.field);
   EXPECT_EQ(fields,
@@ -117,37 +117,37 @@
                                       "endpoints[1].address", "endpoints[1].group"}));
   std::string many = "{}";
   for (int i = 0; i < 100; i++) many += ",{}";
-  EXPECT_EQ(read_partners(of(many)).problems.size(), 20u);
+  EXPECT_EQ(read_partners(list_of(many)).problems.size(), 20u);
 }
 
-TEST(Partners, AreBounded) {
+TEST(Partners, LimitsEntriesAndBytes) {
   std::string entries;
   const auto add = [&](std::size_t i) {
     entries += (i > 0 ? "," : "") + (R"({"name":"s-)" + std::to_string(i)) +
                R"(","address":"127.0.0.1:8081","group":7})";
   };
   for (std::size_t i = 0; i < kMaxPartners; i++) add(i);
-  EXPECT_EQ(read_partners(of(entries)).endpoints.size(), kMaxPartners);
+  EXPECT_EQ(read_partners(list_of(entries)).endpoints.size(), kMaxPartners);
   add(kMaxPartners);
-  EXPECT_NE(read_partners(of(entries)).error().find("more than 100000"), std::string::npos);
+  EXPECT_NE(read_partners(list_of(entries)).error().find("more than 100000"), std::string::npos);
   EXPECT_NE(read_partners(std::string(kMaxPartnersBytes + 1, ' ')).error().find("bytes"), std::string::npos);
 }
 
-// Spoilt in any way, a list is read or refused; what is refused gives no endpoints.
-TEST(Partners, SpoiltTextsAreReadOrRefused) {
+// Randomly corrupted lists are parsed or rejected; rejected ones give no endpoints.
+TEST(Partners, CorruptedTextsAreParsedOrRejected) {
   const std::string good =
-      of(kGood + "," + kGood + ",{\"name\":\"\\u00e9\",\"address\":\"::1:1\",\"group\":1}");
+      list_of(kGood + "," + kGood + ",{\"name\":\"\\u00e9\",\"address\":\"::1:1\",\"group\":1}");
   for (unsigned seed = 0; seed < 20'000; seed++) {
     std::mt19937 random(seed);
     std::string text = good;
     for (auto n = 1 + random() % 3; n > 0; n--) {
-      const auto at = random() % text.size();
+      const auto with_address = random() % text.size();
       if (random() % 3 == 0)
-        text.erase(at, 1 + random() % 20);
+        text.erase(with_address, 1 + random() % 20);
       else if (random() % 2 == 0)
-        text[at] = static_cast<char>(random() % 256);
+        text[with_address] = static_cast<char>(random() % 256);
       else
-        text.insert(at, good.substr(random() % good.size(), random() % 20));
+        text.insert(with_address, good.substr(random() % good.size(), random() % 20));
       if (text.empty()) break;
     }
     const auto list = read_partners(text);
--- a/tests/fleet/server_test.cpp
+++ b/tests/fleet/server_test.cpp
@@ -1,4 +1,4 @@
-// The platform server and the watched file, with clients of every kind.
+// The platform server and the watched partner file, with well-behaved, slow and malformed clients.
 #include <sys/resource.h>
 #include <sys/stat.h>
 
@@ -45,7 +45,7 @@
   RawPtr watch(std::int64_t since = 0) {
     return send(get("/catalog/members?follow=1&since=" + std::to_string(since)));
   }
-  // The others are served whatever the rest does.
+  // Expects that a notice is stored and the list is served, whatever the other clients do.
   void expect_served() {
     static int number = 0;
     const std::string id = "served" + std::to_string(number++);
@@ -60,7 +60,7 @@
     const auto until = std::chrono::steady_clock::now() + kPatience;
     while (!condition()) {
       if (std::chrono::steady_clock::now() > until)
-        FAIL() << "waited in vain until " << what << "\n" << own.log;
+        FAIL() << "timed out waiting for: " << what << "\n" << own.log;
       io.restart();
       io.run_one_for(milliseconds(5));
     }
@@ -78,7 +78,7 @@
     own.options.listen = {net::ip::make_address(address), 0};
     try {
       fleet::PlatformServer server(io, finals, own.options, own.callbacks);
-      FAIL() << "it listens";
+      FAIL() << "the server listens";
     } catch (const std::runtime_error& e) {
       EXPECT_NE(std::string(e.what()).find("not a loopback address"), std::string::npos) << e.what();
     }
@@ -88,7 +88,7 @@
   EXPECT_THROW(fleet::PlatformServer(io, finals, own.options, own.callbacks), std::runtime_error);
 }
 
-TEST_F(ServerTest, TellsTheWholeListAndChanges) {
+TEST_F(ServerTest, SendsTheWholeListAndChanges) {
   start();
   const auto list = ask(get("/catalog/members"));
   EXPECT_EQ(list->status(), 200u);
@@ -110,7 +110,7 @@
   wait_for([&] { return own.server->status().watchers == 0; }, "both watches end");
 }
 
-TEST_F(ServerTest, AnEmptyLineComesWhileNothingChanges) {
+TEST_F(ServerTest, SendsHeartbeatsWhileNothingChanges) {
   own.options.heartbeat_interval = milliseconds(20);
   start();
   const auto w = watch();
@@ -118,8 +118,8 @@
   EXPECT_EQ(w->count("snapshot"), 1u);
 }
 
-// An empty list would have relays drop all they know.
-TEST_F(ServerTest, AnswersNothingBeforeTheFirstList) {
+// An empty list in place of an unknown one would make relays remove all their endpoints.
+TEST_F(ServerTest, Gives503BeforeTheFirstList) {
   own.start();
   EXPECT_EQ(ask(get("/catalog/members"))->status(), 503u);
   EXPECT_EQ(ask(get("/catalog/members?follow=1&since=0"))->status(), 503u);
@@ -127,7 +127,7 @@
   EXPECT_EQ(ask(get("/catalog/members"))->status(), 200u);
 }
 
-TEST_F(ServerTest, NothingElseIsThere) {
+TEST_F(ServerTest, OtherRequestsGetErrors) {
   start();
   const std::vector<std::pair<std::string, unsigned>> cases = {
       {get("/"), 404},
@@ -156,7 +156,7 @@
   expect_served();
 }
 
-TEST_F(ServerTest, NoticesAreStoredOnceOrNotAtAll) {
+TEST_F(ServerTest, NoticesOfARequestAreAllStoredOnceOrNone) {
   start();
   EXPECT_EQ(ask(post(notice("a") + "\n" + notice("b") + "\n"))->status(), 204u);
   EXPECT_EQ(ask(post(notice("a")))->status(), 204u);
@@ -167,12 +167,12 @@
   EXPECT_EQ(own.server->status().finals, 2);
 }
 
-TEST_F(ServerTest, ChunkedContinuedAndPipelinedRequestsAreServed) {
+TEST_F(ServerTest, ServesChunkedContinuedAndPipelinedRequests) {
   start();
   const std::string body = notice("a") + "\n";
   const auto c = send("POST /v2/finals HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: " +
                       std::to_string(body.size()) + "\r\n\r\n");
-  wait_for([&] { return c->status() == 100; }, "it may go on");
+  wait_for([&] { return c->status() == 100; }, "the 100 Continue");
   c->write(body + "POST /v2/finals HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n{\r\n0\r\n\r\n" +
            get("/catalog/members") + get("/nowhere", "Connection: close\r\n"));
   wait_for([&] { return c->ended; }, "all answers");
@@ -182,8 +182,8 @@
   EXPECT_TRUE(own.finals->find("a"));
 }
 
-// The reason that the disk gives stays with the relay, which sends it again.
-TEST_F(ServerTest, AFullDiskIsToldAndLivedThrough) {
+// The relay keeps a notice that is refused with 503, and sends it again.
+TEST_F(ServerTest, AFullDiskIsReportedUntilThereIsSpaceAgain) {
   start();
   own.finals->set_max_bytes(4096);
   const std::string many = [] {
@@ -200,13 +200,13 @@
   EXPECT_EQ(own.server->status().notices_error, "");
 }
 
-// One request that finds no room does not cost those that came with it.
-TEST_F(ServerTest, OneThatFindsNoRoomHarmsNoOther) {
+// A request that does not fit on the disk must not make those in the same transaction fail.
+TEST_F(ServerTest, ARequestThatDoesNotFitDoesNotFailOthers) {
   start();
   own.finals->set_max_bytes(200 * 1024);
   std::string many;
   for (int i = 0; i < 12'000; i++) many += notice("m" + std::to_string(i)) + "\n";
-  // Their last bytes come in one turn of the loop, so that they share a transaction.
+  // Their last bytes arrive in one turn of the event loop, so that the requests share a transaction.
   const std::string first = post(many), second = post(notice("a"));
   const auto large = send(first.substr(0, first.size() - 1));
   const auto small = send(second.substr(0, second.size() - 1));
@@ -220,13 +220,13 @@
   EXPECT_EQ(own.finals->count(), 1);
 }
 
-// A change that came while no server ran, and one that came before a watcher was back.
-TEST_F(ServerTest, ARestartWithItsKeptIndexLosesNoChange) {
+// The list changes while no server runs; a watch that resumes from its index still gets the change.
+TEST_F(ServerTest, ARestartWithTheStoredIndexLosesNoChange) {
   start();
   const auto before = watch();
   wait_for([&] { return before->has("s-2"); }, "the list");
   own.stop();
-  wait_for([&] { return before->ended; }, "watches end with it");
+  wait_for([&] { return before->ended; }, "the watch ends with the server");
   own.start();
   own.server->publish({one("s-1")});
   EXPECT_EQ(own.kept_index, 2);
@@ -235,7 +235,7 @@
   EXPECT_FALSE(after->has("s-2"));
 }
 
-TEST_F(ServerTest, AnIndexThatCannotBeKeptIsNotTold) {
+TEST_F(ServerTest, AListWhoseIndexCannotBeStoredIsNotPublished) {
   start();
   const auto w = watch();
   own.can_keep = false;
@@ -246,7 +246,7 @@
   wait_for([&] { return w->has("\"index\":2"); }, "the change");
 }
 
-TEST_F(ServerTest, HalfRequestsAndSilentConnectionsEnd) {
+TEST_F(ServerTest, ClosesIdleConnectionsAndUnfinishedRequests) {
   own.options.request_timeout = own.options.idle_timeout = milliseconds(1000);
   start();
   const auto silent = connect(), head = send("POST /v2/finals HT"),
@@ -254,13 +254,14 @@
              kept = send(get("/catalog/members"));
   const auto half = send(post(notice("never")).substr(0, 70));
   half->end_sending();
-  for (const auto& c : {silent, head, body, kept, half}) wait_for([&] { return c->ended; }, "it is ended");
+  for (const auto& c : {silent, head, body, kept, half})
+    wait_for([&] { return c->ended; }, "the connection is closed");
   EXPECT_EQ(kept->status(), 200u);
   EXPECT_EQ(own.finals->count(), 0);
   EXPECT_EQ(own.server->status().connections, 0u);
 }
 
-// Relays give up a list that long, and would be told of no change any more with nobody knowing.
+// Relays reject a list that long and would get no further changes; the log must show it.
 TEST_F(ServerTest, AListTooLongForRelaysIsLogged) {
   own.start();
   std::vector<fleet::Endpoint> list;
@@ -273,17 +274,17 @@
   EXPECT_EQ(own.log.find("relays read no more"), std::string::npos);
 }
 
-// A watch outlasts all limits on requests.
-TEST_F(ServerTest, AWatchIsNotEndedByRequestTimes) {
+// The timeouts of requests do not apply to watches.
+TEST_F(ServerTest, RequestTimeoutsDoNotEndAWatch) {
   own.options.request_timeout = own.options.idle_timeout = own.options.write_timeout = milliseconds(500);
   own.options.heartbeat_interval = milliseconds(30);
   start();
   const auto w = watch();
-  wait_for([&] { return w->ended || w->count("1\r\n\n\r\n") > 40; }, "many beats");
+  wait_for([&] { return w->ended || w->count("1\r\n\n\r\n") > 40; }, "many heartbeats");
   EXPECT_FALSE(w->ended);
 }
 
-TEST_F(ServerTest, SlowReadersAreDropped) {
+TEST_F(ServerTest, ClosesSlowReaders) {
   own.options.write_timeout = milliseconds(3000);
   start();
   std::vector<fleet::Endpoint> large;
@@ -292,19 +293,19 @@
   slow->write(get("/catalog/members?follow=1&since=0"));
   wait_for([&] { return own.server->status().watchers == 1; }, "the slow watch");
   const auto reads = watch();
-  wait_for([&] { return reads->has("s-2"); }, "its list");
+  wait_for([&] { return reads->has("s-2"); }, "the list of the other watch");
   own.server->publish(large);
   slow_list->write(get("/catalog/members"));
-  wait_for([&] { return own.server->status().connections == 1; }, "both slow ones are dropped");
+  wait_for([&] { return own.server->status().connections == 1; }, "both slow connections are closed");
   EXPECT_EQ(own.server->status().watchers, 1u);
-  wait_for([&] { return reads->has("s-49999"); }, "the other has all");
+  wait_for([&] { return reads->has("s-49999"); }, "the other watch has the whole list");
   large.pop_back();
   own.server->publish(large);
   wait_for([&] { return reads->has("\"index\":3"); }, "and the next change");
 }
 
-// Many changes while a watcher reads nothing cost one line, and it is told the last state once it reads.
-TEST_F(ServerTest, ChangesThatAWatcherHasNotReadAreOneLine) {
+// Changes made while a watch reads nothing are merged into one line, with the latest state.
+TEST_F(ServerTest, MergesChangesForASlowWatch) {
   start();
   const auto w = connect(false);
   w->write(get("/catalog/members?follow=1&since=0"));
@@ -328,11 +329,11 @@
       },
       "the last index");
   EXPECT_LT(reading->size(), 30'000'000u);
-  std::size_t told = 0;
+  std::size_t sent = 0;
   for (auto at = reading->find("\"index\":"); at != std::string::npos;
        at = reading->find("\"index\":", at + 1))
-    told++;
-  EXPECT_LT(told, 6u);
+    sent++;
+  EXPECT_LT(sent, 6u);
 }
 
 TEST_F(ServerTest, TwoThousandWatchersDoNotStallOthers) {
@@ -353,11 +354,11 @@
         return std::all_of(all.begin(), all.end(),
                            [](const RawPtr& c) { return c->ended || c->has("\n\r\n"); });
       },
-      "each is answered or ended");
+      "each watch is answered or closed");
   EXPECT_EQ(own.server->status().watchers, 1024u);
-  std::size_t told = 0, refused = 0;
-  for (const auto& c : all) told += c->status() == 200, refused += c->status() == 503;
-  EXPECT_EQ(told, 1024u);
+  std::size_t sent = 0, refused = 0;
+  for (const auto& c : all) sent += c->status() == 200, refused += c->status() == 503;
+  EXPECT_EQ(sent, 1024u);
   EXPECT_EQ(refused, 976u);
   expect_served();
   own.server->publish({one("s-1")});
@@ -368,11 +369,11 @@
       },
       "each watcher has the change");
   for (const auto& c : all) c->close();
-  wait_for([&] { return own.server->status().watchers == 0; }, "they go");
+  wait_for([&] { return own.server->status().watchers == 0; }, "all watches end");
 }
 
-// The longest silent makes room; requests that are whole are served whatever number of halves stands.
-TEST_F(ServerTest, HalfRequestsInNumbersDoNotStallOthers) {
+// At the limit the longest idle connection is closed: unfinished requests do not block complete ones.
+TEST_F(ServerTest, ManyUnfinishedRequestsDoNotStallOthers) {
   own.options.max_connections = 100;
   start();
   const auto w = watch();
@@ -385,16 +386,16 @@
   wait_for([&] { return w->has("\"index\":2"); }, "the watch goes on");
 }
 
-TEST_F(ServerTest, BodiesUnderWayAreBounded) {
+TEST_F(ServerTest, LimitsBytesOfUnfinishedBodies) {
   own.options.max_total_body_bytes = 3 << 20;
   start();
   for (int i = 0; i < 3; i++) send("POST /v2/finals HTTP/1.1\r\nContent-Length: 1048576\r\n\r\nhalf");
-  wait_for([&] { return ask(post(notice("a")))->status() == 503; }, "no room");
+  wait_for([&] { return ask(post(notice("a")))->status() == 503; }, "the limit on bodies is reached");
   for (const auto& c : clients) c->close();
-  wait_for([&] { return ask(post(notice("a")))->status() == 204; }, "room again");
+  wait_for([&] { return ask(post(notice("a")))->status() == 204; }, "requests are accepted again");
 }
 
-TEST_F(ServerTest, MalformedRequestsInThousandsDoNotStallOthers) {
+TEST_F(ServerTest, ThousandsOfMalformedRequestsDoNotStallOthers) {
   start();
   const auto w = watch();
   const std::vector<std::string> good = {
@@ -435,8 +436,8 @@
   wait_for([&] { return w->has("\"index\":2"); }, "the watch goes on");
 }
 
-// It may be ended at any time, with requests and watches of all states under way.
-TEST_F(ServerTest, EndsWithAllUnderWay) {
+// The server can be destroyed at any time, with requests and watches in any state.
+TEST_F(ServerTest, CanBeDestroyedAtAnyTime) {
   for (int round = 0; round < 20; round++) {
     start();
     for (int i = 0; i < 10; i++) {
@@ -451,7 +452,7 @@
   }
 }
 
-// ---- The file. ----
+// ---- The partner file. ----
 const char* const kTwo = R"({"endpoints":[{"name":"s-1","address":"127.0.0.1:1","group":7},
                                           {"name":"s-2","address":"127.0.0.1:2","group":7}]})";
 const char* const kOne = R"({"endpoints":[{"name":"s-1","address":"127.0.0.1:1","group":7}]})";
@@ -461,56 +462,56 @@
   bool endpoints(std::size_t n) { return own.server->status().endpoints == n; }
 };
 
-TEST_F(FileTest, IsSeenHoweverItIsWritten) {
+TEST_F(FileTest, ChangesAreSeenHoweverTheFileIsWritten) {
   own.start();
   own.write(kTwo);
-  own.watch_file();  // no look but the first: what is seen is told by the folder
+  own.watch_file();  // only one poll: further changes are found by inotify
   wait_for([&] { return endpoints(2); }, "the first list");
   own.replace(kOne);
-  wait_for([&] { return endpoints(1); }, "one moved into its place");
+  wait_for([&] { return endpoints(1); }, "the list of the renamed file");
   own.write(kTwo);
-  wait_for([&] { return endpoints(2); }, "one written over");
+  wait_for([&] { return endpoints(2); }, "the list of the overwritten file");
   std::filesystem::remove(own.path());
-  wait_for([&] { return own.file->error() != ""; }, "it is missed");
+  wait_for([&] { return own.file->error() != ""; }, "the missing file is reported");
   EXPECT_TRUE(endpoints(2));
   own.write(kOne);
-  wait_for([&] { return endpoints(1); }, "one made anew");
+  wait_for([&] { return endpoints(1); }, "the list of the new file");
   EXPECT_EQ(own.file->error(), "");
 }
 
-// Looks find what no folder tells: here the folder itself is made anew.
-TEST_F(FileTest, IsLookedAtWhereNothingIsTold) {
+// Polls find changes without inotify events: here the folder itself is deleted and created anew.
+TEST_F(FileTest, PollsFindChangesWithoutEvents) {
   own.start();
   own.watch_file(milliseconds(20));
-  wait_for([&] { return own.file->error() != ""; }, "it is missed");
+  wait_for([&] { return own.file->error() != ""; }, "the missing file is reported");
   own.write(kTwo);
   wait_for([&] { return endpoints(2); }, "the first list");
   std::filesystem::remove_all(folder + "/partners");
-  wait_for([&] { return own.file->error() != ""; }, "it is missed again");
+  wait_for([&] { return own.file->error() != ""; }, "the missing file is reported again");
   own.write(kOne);
   wait_for([&] { return endpoints(1); }, "the list of a new folder");
 }
 
-TEST_F(FileTest, ABrokenOneChangesNothingAndIsToldOnce) {
+TEST_F(FileTest, AnInvalidFileChangesNothingAndIsReportedOnce) {
   own.start();
   own.write(kTwo);
   own.watch_file(milliseconds(10));
   wait_for([&] { return endpoints(2); }, "the list");
   const auto index = own.kept_index;
   own.replace("{\"endpoints\":[\n{\"name\":5}]}");
-  wait_for([&] { return own.file->error() != ""; }, "it is told");
+  wait_for([&] { return own.file->error() != ""; }, "the error is reported");
   EXPECT_NE(own.file->error().find("line 2: endpoints[0].name is not a string"), std::string::npos)
       << own.file->error();
-  std::size_t looks = 0;
+  std::size_t polls = 0;
   net::steady_timer timer(io);
   std::function<void()> tick = [&] {
     timer.expires_after(milliseconds(10));
     timer.async_wait([&](error_code bad) {
-      if (!bad) looks++, tick();
+      if (!bad) polls++, tick();
     });
   };
   tick();
-  wait_for([&] { return looks > 20; }, "many looks");
+  wait_for([&] { return polls > 20; }, "many polls");
   timer.cancel();
   const auto lines = [&] {
     std::size_t n = 0;
@@ -523,35 +524,35 @@
   EXPECT_TRUE(endpoints(2));
   EXPECT_EQ(own.kept_index, index);
   own.replace("{\"endpoints\":[\n{\"name\":5}]}");
-  wait_for([&] { return lines() == 2; }, "the next change is told");
+  wait_for([&] { return lines() == 2; }, "the next error is reported");
   own.replace(kTwo);
-  wait_for([&] { return own.file->error().empty(); }, "it is good again");
+  wait_for([&] { return own.file->error().empty(); }, "the file is valid again");
   EXPECT_EQ(own.kept_index, index);
   for (const auto& c : clients) c->close();
 }
 
-// A pipe or a folder in its place holds nothing up.
-TEST_F(FileTest, WhatIsNoFileIsTold) {
+// A FIFO or a folder at the path of the file blocks nothing.
+TEST_F(FileTest, AFolderOrFifoIsReported) {
   own.start();
   std::filesystem::create_directories(own.path());
   own.watch_file();
   wait_for([&] { return own.file->error().find("not a regular file") != std::string::npos; },
-           "a folder is told");
+           "the folder is reported");
   std::filesystem::remove(own.path());
   ASSERT_EQ(::mkfifo(own.path().c_str(), 0600), 0);
   wait_for([&] { return own.file->error().find("not a regular file") != std::string::npos; },
-           "a pipe is told");
+           "the FIFO is reported");
   own.replace(kOne);
   wait_for([&] { return endpoints(1); }, "the list");
 }
 
-TEST_F(FileTest, IsTakenInOnceTheIndexCanBeKept) {
+TEST_F(FileTest, IsPublishedOnceTheIndexCanBeStored) {
   own.start();
   own.can_keep = false;
   own.write(kTwo);
   own.watch_file(milliseconds(10));
   wait_for([&] { return own.file->error().find("can't be published now") != std::string::npos; },
-           "it is told");
+           "the error is reported");
   own.can_keep = true;
   wait_for([&] { return endpoints(2); }, "the list");
 }
