--- a/fleet/agent.cpp
+++ b/fleet/agent.cpp
@@ -201,7 +201,7 @@
   if (text == applied_platform_text_) return;
   applied_platform_text_ = text;
   try {
-    platform_.set(text.empty() ? std::nullopt : Fleet::read(text).platform());
+    platform_.apply(text.empty() ? std::nullopt : Fleet::read(text).platform());
   } catch (const std::exception& e) {
     heronvane::log(std::string("platform: ") + e.what());
   }
@@ -334,7 +334,7 @@
             {instance_for(name).folder.state(), true, target, "{\"fence\":" + std::to_string(fence) + "}"},
             [this, alive = std::weak_ptr<bool>(alive_), name, run, call](const AdminAnswer& a) {
               if (alive.expired()) return;
-              event::Answered e{name, run, call, event::Answered::Result::failed, 0, a.why};
+              event::Answered e{name, run, call, event::Answered::Result::failed, 0, a.error};
               if (a.status == 200) {
                 e.result = event::Answered::Result::ok;
               } else if (a.status != 0) {
@@ -494,7 +494,7 @@
   Instance& instance = instance_for(name);
   // The request was not sent, for lack of descriptors or memory in the agent: that must not end a healthy
   // relay.
-  if (a.not_put) return schedule_status_poll(instance, options_.status_interval);
+  if (a.local_failure) return schedule_status_poll(instance, options_.status_interval);
   event::StatusSeen e;
   e.name = name;
   bool seen = false;
