--- a/tests/store/workload.cpp
+++ b/tests/store/workload.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 #if defined(__SANITIZE_ADDRESS__)
-constexpr std::uint64_t kLess = 6;
+constexpr std::uint64_t kSanitizerDivisor = 6;
 #else
-constexpr std::uint64_t kLess = 1;
+constexpr std::uint64_t kSanitizerDivisor = 1;
 #endif
 
 constexpr int kAttemptsMax = 8;
@@ -23,19 +23,20 @@
 std::uint64_t scaled(std::uint64_t cases) {
   const char* const text = std::getenv("HERONVANE_STORE_CASES");
   const double factor = text == nullptr ? 1.0 : std::max(0.01, std::strtod(text, nullptr));
-  return std::max<std::uint64_t>(1, static_cast<std::uint64_t>(static_cast<double>(cases) * factor) / kLess);
+  return std::max<std::uint64_t>(
+      1, static_cast<std::uint64_t>(static_cast<double>(cases) * factor) / kSanitizerDivisor);
 }
 
-std::uint64_t mix(std::uint64_t x) {
+std::uint64_t splitmix64(std::uint64_t x) {
   x += 0x9e3779b97f4a7c15;
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9;
   x = (x ^ (x >> 27)) * 0x94d049bb133111eb;
   return x ^ (x >> 31);
 }
 
-Microseconds Oracle::time_at(Moment m) const {
-  auto it =
-      std::upper_bound(times.begin(), times.end(), m, [](Moment x, const auto& t) { return x < t.first; });
+Microseconds Oracle::time_at(OperationCount m) const {
+  auto it = std::upper_bound(times.begin(), times.end(), m,
+                             [](OperationCount x, const auto& t) { return x < t.first; });
   return it == times.begin() ? 1'000'000 : std::prev(it)->second;
 }
 
@@ -52,11 +53,11 @@
   return o;
 }
 
-void LateSyncer::sync(std::vector<FileId> files, bool folder, std::function<void(std::error_code)> done) {
+void ManualSyncer::sync(std::vector<FileId> files, bool folder, std::function<void(std::error_code)> done) {
   jobs_.push_back({std::move(files), folder, std::move(done)});
 }
 
-bool LateSyncer::run_one() {
+bool ManualSyncer::run_one() {
   if (jobs_.empty()) return false;
   const Job job = std::move(jobs_.front());
   jobs_.pop_front();
@@ -68,107 +69,110 @@
   return true;
 }
 
-// ---- What must be there. ----
-Verdict judge(const Store& s, const Oracle& oracle, Moment at, bool lossy) {
-  Verdict v;
+// ---- Checks. ----
+CheckResult check_store(const Store& s, const Oracle& oracle, OperationCount at, bool lossy) {
+  CheckResult v;
   v.held = s.held().size();
-  const auto wrong = [&](MessageId number, const std::string& what) {
+  const auto report_mismatch = [&](MessageId number, const std::string& what) {
     if (v.wrong.empty()) v.wrong = "message " + std::to_string(number) + ": " + what;
   };
-  MessageId told = 0;
+  MessageId highest_acknowledged = 0;
   const Microseconds now = s.clock().now();
   for (const auto& [number, story] : oracle.messages) {
-    if (story.taken.acted_by(at)) told = number;
-    const Held* h = s.find(number);
-    if (!story.taken.added_by(at)) {
-      if (h != nullptr) wrong(number, "held, and was never taken");
+    if (story.accepted.acted_on_by(at)) highest_acknowledged = number;
+    const Held* held = s.find(number);
+    if (!story.accepted.added_by(at)) {
+      if (held != nullptr) report_mismatch(number, "held, but was never accepted");
       continue;
     }
-    if (story.over.acted_by(at)) {
-      if (h != nullptr) wrong(number, "is over, and came back");
+    if (story.finished.acted_on_by(at)) {
+      if (held != nullptr) report_mismatch(number, "held, but had finished");
       if (story.remember && story.remembered_until > now && !s.remembers(story.message.id))
-        wrong(number, "its id is not remembered");
+        report_mismatch(number, "its id is not remembered");
       continue;
     }
-    if (story.refused <= at && h != nullptr) {
-      if (!lossy || !h->doubt) wrong(number, "was refused, and is held");
-      v.came_back++;
+    if (story.refused <= at && held != nullptr) {
+      if (!lossy || !held->doubt) report_mismatch(number, "held, but was refused");
+      v.refused_but_held++;
     }
-    if (h == nullptr) {
-      if (story.taken.acted_by(at) && !story.over.added_by(at)) wrong(number, "202 was told, and it is lost");
+    if (held == nullptr) {
+      if (story.accepted.acted_on_by(at) && !story.finished.added_by(at))
+        report_mismatch(number, "lost after 202 was sent");
       continue;
     }
-    const Message &m = h->message, &w = story.message;
+    const Message &m = held->message, &w = story.message;
     if (m.id != w.id || m.message_class != w.message_class || m.tenant != w.tenant || m.body != w.body ||
         m.destination != w.destination || m.deadline != w.deadline || m.repeat != w.repeat ||
         m.idempotency_key != w.idempotency_key)
-      wrong(number, "is another message now");
+      report_mismatch(number, "its content differs");
     bool risky = false;  // may have run
-    for (std::size_t i = 0; i < story.tries.size(); i++) {
-      const auto& t = story.tries[i];
-      const bool there = i < h->attempts.size();
+    for (std::size_t i = 0; i < story.attempts.size(); i++) {
+      const auto& t = story.attempts[i];
+      const bool there = i < held->attempts.size();
       if (t.sent.added_by(at) && !(t.ended.added_by(at) && never_ran(t.outcome))) risky = true;
-      if (!t.sent.acted_by(at)) continue;
-      if (!there && !h->doubt) wrong(number, "a call is out, and its attempt is missing");
+      if (!t.sent.acted_on_by(at)) continue;
+      if (!there && !held->doubt) report_mismatch(number, "the attempt of a call that was sent is missing");
       const bool ended_well = t.ended.added_by(at) && never_ran(t.outcome);
-      if (!ended_well && !h->possibly_executed())
-        wrong(number, "a call is out, and it is said not to have run");
-      if (!there || h->doubt) continue;
-      const auto& a = h->attempts[i];
-      if (a.sent != t.at) wrong(number, "the time of an attempt differs");
-      if (t.ended.acted_by(at) && a.outcome != t.outcome) wrong(number, "an outcome is lost");
-      if (!t.ended.added_by(at) && a.outcome) wrong(number, "an outcome of nothing");
+      if (!ended_well && !held->possibly_executed())
+        report_mismatch(number, "a call was sent, but it counts as not executed");
+      if (!there || held->doubt) continue;
+      const auto& a = held->attempts[i];
+      if (a.sent != t.at) report_mismatch(number, "the time of an attempt differs");
+      if (t.ended.acted_on_by(at) && a.outcome != t.outcome) report_mismatch(number, "an outcome is lost");
+      if (!t.ended.added_by(at) && a.outcome) report_mismatch(number, "an outcome that was never recorded");
     }
     std::size_t sent = 0;
-    for (const auto& t : story.tries) sent += t.sent.added_by(at);
-    if (h->attempts.size() > sent) wrong(number, "more attempts than were made");
-    if (h->doubt && !lossy) wrong(number, "is in doubt without a loss");
-    if (h->doubt && !risky) v.needless++;
-    if (story.given_up.acted_by(at) && !h->ending && !h->doubt)
-      wrong(number, "its notice was told, and its end is lost");
-    if (h->ending && (!story.given_up.added_by(at) || h->ending->again != story.ending.again ||
-                      h->ending->deferred != story.ending.deferred))
-      wrong(number, "an end that was not decided");
+    for (const auto& t : story.attempts) sent += t.sent.added_by(at);
+    if (held->attempts.size() > sent) report_mismatch(number, "more attempts than were made");
+    if (held->doubt && !lossy) report_mismatch(number, "in doubt without a loss of records");
+    if (held->doubt && !risky) v.needless_doubts++;
+    if (story.given_up.acted_on_by(at) && !held->ending && !held->doubt)
+      report_mismatch(number, "its end is lost after its notification was sent");
+    if (held->ending && (!story.given_up.added_by(at) || held->ending->again != story.ending.again ||
+                         held->ending->deferred != story.ending.deferred))
+      report_mismatch(number, "an end that was never recorded");
   }
-  for (const auto& [number, h] : s.held())
-    if (number < kProbes && oracle.messages.count(number) == 0) wrong(number, "held, and nobody knows it");
-  if (s.next_number() <= told) wrong(told, "its number would be given again");
+  for (const auto& [number, held] : s.held())
+    if (number < kFirstProbeNumber && oracle.messages.count(number) == 0)
+      report_mismatch(number, "held, but unknown to the oracle");
+  if (s.next_number() <= highest_acknowledged)
+    report_mismatch(highest_acknowledged, "its number would be assigned again");
   for (const auto& [key, values] : oracle.facts) {
     const auto it = s.facts().find(key);
     const std::string is = it == s.facts().end() ? "" : it->second;
     std::vector<std::string> may = {""};
     for (const auto& f : values) {
       if (!f.kept.added_by(at)) continue;
-      if (f.kept.acted_by(at)) may.clear();
+      if (f.kept.acted_on_by(at)) may.clear();
       may.push_back(f.value);
     }
     if (std::find(may.begin(), may.end(), is) == may.end() && v.wrong.empty())
       v.wrong = "fact " + key + " is `" + is + "`, not `" + may.back() + "`";
   }
   if (!lossy && s.recovery().counts.missing + s.recovery().counts.damaged_ranges > 0 && v.wrong.empty())
-    v.wrong = "damage without a loss";
+    v.wrong = "damage reported without a loss";
   return v;
 }
 
-// ---- A life. ----
-Life::Life(MemoryDisk& disk, Oracle& oracle, const Setting& setting, std::uint64_t seed)
+// ---- Workload. ----
+SimulatedRelay::SimulatedRelay(MemoryDisk& disk, Oracle& oracle, const Setting& setting, std::uint64_t seed)
     : disk_(disk), oracle_(oracle), setting_(setting), dice_(seed * 1'000'003), syncer_(disk) {
   start();
 }
-Life::~Life() { syncer_.forget(); }
+SimulatedRelay::~SimulatedRelay() { syncer_.forget(); }
 
-void Life::start() {
+void SimulatedRelay::start() {
   if (store_ != nullptr) restarts++;
   syncer_.forget();
   store_.reset();
   store_ = std::make_unique<Store>(disk_, options(setting_, clocks_, &log_), &syncer_);
-  // What was committed is found, and in machine mode synced, by the start.
-  for (auto& w : waiting_)
-    for (auto& act : w.acts) act();
-  waiting_.clear();
+  // Committed records are found and, with Durability::machine, synced by the start.
+  for (auto& w : waiting_actions_)
+    for (auto& act : w.actions) act();
+  waiting_actions_.clear();
 }
 
-void Life::hand_in() {
+void SimulatedRelay::submit() {
   Message m;
   m.id = "m" + std::to_string(counter_++) + std::string(dice_.below(12), 'i');
   m.message_class = "pay-and-order", m.tenant = "t" + std::to_string(dice_.below(5));
@@ -176,107 +180,111 @@
   m.deadline = store_->clock().now() + 1'000'000;
   m.repeat = dice_.chance(50);
   if (counter_ % 2 == 0) m.idempotency_key = "k" + std::string(counter_ % 40, 'e');
-  const auto size = big_ && dice_.chance(10) ? dice_.below(12'000) : dice_.below(400);
+  const auto size = large_bodies_ && dice_.chance(10) ? dice_.below(12'000) : dice_.below(400);
   m.body.assign(static_cast<std::size_t>(size), static_cast<char>('a' + counter_ % 26));
   if (!store_->admit(m)) return;
   const MessageId number = store_->next_number();
   store_->accept(number, m);
-  Story& s = oracle_.messages[number];
+  MessageHistory& s = oracle_.messages[number];
   s = {};
   s.message = m;
-  s.taken.added = disk_.operations();
-  fresh_.push_back(number);
-  added_.push_back([this, number] {
+  s.accepted.added = disk_.operations();
+  accepted_this_round_.push_back(number);
+  uncommitted_actions_.push_back([this, number] {
     auto& story = oracle_.messages.at(number);
     if (story.refused != kNever) return;
-    story.taken.acted = disk_.operations();
+    story.accepted.acted = disk_.operations();
     accepted++;
   });
 }
 
-void Life::call_out(MessageId number) {
-  Story& s = oracle_.messages.at(number);
-  const std::size_t attempt = s.tries.size();
-  TryStory t;
+void SimulatedRelay::send_attempt(MessageId number) {
+  MessageHistory& s = oracle_.messages.at(number);
+  const std::size_t attempt = s.attempts.size();
+  AttemptHistory t;
   t.at = store_->clock().now();
   t.sent.added = disk_.operations();
-  s.tries.push_back(t);
+  s.attempts.push_back(t);
   store_->sent(number, t.at, static_cast<int>(dice_.below(3)) - 1);
-  added_.push_back([this, number, attempt] {
-    oracle_.messages.at(number).tries[attempt].sent.acted = disk_.operations();
+  uncommitted_actions_.push_back([this, number, attempt] {
+    oracle_.messages.at(number).attempts[attempt].sent.acted = disk_.operations();
     calls++;
   });
 }
 
-void Life::advance(MessageId number, std::uint64_t percent) {
-  Story& s = oracle_.messages.at(number);
-  // The relay does the next thing only once it has acted on the last.
-  if (s.taken.acted == kNever && s.refused == kNever) return;
-  if (!s.tries.empty() && s.tries.back().sent.acted == kNever) return;
+void SimulatedRelay::advance(MessageId number, std::uint64_t percent) {
+  MessageHistory& s = oracle_.messages.at(number);
+  // The relay takes the next step only after acting on the last one.
+  if (s.accepted.acted == kNever && s.refused == kNever) return;
+  if (!s.attempts.empty() && s.attempts.back().sent.acted == kNever) return;
   if (s.given_up.added != kNever && s.given_up.acted == kNever) return;
-  if (!s.tries.empty() && s.tries.back().ended.added != kNever && s.tries.back().ended.acted == kNever)
+  if (!s.attempts.empty() && s.attempts.back().ended.added != kNever &&
+      s.attempts.back().ended.acted == kNever)
     return;
   if (!dice_.chance(percent)) return;
-  const bool out = !s.tries.empty() && s.tries.back().ended.added == kNever;
-  const bool served = !s.tries.empty() && !out && s.tries.back().outcome == Outcome::served;
+  const bool out = !s.attempts.empty() && s.attempts.back().ended.added == kNever;
+  const bool served = !s.attempts.empty() && !out && s.attempts.back().outcome == Outcome::served;
   if (s.given_up.acted != kNever || served) {
     const Microseconds until = std::max(s.message.deadline, store_->clock().now()) + setting_.remember_window;
     store_->finish(number);
-    s.over.added = disk_.operations();
+    s.finished.added = disk_.operations();
     s.remember = !s.message.repeat, s.remembered_until = until;
-    added_.push_back([this, number] {
-      oracle_.messages.at(number).over.acted = disk_.operations();
+    uncommitted_actions_.push_back([this, number] {
+      oracle_.messages.at(number).finished.acted = disk_.operations();
       ends++;
     });
-  } else if (out && dice_.chance(closing_ ? 100 : 70)) {
-    auto& t = s.tries.back();
+  } else if (out && dice_.chance(finishing_ ? 100 : 70)) {
+    auto& t = s.attempts.back();
     t.outcome = dice_.chance(50) ? Outcome::served : static_cast<Outcome>(dice_.below(8));
     t.ended.added = disk_.operations();
-    const std::size_t attempt = s.tries.size() - 1;
+    const std::size_t attempt = s.attempts.size() - 1;
     store_->outcome(number, static_cast<int>(attempt), t.outcome);
-    added_.push_back([this, number, attempt] {
-      oracle_.messages.at(number).tries[attempt].ended.acted = disk_.operations();
+    uncommitted_actions_.push_back([this, number, attempt] {
+      oracle_.messages.at(number).attempts[attempt].ended.acted = disk_.operations();
     });
-  } else if (closing_ || s.tries.size() >= kAttemptsMax || dice_.chance(20)) {
+  } else if (finishing_ || s.attempts.size() >= kAttemptsMax || dice_.chance(20)) {
     s.ending = {dice_.chance(50), static_cast<Microseconds>(dice_.below(1'000'000))};
     s.given_up.added = disk_.operations();
     store_->give_up(number, s.ending);
-    added_.push_back([this, number] { oracle_.messages.at(number).given_up.acted = disk_.operations(); });
+    uncommitted_actions_.push_back(
+        [this, number] { oracle_.messages.at(number).given_up.acted = disk_.operations(); });
   } else if (!out) {
-    call_out(number);
+    send_attempt(number);
   }
 }
 
-// Acts on what outlasts what it must.
-void Life::act() {
-  while (!waiting_.empty() && waiting_.front().written <= store_->durable()) {
-    const auto w = std::move(waiting_.front());
-    waiting_.pop_front();
-    for (const auto& a : w.acts) a();
+// Performs the actions whose records are durable.
+void SimulatedRelay::act() {
+  while (!waiting_actions_.empty() && waiting_actions_.front().written <= store_->durable()) {
+    const auto w = std::move(waiting_actions_.front());
+    waiting_actions_.pop_front();
+    for (const auto& a : w.actions) a();
   }
 }
 
-void Life::commit() {
+void SimulatedRelay::commit() {
   if (!store_->commit()) {
-    commits_failed++;
-    // What was handed in is refused; all else waits for a later commit.
-    for (const MessageId number : fresh_) {
-      Story& s = oracle_.messages.at(number);
+    failed_commits++;
+    // The submitted messages are refused; everything else waits for a later commit.
+    for (const MessageId number : accepted_this_round_) {
+      MessageHistory& s = oracle_.messages.at(number);
       s.refused = disk_.operations();
       store_->finish(number, false);
-      s.over.added = disk_.operations();
-      added_.push_back([this, number] { oracle_.messages.at(number).over.acted = disk_.operations(); });
+      s.finished.added = disk_.operations();
+      uncommitted_actions_.push_back(
+          [this, number] { oracle_.messages.at(number).finished.acted = disk_.operations(); });
       refused++;
     }
-    fresh_.clear();
+    accepted_this_round_.clear();
     return;
   }
-  fresh_.clear();
-  if (!added_.empty()) waiting_.push_back({store_->written(), std::exchange(added_, {})});
+  accepted_this_round_.clear();
+  if (!uncommitted_actions_.empty())
+    waiting_actions_.push_back({store_->written(), std::exchange(uncommitted_actions_, {})});
   act();
 }
 
-bool Life::compact(int most) {
+bool SimulatedRelay::compact(int most) {
   for (int i = 0; i < most && store_->wants_compaction(); i++) {
     steps++;
     const auto step = store_->compact();
@@ -288,15 +296,15 @@
   return true;
 }
 
-void Life::round() {
+void SimulatedRelay::round() {
   clocks_.pass(20'000);
   oracle_.times.emplace_back(disk_.operations(), clocks_.boottime);
-  if (!closing_)
-    for (auto n = dice_.below(4); n > 0; n--) hand_in();
+  if (!finishing_)
+    for (auto n = dice_.below(4); n > 0; n--) submit();
   std::vector<MessageId> numbers;
-  for (const auto& [number, h] : store_->held()) numbers.push_back(number);
-  for (const MessageId number : numbers) advance(number, closing_ ? 100 : 35);
-  if (!closing_ && dice_.chance(15)) {
+  for (const auto& [number, held] : store_->held()) numbers.push_back(number);
+  for (const MessageId number : numbers) advance(number, finishing_ ? 100 : 35);
+  if (!finishing_ && dice_.chance(15)) {
     const std::string key = "f" + std::to_string(dice_.below(6));
     const std::string value = dice_.chance(70) ? "v" + std::to_string(counter_++) : "";
     if (store_->facts().count(key) > 0 || !value.empty()) {
@@ -304,7 +312,8 @@
         auto& values = oracle_.facts[key];
         const std::size_t i = values.size();
         values.push_back({value, {disk_.operations(), kNever}});
-        added_.push_back([this, key, i] { oracle_.facts.at(key)[i].kept.acted = disk_.operations(); });
+        uncommitted_actions_.push_back(
+            [this, key, i] { oracle_.facts.at(key)[i].kept.acted = disk_.operations(); });
       }
     }
   }
@@ -316,10 +325,10 @@
   }
 }
 
-void Life::wind_up() {
-  closing_ = true;
+void SimulatedRelay::finish_all() {
+  finishing_ = true;
   round();
-  closing_ = false;
+  finishing_ = false;
 }
 
 }  // namespace heronvane::store::testing
--- a/tests/store/workload.hpp
+++ b/tests/store/workload.hpp
@@ -1,5 +1,6 @@
-// Seeded lives over the store as the relay lives them, and what the outside was told at which moment: what a
-// start after any crash must find again. Moments are numbers of operations of the MemoryDisk.
+// Random workloads that use the store as the relay does, with a record of what was acknowledged to the
+// outside and when: a start after a crash must find all of that. Times are numbers of operations of the
+// MemoryDisk.
 #pragma once
 
 #include <cstdint>
@@ -18,70 +19,71 @@
 
 namespace heronvane::store::testing {
 
-// How often the cases of a test are run: 1, or HERONVANE_STORE_CASES; less under sanitizers.
+// Scales the number of a test's cases by HERONVANE_STORE_CASES (default 1); fewer under sanitizers.
 std::uint64_t scaled(std::uint64_t cases);
 
-std::uint64_t mix(std::uint64_t x);  // splitmix64
-class Dice {
+std::uint64_t splitmix64(std::uint64_t x);  // splitmix64
+class RandomSource {
  public:
-  explicit Dice(std::uint64_t seed) : state_(seed) {}
-  std::uint64_t below(std::uint64_t n) { return n == 0 ? 0 : mix(state_++) % n; }
+  explicit RandomSource(std::uint64_t seed) : state_(seed) {}
+  std::uint64_t below(std::uint64_t n) { return n == 0 ? 0 : splitmix64(state_++) % n; }
   bool chance(std::uint64_t percent) { return below(100) < percent; }
 
  private:
   std::uint64_t state_;
 };
 
-using Moment = std::size_t;
-constexpr Moment kNever = std::numeric_limits<Moment>::max();
+using OperationCount = std::size_t;
+constexpr OperationCount kNever = std::numeric_limits<OperationCount>::max();
 
-// When something was added to the store, and when it was committed (and outlasted what it must) and acted on.
+// When something was added to the store, and when it was durable and acted on.
 struct Step {
-  Moment added = kNever, acted = kNever;
-  bool added_by(Moment m) const { return added <= m; }
-  bool acted_by(Moment m) const { return acted <= m; }
+  OperationCount added = kNever, acted = kNever;
+  bool added_by(OperationCount m) const { return added <= m; }
+  bool acted_on_by(OperationCount m) const { return acted <= m; }
 };
-struct TryStory {
-  Step sent, ended;  // sent acted on: the call goes out
+struct AttemptHistory {
+  Step sent, ended;  // `sent` is acted on when the call goes out
   Outcome outcome = Outcome::served;
   Microseconds at = 0;
 };
-struct Story {
+struct MessageHistory {
   Message message;
-  Step taken, over, given_up;  // taken acted on: 202 is told; given_up: notice is told
-  Moment refused = kNever;     // 503 was told
-  std::vector<TryStory> tries;
+  Step accepted, finished,
+      given_up;  // acted on: `accepted` when 202 is sent, `given_up` when the notification is sent
+  OperationCount refused = kNever;  // when 503 was sent
+  std::vector<AttemptHistory> attempts;
   Ending ending;
   bool remember = false;
   Microseconds remembered_until = 0;  // at least
 };
-struct FactStory {
+struct FactHistory {
   std::string value;
   Step kept;
 };
 
-// What outside knows, by moments.
+// The state that the outside knows, with times.
 struct Oracle {
-  std::map<MessageId, Story> messages;
-  std::map<std::string, std::vector<FactStory>> facts;
-  std::vector<std::pair<Moment, Microseconds>> times;  // boottime
+  std::map<MessageId, MessageHistory> messages;
+  std::map<std::string, std::vector<FactHistory>> facts;
+  std::vector<std::pair<OperationCount, Microseconds>> times;  // boottime
 
-  Microseconds time_at(Moment m) const;
+  Microseconds time_at(OperationCount m) const;
 };
 
-// Messages from here on are none of the oracle's.
-constexpr MessageId kProbes = 1'000'000;
+// Messages with numbers from here on are unknown to the oracle.
+constexpr MessageId kFirstProbeNumber = 1'000'000;
 
-struct Verdict {
-  std::string wrong;          // empty: nothing is
-  std::size_t held = 0;       // messages
-  std::size_t needless = 0;   // that are in doubt, without reason
-  std::size_t came_back = 0;  // refused, and held in doubt: machine only
+struct CheckResult {
+  std::string wrong;                 // a description of the first mismatch; empty if there is none
+  std::size_t held = 0;              // messages
+  std::size_t needless_doubts = 0;   // messages in doubt without a reason
+  std::size_t refused_but_held = 0;  // refused messages held in doubt: Durability::machine only
 };
 
-// Whether a store opened on what a crash at `moment` left has all it must have. `lossy`: power was lost, or
-// bytes damaged: doubt is allowed.
-Verdict judge(const Store& store, const Oracle& oracle, Moment moment, bool lossy);
+// Checks a store opened on the folder that a crash at `moment` left. `lossy`: power was lost or bytes were
+// damaged, so messages may be in doubt.
+CheckResult check_store(const Store& store, const Oracle& oracle, OperationCount moment, bool lossy);
 
 struct Clocks {
   Microseconds boottime = 1'000'000, wall = 1'700'000'000'000'000;
@@ -97,12 +99,12 @@
 Options options(const Setting& setting, const Clocks& clocks, std::string* log = nullptr,
                 const std::string& boot = "boot");
 
-// Syncs when told to.
-class LateSyncer : public Syncer {
+// Performs requested syncs only when the test calls run_one() or run_all().
+class ManualSyncer : public Syncer {
  public:
-  explicit LateSyncer(MemoryDisk& disk) : disk_(disk) {}
+  explicit ManualSyncer(MemoryDisk& disk) : disk_(disk) {}
   void sync(std::vector<FileId> files, bool folder, std::function<void(std::error_code)> done) override;
-  bool run_one();  // false where nothing waits
+  bool run_one();  // false if no sync is requested
   void run_all() {
     while (run_one()) {
     }
@@ -119,49 +121,49 @@
   std::deque<Job> jobs_;
 };
 
-// A relay's life over a store.
-class Life {
+// Simulates a relay that uses a store.
+class SimulatedRelay {
  public:
-  Life(MemoryDisk& disk, Oracle& oracle, const Setting& setting, std::uint64_t seed);
-  ~Life();
+  SimulatedRelay(MemoryDisk& disk, Oracle& oracle, const Setting& setting, std::uint64_t seed);
+  ~SimulatedRelay();
 
-  void start();  // opens the store, after an earlier one is closed
+  void start();  // opens the store, after closing an earlier one
   void round();
-  // As round(), but nothing new is handed in, and all that is held is brought to its end.
-  void wind_up();
-  bool compact(int most);  // false where a step was blocked
+  // Like round(), but submits no new messages and finishes all held ones.
+  void finish_all();
+  bool compact(int most);  // false if a step was blocked
   Store& store() { return *store_; }
   Clocks& clocks() { return clocks_; }
-  LateSyncer& syncer() { return syncer_; }
+  ManualSyncer& syncer() { return syncer_; }
   const std::string& log() const { return log_; }
-  void big_bodies(bool on) { big_ = on; }
+  void use_large_bodies(bool on) { large_bodies_ = on; }
 
-  std::uint64_t accepted = 0, refused = 0, calls = 0, ends = 0, commits_failed = 0, steps = 0, restarts = 0;
+  std::uint64_t accepted = 0, refused = 0, calls = 0, ends = 0, failed_commits = 0, steps = 0, restarts = 0;
 
  private:
-  void hand_in();
+  void submit();
   void advance(MessageId number, std::uint64_t percent);
   void commit();
   void act();
-  void call_out(MessageId number);
+  void send_attempt(MessageId number);
 
   MemoryDisk& disk_;
   Oracle& oracle_;
   Setting setting_;
-  Dice dice_;
+  RandomSource dice_;
   Clocks clocks_;
   std::string log_;
-  LateSyncer syncer_;
+  ManualSyncer syncer_;
   std::unique_ptr<Store> store_;
-  struct Waiting {  // for durability
+  struct WaitingActions {  // actions that wait for durability
     Sequence written = 0;
-    std::vector<std::function<void()>> acts;
+    std::vector<std::function<void()>> actions;
   };
-  std::vector<std::function<void()>> added_;  // what to do once it is committed
-  std::vector<MessageId> fresh_;              // taken in this round
-  std::deque<Waiting> waiting_;
+  std::vector<std::function<void()>> uncommitted_actions_;  // actions to take once the records are committed
+  std::vector<MessageId> accepted_this_round_;              // accepted in this round
+  std::deque<WaitingActions> waiting_actions_;
   std::uint64_t counter_ = 0;
-  bool big_ = false, closing_ = false;
+  bool large_bodies_ = false, finishing_ = false;
 };
 
 }  // namespace heronvane::store::testing
--- a/tools/store/commands.hpp
+++ b/tools/store/commands.hpp
@@ -1,4 +1,4 @@
-// What the tool does with a folder that was read. None of it changes that folder.
+// The commands of the tool. None of them changes the folder that it reads.
 #pragma once
 
 #include <ostream>
@@ -8,38 +8,42 @@
 
 namespace heronvane::store::tool {
 
-// The exit status, of every command.
-enum Status { kSound = 0, kDamaged = 1, kUnusable = 2, kInUse = 3 };
+// The exit status of every command.
+enum Status { kIntact = 0, kDamaged = 1, kFailed = 2, kInUse = 3 };
 
-// A folder as it was read, by the clocks of this machine.
+// The contents of a folder and the clocks of this machine when it was read.
 struct Folder {
   std::string path;
-  Contents contents;         // without ids whose time was up
-  Microseconds now = 0;      // lasting time
-  Microseconds to_wall = 0;  // from lasting time, in microseconds
-  Anchor anchor;             // the last one; where there is none, as of now
-  bool damaged() const;      // records are missing, or bytes are none
+  Contents contents;             // without ids whose time has passed
+  Microseconds now = 0;          // persistent time
+  Microseconds wall_offset = 0;  // from persistent time to wall time, in microseconds
+  Anchor anchor;                 // the last one; the current readings if there is none
+  bool damaged() const;          // records are missing or bytes are no valid records
 };
 
-// Throws FolderInUse, StoreError, std::system_error.
+// Reads a folder under a shared lock. Throws FolderInUse, StoreError or std::system_error.
 Folder read(const std::string& path);
 
 void verify(const Folder& folder, std::ostream& out);
 void show_all(const Folder& folder, std::ostream& out);
-// Each message of that client's id, or `#` and its number; false where there is none.
+// Writes each message with that client's id, or with that number if `id` is `#` and a number; false if there
+// is none.
 bool show_one(const Folder& folder, const std::string& id, bool body, std::ostream& out);
 void write_json(const Folder& folder, std::ostream& out);
 
-// Writes what could be read to the folder `copy`, which must not exist, or be empty, and reads it back. Where
-// that fails it throws StoreError, FolderInUse or std::system_error, and what it wrote is removed again.
+// Writes all records that could be read to the folder `copy`, which must be empty or not exist, and verifies
+// it by reading it back. Throws StoreError, FolderInUse or std::system_error; then what was written is
+// removed.
 void rewrite(const Folder& folder, const std::string& copy);
-// What is not in the copy, or not certain in it.
-void tell_losses(const Folder& folder, std::ostream& out);
+// Lists the records that the copy lacks and the messages that are in doubt.
+void print_losses(const Folder& folder, std::ostream& out);
 
-// The folder of a relay that may be running, as it is at one moment, into `to`, which must not exist, or be
-// empty: closed segments by hard links, what grows copied. The relay is not asked and does not wait.
+// Copies the folder of a relay, which may be running, as of one moment to `to`, which must be empty or not
+// exist: sealed segments by hard links, the growing one by copying. Does not lock the folder or involve the
+// relay.
 void snapshot(const std::string& from, const std::string& to, std::ostream& out);
-// A new folder from a snapshot, each message of which may have run since.
+// Makes a new folder from a snapshot. Each of its messages is marked as in doubt, since it may have run after
+// the snapshot.
 void restore(const std::string& snapshot, const std::string& to, std::ostream& out);
 
 }  // namespace heronvane::store::tool
--- a/tools/store/main.cpp
+++ b/tools/store/main.cpp
@@ -1,4 +1,4 @@
-// heronvane-store: what operators may ask of the folder that lasts, while no relay has it.
+// heronvane-store: the operators' tool for a store's folder that no relay is using.
 #include <fstream>
 #include <iostream>
 #include <optional>
@@ -33,89 +33,90 @@
 
 int usage(const std::string& what) {
   std::cerr << "heronvane-store: " << what << "; see heronvane-store --help\n";
-  return kUnusable;
+  return kFailed;
 }
 
 struct Arguments {
-  std::vector<std::string> words;
+  std::vector<std::string> positional;
   bool body = false, help = false, version = false;
-  std::string unknown;  // an option
+  std::string unknown;  // the first unknown option
 };
 
 Arguments parse(int argc, char** argv) {
-  Arguments a;
+  Arguments arguments;
   bool options = true;
   for (int i = 1; i < argc; i++) {
-    const std::string word = argv[i];
-    if (!options || word.size() < 2 || word[0] != '-')
-      a.words.push_back(word);
-    else if (word == "--")
+    const std::string argument = argv[i];
+    if (!options || argument.size() < 2 || argument[0] != '-')
+      arguments.positional.push_back(argument);
+    else if (argument == "--")
       options = false;
-    else if (word == "--body")
-      a.body = true;
-    else if (word == "--help" || word == "-h")
-      a.help = true;
-    else if (word == "--version")
-      a.version = true;
-    else if (a.unknown.empty())
-      a.unknown = word;
+    else if (argument == "--body")
+      arguments.body = true;
+    else if (argument == "--help" || argument == "-h")
+      arguments.help = true;
+    else if (argument == "--version")
+      arguments.version = true;
+    else if (arguments.unknown.empty())
+      arguments.unknown = argument;
   }
-  return a;
+  return arguments;
 }
 
-int run(const Arguments& a) {
-  if (!a.unknown.empty()) return usage("unknown option " + printable(a.unknown));
-  if (a.help) {
+int run(const Arguments& arguments) {
+  if (!arguments.unknown.empty()) return usage("unknown option " + printable(arguments.unknown));
+  if (arguments.help) {
     std::cout << kHelp;
-    return kSound;
+    return kIntact;
   }
-  if (a.version) {
+  if (arguments.version) {
     std::cout << "heronvane-store " HERONVANE_VERSION ", formats 1 and " << kVersion << '\n';
-    return kSound;
+    return kIntact;
   }
-  if (a.words.empty()) return usage("no command");
-  const std::string& command = a.words[0];
+  if (arguments.positional.empty()) return usage("no command");
+  const std::string& command = arguments.positional[0];
   struct {
     const char* name;
-    std::size_t least, most;
+    std::size_t min_words, max_words;
   } const commands[] = {{"verify", 2, 2}, {"show", 2, 3},     {"export", 2, 2},
                         {"repair", 3, 3}, {"snapshot", 3, 3}, {"restore", 3, 3}};
   bool known = false;
-  for (const auto& c : commands) {
-    if (command != c.name) continue;
+  for (const auto& candidate : commands) {
+    if (command != candidate.name) continue;
     known = true;
-    if (a.words.size() < c.least)
-      return usage(command + (a.words.size() < 2 ? " needs a FOLDER" : " needs a COPY"));
-    if (a.words.size() > c.most) return usage(command + ": too many arguments");
+    if (arguments.positional.size() < candidate.min_words)
+      return usage(command + (arguments.positional.size() < 2 ? " needs a FOLDER" : " needs a COPY"));
+    if (arguments.positional.size() > candidate.max_words) return usage(command + ": too many arguments");
   }
   if (!known) return usage("unknown command " + printable(command));
-  if (a.body && (command != "show" || a.words.size() != 3)) return usage("--body belongs to show FOLDER ID");
+  if (arguments.body && (command != "show" || arguments.positional.size() != 3))
+    return usage("--body belongs to show FOLDER ID");
 
   if (command == "snapshot" || command == "restore") {
-    (command == "snapshot" ? snapshot : restore)(a.words[1], a.words[2], std::cout);
-    return kSound;
+    (command == "snapshot" ? snapshot : restore)(arguments.positional[1], arguments.positional[2], std::cout);
+    return kIntact;
   }
-  const Folder folder = read(a.words[1]);
+  const Folder folder = read(arguments.positional[1]);
   if (command == "verify") {
     verify(folder, std::cout);
-  } else if (command == "show" && a.words.size() == 2) {
+  } else if (command == "show" && arguments.positional.size() == 2) {
     show_all(folder, std::cout);
   } else if (command == "show") {
-    if (!show_one(folder, a.words[2], a.body, std::cout)) {
-      std::cerr << "heronvane-store: " << printable(a.words[2])
+    if (!show_one(folder, arguments.positional[2], arguments.body, std::cout)) {
+      std::cerr << "heronvane-store: " << printable(arguments.positional[2])
                 << ": no message of that id is held or remembered\n";
-      return kUnusable;
+      return kFailed;
     }
   } else if (command == "export") {
     write_json(folder, std::cout);
   } else {
-    rewrite(folder, a.words[2]);
-    tell_losses(folder, std::cout);
+    rewrite(folder, arguments.positional[2]);
+    print_losses(folder, std::cout);
     const Table& table = folder.contents.table;
-    std::cout << printable(a.words[2]) << ": written and read back: " << table.held().size() << " messages, "
-              << table.remembered() << " ids, " << table.facts().size() << " facts\n";
+    std::cout << printable(arguments.positional[2]) << ": written and read back: " << table.held().size()
+              << " messages, " << table.remembered() << " ids, " << table.facts().size() << " facts\n";
   }
-  if (!folder.damaged()) return kSound;
+  if (!folder.damaged()) return kIntact;
   if (command == "show" || command == "export")
     std::cerr
         << "heronvane-store: the folder is damaged, this is what could be read: see heronvane-store verify\n";
@@ -132,12 +133,12 @@
   Folder folder;
   folder.path = path;
   folder.contents = read_folder(*disk, clock, system_clocks);
-  const Contents& c = folder.contents;
-  if (c.files.empty() && !c.journal_next && !c.downgrade_guard && !c.reserve)
+  const Contents& contents = folder.contents;
+  if (contents.files.empty() && !contents.journal_next && !contents.downgrade_guard && !contents.reserve)
     throw StoreError(path + " holds no file of a store: name the folder that LB_STATE names");
   folder.now = clock.now();
-  folder.to_wall = system_clocks().wall - folder.now;
-  folder.anchor = c.anchor.value_or(clock.anchor());
+  folder.wall_offset = system_clocks().wall - folder.now;
+  folder.anchor = contents.anchor.value_or(clock.anchor());
   folder.contents.table.expire(folder.now);
   return folder;
 }
@@ -146,18 +147,19 @@
 
 int main(int argc, char** argv) {
   using namespace heronvane::store;
-  int status = tool::kUnusable;
+  int status = tool::kFailed;
   try {
     status = tool::run(tool::parse(argc, argv));
-  } catch (const FolderInUse& e) {
-    std::cerr << "heronvane-store: " << e.what() << "; or copy its files elsewhere and look at the copy\n";
+  } catch (const FolderInUse& error) {
+    std::cerr << "heronvane-store: " << error.what()
+              << "; or copy its files elsewhere and look at the copy\n";
     status = tool::kInUse;
-  } catch (const std::exception& e) {
-    std::cerr << "heronvane-store: " << e.what() << '\n';
+  } catch (const std::exception& error) {
+    std::cerr << "heronvane-store: " << error.what() << '\n';
   }
   if (!std::cout.flush()) {
     std::cerr << "heronvane-store: standard output can't be written: what it got is not complete\n";
-    return tool::kUnusable;
+    return tool::kFailed;
   }
   return status;
 }
--- a/tools/store/rewrite.cpp
+++ b/tools/store/rewrite.cpp
@@ -1,4 +1,4 @@
-// repair: a new folder with all that could be read of another one.
+// repair: writes a new folder with all records that could be read of another one.
 #include <filesystem>
 #include <random>
 
@@ -17,12 +17,12 @@
   if (error) throw std::system_error(error, what);
 }
 
-// Segments of a fresh store, one after the other.
+// Writes the segments of a new store, one after the other.
 class Writer {
  public:
   Writer(Disk& disk, const Folder& folder)
-      : disk_(disk), from_(folder), most_(segment_bytes(bytes_of(folder))) {}
-  // What was written is removed again, unless keep() was called.
+      : disk_(disk), source_(folder), max_segment_bytes_(segment_bytes(bytes_of(folder))) {}
+  // Removes the files written, unless keep() was called.
   ~Writer() {
     if (kept_) return;
     for (const auto& name : names_) disk_.remove(name);
@@ -41,7 +41,7 @@
     put(batch);
   }
   void finish() {
-    if (text_.empty()) begin();
+    if (segment_bytes_.empty()) begin();
     flush();
   }
   void keep() { kept_ = true; }
@@ -55,18 +55,18 @@
   void begin() {
     record::Segment head;
     head.number = ++number_;
-    head.next_message = from_.contents.table.next_number();
-    // The one that was found: a start on the copy then sees the same gap as one on the folder would.
-    head.anchor = from_.anchor;
-    head.others = done_;
+    head.next_message = source_.contents.table.next_number();
+    // The anchor found in the source: a start on the copy then sees the same time gap as one on the source.
+    head.anchor = source_.anchor;
+    head.others = finished_segments_;
     Batch batch(salt_);
     batch.add(head);
-    text_ = batch.stamped(next_++);
+    segment_bytes_ = batch.stamped(next_++);
   }
   void put(Batch& batch) {
-    if (!text_.empty() && text_.size() + batch.bytes() > most_) flush();
-    if (text_.empty()) begin();
-    text_ += batch.stamped(next_);
+    if (!segment_bytes_.empty() && segment_bytes_.size() + batch.bytes() > max_segment_bytes_) flush();
+    if (segment_bytes_.empty()) begin();
+    segment_bytes_ += batch.stamped(next_);
     next_ += batch.count();
   }
   void flush() {
@@ -75,22 +75,22 @@
     check(disk_.open(name, Disk::Access::create, file), name);
     names_.push_back(name);
     std::size_t written = 0;
-    auto error = disk_.write(file, 0, text_, written);
+    auto error = disk_.write(file, 0, segment_bytes_, written);
     if (!error) error = disk_.sync(file);
     disk_.close(file);
     check(error, name);
-    done_.push_back({number_, next_});
-    text_.clear();
+    finished_segments_.push_back({number_, next_});
+    segment_bytes_.clear();
   }
 
   Disk& disk_;
-  const Folder& from_;
-  std::uint64_t most_;
+  const Folder& source_;
+  std::uint64_t max_segment_bytes_;
   Salt salt_ = std::random_device{}();
   SegmentNumber number_ = 0;
   Sequence next_ = 1;
-  std::string text_;  // of the segment that was begun
-  std::vector<record::Segment::Other> done_;
+  std::string segment_bytes_;  // frames of the segment being written
+  std::vector<record::Segment::Other> finished_segments_;
   std::vector<std::string> names_;
   bool kept_ = false;
 };
@@ -121,38 +121,38 @@
          a.next_number() <= b.next_number();
 }
 
-// Removed again, where it was made here, unless it is kept.
-class Made {
+// The output folder; the destructor removes it if it was created here, unless keep() was called.
+class OutputFolder {
  public:
-  Made(const std::string& path, const std::string& from) : path_(path) {
+  OutputFolder(const std::string& path, const std::string& from) : path_(path) {
     const auto real = fs::weakly_canonical(path), folder = fs::canonical(from);
     const auto [in, rest] = std::mismatch(folder.begin(), folder.end(), real.begin(), real.end());
     if (in == folder.end())
       throw StoreError(path + " is in " + from + ", which must stay as it is: name another place");
-    made_ = fs::create_directory(path);
-    if (made_) fs::permissions(path, fs::perms::owner_all);
+    created_ = fs::create_directory(path);
+    if (created_) fs::permissions(path, fs::perms::owner_all);
     if (!fs::is_empty(path))
       throw StoreError(path + " is not empty: name a folder that is, or one that does not exist");
   }
-  ~Made() {
+  ~OutputFolder() {
     std::error_code ignored;
     if (kept_) return;
     fs::remove(fs::path(path_) / kGuard, ignored);
-    if (made_) fs::remove(path_, ignored);
+    if (created_) fs::remove(path_, ignored);
   }
-  Made(const Made&) = delete;
-  Made& operator=(const Made&) = delete;
+  OutputFolder(const OutputFolder&) = delete;
+  OutputFolder& operator=(const OutputFolder&) = delete;
   void keep() { kept_ = true; }
 
  private:
   std::string path_;
-  bool made_ = false, kept_ = false;
+  bool created_ = false, kept_ = false;
 };
 
 }  // namespace
 
 void rewrite(const Folder& folder, const std::string& copy) {
-  Made made(copy, folder.path);
+  OutputFolder output_folder(copy, folder.path);
   const auto disk = open_folder(copy);
   Writer writer(*disk, folder);
   const Table& table = folder.contents.table;
@@ -161,14 +161,14 @@
   for (const auto& [key, value] : table.facts()) writer.put(record::Fact{key, value});
   PersistentClock clock;
   writer.finish();
-  const Contents again = read_folder(*disk, clock, system_clocks);
-  if (!again.damage.empty() || again.counts.missing > 0 || !same(table, again.table))
+  const Contents reread = read_folder(*disk, clock, system_clocks);
+  if (!reread.damage.empty() || reread.counts.missing > 0 || !same(table, reread.table))
     throw StoreError(copy + " does not read back as it was written: keep " + folder.path +
                      ", try another volume, and save the messages with `export`");
-  // As a start makes it: an earlier version would begin anew beside these files.
+  // As the store's start creates it: an earlier version would start anew beside these files.
   check(disk->make_folder(kGuard), kGuard);
   check(disk->sync_folder(), copy);
-  writer.keep(), made.keep();
+  writer.keep(), output_folder.keep();
 }
 
 }  // namespace heronvane::store::tool
--- a/tools/store/text.cpp
+++ b/tools/store/text.cpp
@@ -55,7 +55,7 @@
 }
 
 std::string duration(Microseconds t) {
-  // Without its sign: the least number has no positive one.
+  // Computed on the magnitude as unsigned: the smallest value has no positive counterpart.
   const std::uint64_t us = t < 0 ? 0 - static_cast<std::uint64_t>(t) : static_cast<std::uint64_t>(t);
   const std::uint64_t s = us / 1'000'000;
   char text[64];
