--- a/relay/copies/copies.cpp
+++ b/relay/copies/copies.cpp
@@ -1,5 +1,3 @@
-#include "copies.hpp"
-
 #include <algorithm>
 #include <boost/asio/ip/address.hpp>
 #include <boost/asio/post.hpp>
@@ -9,6 +7,7 @@
 #include <stdexcept>
 #include <utility>
 
+#include "copies.hpp"
 #include "facts.hpp"
 
 namespace heronvane::copies {
@@ -96,7 +95,7 @@
   for (const auto& m : options_.settings.members) address(m.address, "copies.member " + m.name);
   own_placement_.member.name = options_.name;
   if (own != nullptr) own_placement_.machine = own->machine, own_placement_.zone = own->zone;
-  announced_mark_ = store_.outlasts();
+  announced_mark_ = store_.locally_durable();
   restore_from_store();
   listen();
 }
@@ -172,7 +171,7 @@
   reconnect_at_ = 0;
 }
 
-LogReplicator::~LogReplicator() { store_.copy_to(nullptr); }
+LogReplicator::~LogReplicator() { store_.set_log_sink(nullptr); }
 
 Microseconds LogReplicator::steady() const {
   return std::chrono::duration_cast<std::chrono::microseconds>(
@@ -237,7 +236,7 @@
 void LogReplicator::start() {
   started_ = true;
   awaited_logged_at_ = steady();
-  store_.copy_to(this);
+  store_.set_log_sink(this);
   takeover_.load();
   phase_since_ = steady();
   if (phase_ == Phase::claiming) begin_claim(highest_used_epoch_);
@@ -322,7 +321,7 @@
       leaderless_frames_.clear(), leaderless_frames_dropped_ = true;
     if (!ready_) return;
     // What was fenced acts on nothing that is written now.
-    if (uncommitted_.empty()) store_.stands_elsewhere(store_.written());
+    if (uncommitted_.empty()) store_.set_replicated(store_.written());
     if (uncommitted_.empty() || uncommitted_.back().position <= last_)
       uncommitted_.push_back({last_ + 1, last, steady()});
     else
@@ -338,7 +337,7 @@
     uncommitted_.pop_front();
   if (uncommitted_.empty()) return;
   // What was written before the oldest that waits stands.
-  if (uncommitted_.size() == 1) store_.stands_elsewhere(store_.written());
+  if (uncommitted_.size() == 1) store_.set_replicated(store_.written());
   // Outcomes, for which nobody waits, go with what is waited for, or a little later together.
   if (std::exchange(send_scheduled_, true)) return;
   send_timer_.expires_after(kSendDelay);
@@ -473,7 +472,7 @@
     const auto last = uncommitted_.front().last;
     uncommitted_.pop_front();
     // What compaction wrote meanwhile stands where it stood.
-    store_.stands_elsewhere(uncommitted_.empty() ? store::Store::kEverything : last);
+    store_.set_replicated(uncommitted_.empty() ? store::Store::kAllRecords : last);
     moved = true;
   }
   leader_->trim(options_.memory_bytes / kRetainedEntriesMemoryDivisor);
@@ -497,12 +496,12 @@
       const auto& replicas = replica_log->state.config.replicas;
       p.replaced = std::find(replicas.begin(), replicas.end(), from) == replicas.end();
     }
-    p.mark = announced_mark_ = std::max(announced_mark_, store_.outlasts());
+    p.mark = announced_mark_ = std::max(announced_mark_, store_.locally_durable());
     return reply(p);
   }
   if (from.name == p.log.name) replica_logs_.note_contact(p.log);
   replica_logs_.handle(p, [this, alive = std::weak_ptr(alive_), reply = std::move(reply)](Packet answer) {
-    if (!alive.expired()) answer.mark = announced_mark_ = std::max(announced_mark_, store_.outlasts());
+    if (!alive.expired()) answer.mark = announced_mark_ = std::max(announced_mark_, store_.locally_durable());
     reply(std::move(answer));
   });
 }
--- a/relay/copies/copies_claims.cpp
+++ b/relay/copies/copies_claims.cpp
@@ -32,7 +32,7 @@
 
 void LogReplicator::send_claim_requests() {
   const Microseconds now = steady();
-  if (now - last_sent_at_ < kResendInterval || !store_.trouble().empty()) return;
+  if (now - last_sent_at_ < kResendInterval || !store_.unavailable_reason().empty()) return;
   last_sent_at_ = now;
   for (const auto& envelope : claim_->requests()) {
     Packet p = packet(envelope.message);
@@ -49,7 +49,7 @@
 // The holder's state in the place of the own one, which is older: what it has not is over.
 void LogReplicator::import_chunk(const Packet& p) {
   const bool sound = read_records(p.salt, p.body, [this](store::Record&& r) {
-    if (const auto* const t = std::get_if<store::record::Taken>(&r)) read_numbers_.insert(t->number);
+    if (const auto* const t = std::get_if<store::record::Accepted>(&r)) read_numbers_.insert(t->number);
     const auto* const f = std::get_if<store::record::Fact>(&r);
     const bool own = f != nullptr && f->key.compare(0, kKeyPrefix.size(), kKeyPrefix) == 0;
     if (!own) store_.put(std::move(r));
@@ -69,7 +69,7 @@
   std::vector<MessageId> over;
   for (const auto& [number, held] : store_.held())
     if (read_numbers_.count(number) == 0) over.push_back(number);
-  for (const MessageId number : over) store_.over(number, false);
+  for (const MessageId number : over) store_.finish(number, false);
   options_.log("copies: this disk was older than its copies: " + std::to_string(read_numbers_.size()) +
                " messages read, " + std::to_string(over.size()) + " that were over are dropped");
   read_numbers_.clear();
@@ -121,7 +121,7 @@
   ready_ = short_ = false;
   for (const auto& key : {kLogKey, kConfigKey, kEndKey}) put(key, {});
   hooks_.disown();
-  store_.stands_elsewhere();
+  store_.set_replicated();
   hooks_.commit();
   config_ = {};
   last_ = 0, last_epoch_ = {};
--- a/relay/copies/rows.hpp
+++ b/relay/copies/rows.hpp
@@ -25,7 +25,7 @@
  private:
   const store::Store& store_;
   std::vector<std::string> fact_keys_;
-  std::vector<store::record::Over> over_;
+  std::vector<store::record::Finished> over_;
   const std::size_t numbered_;
   std::size_t fact_index_ = 0, over_index_ = 0;
   MessageId next_message_ = 0;  // the next is not below
--- a/relay/copies/shelf.cpp
+++ b/relay/copies/shelf.cpp
@@ -1,11 +1,11 @@
-#include "shelf.hpp"
-
 #include <algorithm>
 #include <charconv>
 #include <filesystem>
 #include <sstream>
 #include <utility>
 
+#include "shelf.hpp"
+
 namespace heronvane::copies {
 
 namespace fs = std::filesystem;
@@ -250,15 +250,15 @@
   const ReplicaState& now = replica_log.replica.state();
   const bool state_changed = now.promised != before.promised || now.config.version != before.config.version ||
                              now.moved != before.moved;
-  if (state_changed || !store.trouble().empty()) {
+  if (state_changed || !store.unavailable_reason().empty()) {
     if (!keep_state(replica_log, *replica_log.current, now))
-      return reply(unavailable(packet, store.trouble()));
+      return reply(unavailable(packet, store.unavailable_reason()));
   } else if (now != before) {
     store.put(store::record::Fact{kEndKey, std::to_string(now.last) + " " +
                                                std::to_string(now.last_epoch.number) + " " +
                                                std::to_string(now.last_epoch.claimant.incarnation) + " " +
                                                now.last_epoch.claimant.name});
-    if (!store.commit()) return reply(unavailable(packet, store.trouble()));
+    if (!store.commit()) return reply(unavailable(packet, store.unavailable_reason()));
   }
   when_durable(replica_log,
                [reply, answer = message_to(packet, std::move(*result.answer))] { reply(answer); });
@@ -413,7 +413,7 @@
           replica_log.last_contact,
           replica_log.current->store->held().size(),
           replica_log.current->store->bytes(),
-          replica_log.current->store->trouble()};
+          replica_log.current->store->unavailable_reason()};
 }
 std::vector<ReplicaLogs::View> ReplicaLogs::all() const {
   std::vector<View> out;
--- a/relay/copies/takeover.cpp
+++ b/relay/copies/takeover.cpp
@@ -1,10 +1,9 @@
-#include "takeover.hpp"
-
 #include <algorithm>
 #include <sstream>
 #include <utility>
 
 #include "facts.hpp"
+#include "takeover.hpp"
 
 namespace heronvane::copies {
 
@@ -180,7 +179,7 @@
 }
 
 void Takeover::send_requests() {
-  if (!host_.store.trouble().empty()) return;  // what is promised here could not be kept
+  if (!host_.store.unavailable_reason().empty()) return;  // what is promised here could not be kept
   last_sent_at_ = host_.steady();
   const auto requests = claim_->requests();
   for (const auto& envelope : requests) {
@@ -276,7 +275,7 @@
 void Takeover::drop_import(const LogId& log) {
   for (const auto& i : std::vector<Import>(imports_)) {
     if (i.log != log && i.via != log) continue;
-    for (MessageId n = i.from; n < i.to; n++) host_.store.over(n, false);
+    for (MessageId n = i.from; n < i.to; n++) host_.store.finish(n, false);
     std::erase_if(imports_, [&](const Import& x) { return x.log == i.log; });
     persist_import(i.log);
   }
@@ -307,8 +306,8 @@
   const MessageId end = import_of(claimed_log_)->to;
   bool fits = true;
   const bool whole = read_records(packet.salt, packet.body, [&](store::Record&& r) {
-    const bool numbered_records =
-        std::holds_alternative<store::record::Taken>(r) || std::holds_alternative<store::record::Over>(r);
+    const bool numbered_records = std::holds_alternative<store::record::Accepted>(r) ||
+                                  std::holds_alternative<store::record::Finished>(r);
     if (numbered_records && next_number_ >= end)
       fits = false;
     else
@@ -323,7 +322,7 @@
 }
 
 void Takeover::import_record(store::Record&& record) {
-  if (auto* const t = std::get_if<store::record::Taken>(&record)) {
+  if (auto* const t = std::get_if<store::record::Accepted>(&record)) {
     for (auto& c : chained_imports_)
       if (c.import.from <= t->number && t->number < c.import.to) {
         if (c.first == 0) c.first = next_number_;
@@ -333,7 +332,7 @@
     t->held.message.deadline += clock_shift_;
     for (auto& a : t->held.attempts) a.sent += clock_shift_;
     host_.store.put(std::move(record));
-  } else if (auto* const o = std::get_if<store::record::Over>(&record)) {
+  } else if (auto* const o = std::get_if<store::record::Finished>(&record)) {
     o->number = next_number_++;
     o->remember_until += clock_shift_;
     if (!host_.store.remembers(o->id)) host_.store.put(std::move(record));
--- a/relay/store/ledger.hpp
+++ b/relay/store/ledger.hpp
@@ -1,8 +1,9 @@
-// Which segment holds what of the live records: what compaction may drop, and what it must write anew first.
-// No input or output here.
+// Tracks which segments contain live records: what compaction may drop, and what it must write anew first. No
+// I/O here.
 //
-// A record is live while the store would come to another state without it. That a message is over stays live
-// as long as any segment has the message, or its id is remembered: else the message would come back to life.
+// A record is live if the store's state would differ without it. The record that a message has finished stays
+// live while any segment contains the message or its id is remembered: otherwise the message would be
+// restored.
 #pragma once
 
 #include <cstdint>
@@ -17,23 +18,23 @@
 
 namespace heronvane::store {
 
-// What is to be known of a record that was written.
-struct Note {
+// What the ledger needs to know of a written record.
+struct RecordSummary {
   Kind kind = Kind::anchor;
   MessageId number = 0;     // of its message
   std::string key;          // of a fact
-  bool remembered = false;  // over: its id; fact: it has a value
+  bool remembered = false;  // Finished: its id is remembered; Fact: its value is not empty
   std::uint32_t bytes = 0;  // of its frame
 };
-Note note_of(const Record& record, std::size_t bytes);
+RecordSummary summary_of(const Record& record, std::size_t bytes);
 
-// What must be written anew before a segment may go.
-struct Moving {
-  std::vector<MessageId> whole;     // messages, as Taken
-  std::vector<MessageId> progress;  // messages, as Progress
-  std::vector<MessageId> over;
+// Live records of a segment, which must be written anew before the segment is dropped.
+struct LiveRecords {
+  std::vector<MessageId> whole;     // messages, to be written as Accepted
+  std::vector<MessageId> progress;  // messages, to be written as Progress
+  std::vector<MessageId> finished;
   std::vector<std::string> facts;
-  bool empty() const { return whole.empty() && progress.empty() && over.empty() && facts.empty(); }
+  bool empty() const { return whole.empty() && progress.empty() && finished.empty() && facts.empty(); }
 };
 
 class Ledger {
@@ -41,80 +42,85 @@
   struct Segment {
     std::uint64_t bytes = 0;  // of the file
     std::uint64_t live = 0;   // of its live records
-    Sequence end = 0;         // behind its last record; 0 while records are added to it
-    bool damaged = false;     // its file is to be set aside, not removed
-    bool old = false;         // of format 1
+    Sequence end = 0;         // sequence number after its last record; 0 while records are appended
+    bool damaged = false;     // its file is to be renamed, not removed
+    bool format1 = false;     // of format 1
   };
 
-  // So many messages may come: room for them is made at once, for some hundreds of thousands at most.
-  void expect(std::uint64_t messages);
+  // Reserves memory for so many messages, at most for some hundreds of thousands.
+  void reserve(std::uint64_t messages);
   void add_segment(SegmentNumber segment);
   void grow(SegmentNumber segment, std::uint64_t bytes) { segments_.at(segment).bytes += bytes; }
-  void damaged(SegmentNumber segment) { segments_.at(segment).damaged = true; }
-  void old(SegmentNumber segment) { segments_.at(segment).old = true; }
-  // Its file was cut to nothing, as all that stood in it is written once more.
-  void emptied(SegmentNumber segment);
-  // And it is gone; what stood in it is live nowhere until it is noted once more.
+  void mark_damaged(SegmentNumber segment) { segments_.at(segment).damaged = true; }
+  void mark_format1(SegmentNumber segment) { segments_.at(segment).format1 = true; }
+  // The segment's file was truncated to zero bytes, since all its records are to be written again.
+  void mark_emptied(SegmentNumber segment);
+  // The segment's file was removed, too; its records are live nowhere until they are added again.
   void forget_segment(SegmentNumber segment);
-  // Nothing is added to it any more.
-  void closed(SegmentNumber segment, Sequence end) { segments_.at(segment).end = end; }
-  // The record stands in that segment, behind all that was noted before.
-  void note(const Note& note, SegmentNumber segment);
-  bool is_over(MessageId number) const;
-  // The id of that message, which is over, need not be remembered any more.
+  // No more records are appended to the segment. `end`: sequence number after its last record.
+  void close(SegmentNumber segment, Sequence end) { segments_.at(segment).end = end; }
+  // Adds a record, written to that segment after all records added before.
+  void add_record(const RecordSummary& summary, SegmentNumber segment);
+  bool is_finished(MessageId number) const;
+  // The id of that finished message need not be remembered any more.
   void forget_id(MessageId number);
-  // Where it is the oldest segment: that facts in it were dropped need not be known any more.
-  void settle_oldest(SegmentNumber segment);
-  // Of a segment that is gone, with nothing live left in it: forgets up to `most` of its records; true while
-  // there are more.
-  bool thin_out(SegmentNumber segment, std::size_t most);
-  // Forgets such a segment, with all that is left of it.
+  // If it is the oldest segment: forgets the facts deleted in it, since no older segment contains their
+  // values.
+  void drop_oldest_tombstones(SegmentNumber segment);
+  // Forgets up to `max_records` records of a segment whose file is gone and which has no live records; true
+  // while more remain.
+  bool forget_records(SegmentNumber segment, std::size_t max_records);
+  // Forgets such a segment with all its remaining records.
   void remove_segment(SegmentNumber segment);
 
   const std::map<SegmentNumber, Segment>& segments() const { return segments_; }
   std::uint64_t live() const { return live_; }
-  std::size_t tracked() const { return tracks_.size(); }
+  std::size_t message_count() const { return messages_.size(); }
 
-  // What is live in `segment`, looked at in the order in which it was written from `at` on, until `most`
-  // records were looked at or `bytes` bytes are to be moved; `at` moves on. True while there is more.
-  bool moving(SegmentNumber segment, std::size_t& at, std::size_t most, std::uint64_t bytes,
-              Moving& out) const;
+  // Adds live records of `segment` to `live_records`, in the order in which they were written, from
+  // `position` on, until `max_records` records were examined or `bytes` bytes were collected; advances
+  // `position`. True while more remain.
+  bool collect_live(SegmentNumber segment, std::size_t& position, std::size_t max_records,
+                    std::uint64_t bytes, LiveRecords& live_records) const;
 
  private:
-  struct Place {
+  struct Location {
     SegmentNumber segment = 0;
     std::uint64_t bytes = 0;
   };
-  struct Track {
-    Place base;                // the message's, while it is held; that of its being over, afterwards
-    std::vector<Place> later;  // of Sent, Ended, GivenUp, Progress: one for each segment
-    std::uint32_t bases = 0;   // segments in which the message stands, live or not
-    bool over = false, remembered = false;
+  struct MessageEntry {
+    Location base;                // of the message while it is held, of its Finished record afterwards
+    std::vector<Location> later;  // of the records that follow it; one for each segment
+    std::uint32_t copies = 0;     // Accepted records of the message in all segments, live or not
+    bool finished = false, remembered = false;
   };
-  struct FactTrack {
-    Place place;
+  struct FactEntry {
+    Location location;
     bool dropped = false;
   };
-  struct Resident {
+  struct SegmentMessage {
     MessageId number = 0;
-    bool base = false;  // the message itself stands there
+    bool is_accepted = false;  // an Accepted record, not one that follows it
   };
-  struct Residents {
-    std::deque<Resident> messages;  // grows without moving, goes in pieces: no pause for one large block
+  struct SegmentContents {
+    // A deque grows without copying and frees memory in small blocks, without a long pause.
+    std::deque<SegmentMessage> messages;
     std::vector<std::string> facts;
   };
 
-  void live(const Place& place) { segments_.at(place.segment).live += place.bytes, live_ += place.bytes; }
-  void dead(const Place& place);
-  void dead_later(Track& track);
-  bool stands_in(const Track& track, SegmentNumber segment) const;
-  void drop_dropped_facts(const std::vector<std::string>& keys, SegmentNumber oldest);
-  void drop_if_done(std::unordered_map<MessageId, Track>::iterator it);
+  void add_live(const Location& location) {
+    segments_.at(location.segment).live += location.bytes, live_ += location.bytes;
+  }
+  void subtract_live(const Location& location);
+  void subtract_later(MessageEntry& entry);
+  bool has_records_in(const MessageEntry& entry, SegmentNumber segment) const;
+  void drop_fact_tombstones(const std::vector<std::string>& keys, SegmentNumber oldest);
+  void erase_if_unneeded(std::unordered_map<MessageId, MessageEntry>::iterator it);
 
   std::map<SegmentNumber, Segment> segments_;
-  std::unordered_map<SegmentNumber, Residents> residents_;
-  std::unordered_map<MessageId, Track> tracks_;
-  std::map<std::string, FactTrack> facts_;
+  std::unordered_map<SegmentNumber, SegmentContents> contents_;
+  std::unordered_map<MessageId, MessageEntry> messages_;
+  std::map<std::string, FactEntry> facts_;
   std::uint64_t live_ = 0;
 };
 
--- a/tests/copies/replication_io_test.cpp
+++ b/tests/copies/replication_io_test.cpp
@@ -191,7 +191,7 @@
 class LeaderStore {  // a store with a sink that keeps its batches
  public:
   explicit LeaderStore(const std::string& path) : disk_(folder(path)), store(*disk_, options()), sink_{this} {
-    store.copy_to(&sink_);
+    store.set_log_sink(&sink_);
   }
   static std::unique_ptr<store::Disk> folder(const std::string& path) {
     fs::create_directories(path);
@@ -205,7 +205,7 @@
   MessageId take(const std::string& id) {
     const auto number = store.next_number();
     EXPECT_TRUE(store.admit(make_message(id)));
-    store.take(number, make_message(id));
+    store.accept(number, make_message(id));
     return number;
   }
 
@@ -261,10 +261,10 @@
         if (h == nullptr) continue;
         if (what == 2) leader_store.store.sent(m, 5, 1);
         if (what == 3 && !h->attempts.empty()) leader_store.store.outcome(m, 0, Outcome::reset);
-        if (what == 4) leader_store.store.ending(m, {true, 9});
-        if (what == 5) leader_store.store.over(m);
-        leader_store.store.keep("k" + std::to_string(r.below(5)),
-                                r.below(3) ? std::to_string(r.below(9)) : "");
+        if (what == 4) leader_store.store.give_up(m, {true, 9});
+        if (what == 5) leader_store.store.finish(m);
+        leader_store.store.set_fact("k" + std::to_string(r.below(5)),
+                                    r.below(3) ? std::to_string(r.below(9)) : "");
       }
       ASSERT_TRUE(leader_store.store.commit());
     };
@@ -355,7 +355,7 @@
   EXPECT_EQ(state.log_time, 1'500'000);
   std::vector<std::string> ids;
   EXPECT_TRUE(read_records(state.salt, state.body, [&](store::Record&& x) {
-    if (const auto* const t = std::get_if<store::record::Taken>(&x)) ids.push_back(t->held.message.id);
+    if (const auto* const t = std::get_if<store::record::Accepted>(&x)) ids.push_back(t->held.message.id);
   }));
   EXPECT_EQ(ids, (std::vector<std::string>{"m1", "m2"}));
 }
@@ -465,7 +465,7 @@
     for (int i = 0; i < 4'000 && why.empty(); i++) {
       auto m = make_message("m" + std::to_string(i));
       m.body.assign(500, 'x');
-      leader_store->store.put(store::record::Taken{leader_store->store.next_number(), {m, {}, {}, false}});
+      leader_store->store.put(store::record::Accepted{leader_store->store.next_number(), {m, {}, {}, false}});
       ASSERT_TRUE(leader_store->store.commit());
       Packet p = word(protocol::Append{first,
                                        acknowledged,
--- a/tests/store/compaction_test.cpp
+++ b/tests/store/compaction_test.cpp
@@ -1,4 +1,4 @@
-// Compaction on a folder that does not let its files go at once, and its steps.
+// Compaction in bounded steps, also on a folder whose files can't be removed for a while.
 #include <gtest/gtest.h>
 
 #include "memory_disk.hpp"
@@ -15,7 +15,7 @@
   return o;
 }
 
-// Messages that begin and end, until segments are to go.
+// Accepts and finishes messages until segments can be removed.
 void fill(Store& store, int rounds) {
   Message m;
   m.deadline = 1'000'000'000'000'000'000, m.body.assign(1'000, 'x');
@@ -23,14 +23,14 @@
     m.id = "m" + std::to_string(i);
     const MessageId number = store.next_number();
     ASSERT_TRUE(store.admit(m));
-    store.take(number, m);
+    store.accept(number, m);
     ASSERT_TRUE(store.commit());
-    store.over(number);
+    store.finish(number);
     ASSERT_TRUE(store.commit());
   }
 }
 
-TEST(Compaction, GoesOnOnceAFileCanBeRemovedAgain) {
+TEST(Compaction, ContinuesOnceAFileCanBeRemovedAgain) {
   MemoryDisk disk;
   Store store(disk, options());
   fill(store, 200);
@@ -50,25 +50,25 @@
   EXPECT_EQ(Store(disk, options()).recovery().counts.missing, 0u);
 }
 
-// A segment's records are taken out of the ledger a part at a time, and each once.
-TEST(Compaction, ThinsASegmentOutInSteps) {
+// The ledger forgets a segment's records some at a time, and each once.
+TEST(Compaction, ForgetsRecordsOfASegmentInSteps) {
   Ledger ledger;
   ledger.add_segment(1), ledger.add_segment(2);
   for (MessageId n = 1; n <= 10; n++) {
-    ledger.note({store::Kind::taken, n, {}, false, 100}, 1);
-    ledger.note({store::Kind::over, n, {}, false, 50}, 2);
+    ledger.add_record({store::Kind::accepted, n, {}, false, 100}, 1);
+    ledger.add_record({store::Kind::finished, n, {}, false, 50}, 2);
   }
   EXPECT_EQ(ledger.segments().at(1).live, 0u);
   EXPECT_EQ(ledger.live(), 500u);
-  EXPECT_TRUE(ledger.thin_out(1, 4));
+  EXPECT_TRUE(ledger.forget_records(1, 4));
   EXPECT_EQ(ledger.live(), 300u);
-  EXPECT_EQ(ledger.tracked(), 6u);
-  EXPECT_TRUE(ledger.thin_out(1, 4));
-  EXPECT_FALSE(ledger.thin_out(1, 4));
+  EXPECT_EQ(ledger.message_count(), 6u);
+  EXPECT_TRUE(ledger.forget_records(1, 4));
+  EXPECT_FALSE(ledger.forget_records(1, 4));
   EXPECT_EQ(ledger.live(), 0u);
   ledger.remove_segment(1);
   EXPECT_EQ(ledger.segments().size(), 1u);
-  EXPECT_EQ(ledger.tracked(), 0u);
+  EXPECT_EQ(ledger.message_count(), 0u);
 }
 
 }  // namespace
--- a/tests/store/store_test.cpp
+++ b/tests/store/store_test.cpp
@@ -1,4 +1,4 @@
-// The store on a folder in memory: what is found again, the room it takes, what compaction and damage cost.
+// The store on a folder in memory: recovery, disk space, compaction.
 #include "store/store.hpp"
 
 #include <gtest/gtest.h>
@@ -22,13 +22,13 @@
   return m;
 }
 
-// What a test says of the clocks.
+// Readings of the clocks, set by the test.
 struct Clocks {
   Microseconds boottime = 1'000'000, wall = 1'700'000'000'000'000;
 };
 
-struct Bench {
-  explicit Bench(std::uint64_t limit_bytes = kLimit) : limit(limit_bytes) {}
+struct StoreFixture {
+  explicit StoreFixture(std::uint64_t limit_bytes = kLimit) : limit(limit_bytes) {}
   Options options() {
     Options o;
     o.limit_bytes = limit;
@@ -45,8 +45,8 @@
   std::string boot = "first", log;
 };
 
-// What two stores must agree on.
-std::map<MessageId, std::string> told(const Store& s) {
+// Describes the state that two stores must agree on.
+std::map<MessageId, std::string> describe(const Store& s) {
   std::map<MessageId, std::string> all;
   for (const auto& [number, h] : s.held()) {
     std::string& t = all[number];
@@ -63,19 +63,19 @@
   return all;
 }
 
-TEST(Store, FindsAgainWhatWasWritten) {
+TEST(Store, RecoversWhatWasWritten) {
   MemoryDisk disk;
-  Bench b;
+  StoreFixture b;
   {
     const auto s = b.open(disk);
     for (const MessageId n : {1, 2, 3, 4}) {
       const auto m = message(std::string(1, static_cast<char>('`' + n)));
       ASSERT_TRUE(s->admit(m));
-      s->take(n, m);
+      s->accept(n, m);
     }
     s->sent(1, 1000, 2), s->outcome(1, 0, Outcome::rejected), s->sent(1, 2000, 1);
-    s->ending(2, {true, 500}), s->over(3), s->over(4);
-    s->keep("drain/x", "41"), s->keep("drain/y", "42"), s->keep("drain/x", "");
+    s->give_up(2, {true, 500}), s->finish(3), s->finish(4);
+    s->set_fact("drain/x", "41"), s->set_fact("drain/y", "42"), s->set_fact("drain/x", "");
     ASSERT_TRUE(s->commit());
   }
   const auto s = b.open(disk);
@@ -102,56 +102,56 @@
   EXPECT_EQ(s->next_number(), 5u);
 }
 
-// Facts of one kind may be bound to a part of their share, so that others find room; and a value may be
-// changed at the bound, where it grows by nothing.
-TEST(Store, FactsLeaveRoomForOthers) {
+// Facts of one kind may be limited to a part of the share, so that others still fit. At the bound a value can
+// be replaced by one that is no longer.
+TEST(Store, FactsOfOneKindLeaveSpaceForOthers) {
   MemoryDisk disk;
-  Bench b;
+  StoreFixture b;
   const auto s = b.open(disk);
   const auto key = [](const char* kind, int i) { return kind + std::to_string(1000 + i); };
   int targets = 0, others = 0;
-  while (s->keep(key("target/", targets), std::string(100, 'a'), 50)) targets++;
+  while (s->set_fact(key("target/", targets), std::string(100, 'a'), 50)) targets++;
   ASSERT_GT(targets, 100);
-  EXPECT_TRUE(s->keep(key("target/", 7), std::string(100, 'b'), 50));
-  EXPECT_FALSE(s->keep(key("target/", 7), std::string(200, 'b'), 50));
-  while (s->keep(key("others/", others), std::string(100, 'a'))) others++;
+  EXPECT_TRUE(s->set_fact(key("target/", 7), std::string(100, 'b'), 50));
+  EXPECT_FALSE(s->set_fact(key("target/", 7), std::string(200, 'b'), 50));
+  while (s->set_fact(key("others/", others), std::string(100, 'a'))) others++;
   EXPECT_GE(others, targets);
-  EXPECT_TRUE(s->keep(key("others/", 7), std::string(100, 'b')));
-  EXPECT_TRUE(s->keep(key("target/", 7), std::string(100, 'c'), 50));
-  EXPECT_TRUE(s->keep(key("target/", 7), ""));
-  EXPECT_TRUE(s->keep(key("others/", others), std::string(100, 'a')));
+  EXPECT_TRUE(s->set_fact(key("others/", 7), std::string(100, 'b')));
+  EXPECT_TRUE(s->set_fact(key("target/", 7), std::string(100, 'c'), 50));
+  EXPECT_TRUE(s->set_fact(key("target/", 7), ""));
+  EXPECT_TRUE(s->set_fact(key("others/", others), std::string(100, 'a')));
   ASSERT_TRUE(s->commit());
 }
 
-// Long random lives, restarted now and then: each start finds what the last life had, the files stay under
-// the limit at every instant, and what is over does not come back though its records move.
-// What endpoints leave behind may use up the share of facts; a drain is kept all the same.
-TEST(Store, VitalFactsFindRoom) {
-  Bench b;
+// Facts of endpoints may use up the share for facts; a drain must still be stored.
+TEST(Store, VitalFactsExceedTheShare) {
+  StoreFixture b;
   MemoryDisk disk;
   auto options = b.options();
   options.vital_facts = {"drain"};
   Store s(disk, options);
   int n = 0;
-  while (n < 100'000 && s.keep("endpoint/" + std::to_string(n), std::string(60, 'x'))) n++;
+  while (n < 100'000 && s.set_fact("endpoint/" + std::to_string(n), std::string(60, 'x'))) n++;
   ASSERT_LT(n, 100'000);
-  for (int i = 0; s.keep("e/" + std::to_string(i), "x"); i++) ASSERT_LT(i, 100);
-  EXPECT_FALSE(s.keep("other", "12"));
-  EXPECT_TRUE(s.keep("drain", "12"));
-  EXPECT_TRUE(s.keep("drain", "13"));
-  EXPECT_FALSE(s.keep("drain", std::string(5000, 'x')));
+  for (int i = 0; s.set_fact("e/" + std::to_string(i), "x"); i++) ASSERT_LT(i, 100);
+  EXPECT_FALSE(s.set_fact("other", "12"));
+  EXPECT_TRUE(s.set_fact("drain", "12"));
+  EXPECT_TRUE(s.set_fact("drain", "13"));
+  EXPECT_FALSE(s.set_fact("drain", std::string(5000, 'x')));
   EXPECT_TRUE(s.commit());
   EXPECT_LE(s.bytes(), s.limit());
 }
 
-TEST(Store, RandomLivesAreFoundAgain) {
+// Random workloads with restarts: each start must find the previous state, the files must stay below the
+// limit at all times, and finished messages must not come back though their records move.
+TEST(Store, RecoversRandomWorkloads) {
   for (std::uint64_t seed = 1; seed <= 12; seed++) {
     MemoryDisk disk;
-    Bench b;
+    StoreFixture b;
     std::mt19937_64 random(seed);
     const auto below = [&](std::uint64_t n) { return random() % n; };
-    std::set<std::string> over;
-    std::uint64_t refused = 0, taken = 0;
+    std::set<std::string> finished;
+    std::uint64_t rejected = 0, accepted = 0;
     b.limit = seed % 4 == 0 ? 400'000 : kLimit;
     auto s = b.open(disk);
     for (int round = 0; round < 4000; round++) {
@@ -161,11 +161,11 @@
                          below(seed % 3 == 0 ? 3 : 30) == 0 ? below(60'000) : below(300));
         m.deadline = s->clock().now() + 3'000'000;
         if (!s->admit(m)) {
-          refused++;
+          rejected++;
           continue;
         }
-        s->take(s->next_number(), m);
-        taken++;
+        s->accept(s->next_number(), m);
+        accepted++;
       }
       std::vector<MessageId> numbers;
       for (const auto& [number, h] : s->held()) numbers.push_back(number);
@@ -174,10 +174,10 @@
         const bool out = !h.attempts.empty() && !h.attempts.back().outcome;
         const auto dice = below(100);
         if (h.ending ? dice < 30 : dice < 5) {
-          over.insert(h.message.id);
-          s->over(number);
+          finished.insert(h.message.id);
+          s->finish(number);
         } else if (!h.ending && dice < 12) {
-          s->ending(number, {below(2) == 0, 100});
+          s->give_up(number, {below(2) == 0, 100});
         } else if (!h.ending && out && dice < 40) {
           s->outcome(number, static_cast<int>(h.attempts.size()) - 1, static_cast<Outcome>(below(8)));
         } else if (!h.ending && !out && dice < 30 && h.attempts.size() < 8) {
@@ -185,38 +185,38 @@
         }
       }
       if (below(20) == 0)
-        s->keep("f" + std::to_string(below(40)), below(3) ? std::string(below(100), 'v') : "");
+        s->set_fact("f" + std::to_string(below(40)), below(3) ? std::string(below(100), 'v') : "");
       ASSERT_TRUE(s->commit()) << b.log;
       for (int steps = 0; s->wants_compaction() && steps < 3; steps++)
         ASSERT_NE(s->compact(), Store::Step::blocked) << b.log;
       ASSERT_LE(disk.peak_bytes(), b.limit);
       ASSERT_EQ(disk.bytes(), s->bytes());
       if (below(150) != 0) continue;
-      const auto before = told(*s);
+      const auto before = describe(*s);
       const auto facts = s->facts();
       std::set<std::string> remembered;
-      for (const auto& id : over)
+      for (const auto& id : finished)
         if (s->remembers(id)) remembered.insert(id);
       const auto next = s->next_number();
       s = nullptr;
       s = b.open(disk);
       ASSERT_EQ(s->recovery().counts.missing, 0u) << b.log;
-      ASSERT_EQ(told(*s), before);
+      ASSERT_EQ(describe(*s), before);
       ASSERT_EQ(s->facts(), facts);
       ASSERT_EQ(s->next_number(), next);
-      for (const auto& id : over) ASSERT_EQ(s->remembers(id), remembered.count(id) > 0) << id;
+      for (const auto& id : finished) ASSERT_EQ(s->remembers(id), remembered.count(id) > 0) << id;
     }
-    EXPECT_GT(taken, 500u);
+    EXPECT_GT(accepted, 500u);
     EXPECT_LT(s->segments().size(), 70u);
     EXPECT_EQ(b.log.find("kept"), std::string::npos) << b.log;
   }
 }
 
-// A disk with room for more than the memory has: messages that are given up and whose notices nobody takes
-// pile up only so far, and there is room again once they are over.
-TEST(Store, WhatIsHeldStaysWithinTheMemory) {
+// With a disk larger than the memory, messages that are given up and whose notifications nobody takes
+// accumulate only up to a bound; once some are finished, messages are admitted again.
+TEST(Store, HeldMessagesStayWithinTheMemoryBound) {
   MemoryDisk disk;
-  Bench b(100'000'000);
+  StoreFixture b(100'000'000);
   auto options = b.options();
   options.memory_bytes = 4'000'000;
   Store s(disk, options);
@@ -224,14 +224,14 @@
   while (held < 1000) {
     const auto m = message("m" + std::to_string(held), 10'000);
     if (!s.admit(m)) break;
-    s.take(s.next_number(), m);
-    s.ending(s.next_number() - 1, {});
+    s.accept(s.next_number(), m);
+    s.give_up(s.next_number() - 1, {});
     held++;
   }
   EXPECT_GT(held, 150u);
   EXPECT_LT(held, 200u);
-  EXPECT_EQ(s.trouble(), "") << "that is load, not trouble";
-  s.over(1);
+  EXPECT_EQ(s.unavailable_reason(), "") << "a full memory is load, not a failure";
+  s.finish(1);
   ASSERT_TRUE(s.commit());
   EXPECT_TRUE(s.admit(message("next", 10'000)));
 }
