--- a/tests/fleet_rig/books.cpp
+++ b/tests/fleet_rig/books.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr Ms kSlack = 1'000;                  // from the deadline to its notice at the platform
-constexpr Ms kOwedIn = 5'000;                 // from when a relay that was away runs again
-constexpr std::size_t kMostCharges = 20'000;  // bytes
+constexpr Ms kNoticeSlack = 1'000;  // allowed from the deadline to the notice at the platform
+constexpr Ms kMaxOwed = 5'000;      // allowed from the return of a relay that was down
+constexpr std::size_t kMaxReportBytes = 20'000;
 
 }  // namespace
 
@@ -33,135 +33,142 @@
   return out.str();
 }
 
-void Books::sent(const std::string& id, bool unsafe, Ms deadline) {
+void Ledger::sent(const std::string& id, bool unsafe, Ms deadline) {
   const std::lock_guard lock(mutex_);
-  auto& m = messages_[id];
-  m.unsafe = unsafe, m.deadline = deadline;
+  auto& message = messages_[id];
+  message.unsafe = unsafe, message.deadline = deadline;
 }
 
-void Books::heard(const std::string& id, std::size_t relay, Heard heard) {
+void Ledger::client_heard(const std::string& id, std::size_t relay, Heard result) {
   const std::lock_guard lock(mutex_);
-  auto& m = messages_[id];
-  m.relay = relay;
-  switch (heard) {
+  auto& message = messages_[id];
+  message.relay = relay;
+  switch (result) {
     case Heard::taken:
-      m.said = Said::taken;
+      message.client_result = ClientResult::taken;
       break;
     case Heard::refused:
     case Heard::no_relay:
-      m.said = Said::refused;
+      message.client_result = ClientResult::refused;
       break;
     case Heard::silence:
-      m.said = Said::silence;
+      message.client_result = ClientResult::silence;
       break;
     case Heard::failed:
-      m.said = Said::failed;
+      message.client_result = ClientResult::failed;
       break;
   }
 }
 
-Books::Message* Books::find(const std::string& id, const char* what) {
+Ledger::Message* Ledger::find(const std::string& id, const char* event) {
   const auto it = messages_.find(id);
   if (it != messages_.end()) return &it->second;
   tally_.strange++;
-  charge(std::string(what) + " of an id of nobody", id);
+  add_to_report(std::string(event) + " with an unknown id", id);
   return nullptr;
 }
 
-void Books::arrived(const std::string& id, bool refused) {
+void Ledger::call_arrived(const std::string& id, bool refused) {
   const std::lock_guard lock(mutex_);
-  auto* const m = find(id, "a call");
-  if (m == nullptr) return;
-  tally_.calls++, m->calls++;
-  if (m->unsafe && m->unproven > 0) tally_.unsafe_twice++, charge("unsafe twice", id);
-  m->unproven += !refused;
+  auto* const message = find(id, "a call");
+  if (message == nullptr) return;
+  tally_.calls++, message->calls++;
+  if (message->unsafe && message->may_have_run > 0)
+    tally_.unsafe_twice++, add_to_report("an unsafe message called twice", id);
+  message->may_have_run += !refused;
 }
 
-void Books::answered(const std::string& id) {
+void Ledger::call_answered(const std::string& id) {
   const std::lock_guard lock(mutex_);
   const auto it = messages_.find(id);
   if (it == messages_.end()) return;
   if (it->second.delivered++ == 0) it->second.delivered_at = now_ms();
 }
 
-void Books::notices(const std::vector<Notice>& all) {
+void Ledger::set_notices(const std::vector<Notice>& all) {
   const std::lock_guard lock(mutex_);
-  for (auto& [id, m] : messages_) m.notice = nullptr;
+  for (auto& [id, message] : messages_) message.notice = nullptr;
   notices_ = all;
-  for (const auto& n : notices_)
-    if (const auto it = messages_.find(n.id); it != messages_.end()) it->second.notice = &n;
+  for (const auto& notice : notices_)
+    if (const auto it = messages_.find(notice.id); it != messages_.end()) it->second.notice = &notice;
 }
 
-std::uint64_t Books::open() const {
+std::uint64_t Ledger::open_count() const {
   const std::lock_guard lock(mutex_);
-  return static_cast<std::uint64_t>(std::count_if(messages_.begin(), messages_.end(), [](const auto& e) {
-    const auto& m = e.second;
-    return m.said == Said::taken && m.delivered == 0 && m.notice == nullptr;
+  return static_cast<std::uint64_t>(std::count_if(messages_.begin(), messages_.end(), [](const auto& entry) {
+    const auto& message = entry.second;
+    return message.client_result == ClientResult::taken && message.delivered == 0 &&
+           message.notice == nullptr;
   }));
 }
 
-Tally Books::judge(const std::function<Ms(std::size_t, Ms)>& up) {
+Tally Ledger::evaluate(const std::function<Ms(std::size_t, Ms)>& last_return) {
   const std::lock_guard lock(mutex_);
   tally_.messages = messages_.size();
-  for (const auto& n : notices_)
-    if (messages_.count(n.id) == 0) tally_.strange++, charge("a notice of an id of nobody", n.id);
-  for (const auto& [id, m] : messages_) {
-    tally_.taken += m.said == Said::taken, tally_.refused += m.said == Said::refused;
-    tally_.silence += m.said == Said::silence, tally_.failed += m.said == Said::failed;
-    if (m.said == Said::refused && m.calls > 0) tally_.refused_yet_run++, charge("refused, yet run", id);
-    if (m.notice != nullptr && m.notice->deferred && m.unsafe && m.unproven > 0)
-      tally_.refused_yet_run++, charge("deferred, yet run", id);
-    const Ms last = std::max(m.delivered_at, m.notice != nullptr ? m.notice->at : 0);
-    if (m.delivered > 0 && m.notice != nullptr)
-      up(m.relay, last) > 0 ? tally_.second_ends++ : tally_.crossed++;
-    if (m.notice != nullptr) tally_.again += static_cast<std::uint64_t>(m.notice->repeats);
-    if (m.delivered > 1) tally_.repeated++;
-    if (m.said != Said::taken) continue;
-    if (m.delivered == 0 && m.notice == nullptr) {
-      tally_.lost++, charge("lost", id);
+  for (const auto& notice : notices_)
+    if (messages_.count(notice.id) == 0)
+      tally_.strange++, add_to_report("a notice with an unknown id", notice.id);
+  for (const auto& [id, message] : messages_) {
+    tally_.taken += message.client_result == ClientResult::taken,
+        tally_.refused += message.client_result == ClientResult::refused;
+    tally_.silence += message.client_result == ClientResult::silence,
+        tally_.failed += message.client_result == ClientResult::failed;
+    if (message.client_result == ClientResult::refused && message.calls > 0)
+      tally_.refused_yet_run++, add_to_report("refused, but called", id);
+    if (message.notice != nullptr && message.notice->deferred && message.unsafe && message.may_have_run > 0)
+      tally_.refused_yet_run++, add_to_report("deferred, but may have run", id);
+    const Ms last_end = std::max(message.delivered_at, message.notice != nullptr ? message.notice->at : 0);
+    if (message.delivered > 0 && message.notice != nullptr)
+      last_return(message.relay, last_end) > 0 ? tally_.second_ends++ : tally_.crossed++;
+    if (message.notice != nullptr) tally_.again += static_cast<std::uint64_t>(message.notice->repeats);
+    if (message.delivered > 1) tally_.repeated++;
+    if (message.client_result != ClientResult::taken) continue;
+    if (message.delivered == 0 && message.notice == nullptr) {
+      tally_.lost++, add_to_report("lost", id);
       continue;
     }
-    m.delivered > 0 ? tally_.delivered++ : tally_.noticed++;
-    const Ms first = m.delivered == 0      ? m.notice->at
-                     : m.notice == nullptr ? m.delivered_at
-                                           : std::min(m.delivered_at, m.notice->at);
-    if (first <= m.deadline + kSlack) continue;
-    const Ms back = up(m.relay, first);
-    const Ms owed = first - std::max(back, m.deadline);
-    back < m.deadline - kSlack ? tally_.late_unkilled++ : tally_.late++;
-    tally_.owed_most = std::max(tally_.owed_most, owed);
-    if (owed <= kOwedIn) continue;
+    message.delivered > 0 ? tally_.delivered++ : tally_.noticed++;
+    const Ms first_end = message.delivered == 0      ? message.notice->at
+                         : message.notice == nullptr ? message.delivered_at
+                                                     : std::min(message.delivered_at, message.notice->at);
+    if (first_end <= message.deadline + kNoticeSlack) continue;
+    const Ms returned = last_return(message.relay, first_end);
+    const Ms overdue_ms = first_end - std::max(returned, message.deadline);
+    returned < message.deadline - kNoticeSlack ? tally_.late_unkilled++ : tally_.late++;
+    tally_.owed_most = std::max(tally_.owed_most, overdue_ms);
+    if (overdue_ms <= kMaxOwed) continue;
     tally_.overdue++;
-    charge("late by " + std::to_string(first - m.deadline) + " ms, its relay back since " +
-               std::to_string(back > 0 ? first - back : -1) + " ms",
-           id);
+    add_to_report("late by " + std::to_string(first_end - message.deadline) + " ms, its relay was back for " +
+                      std::to_string(returned > 0 ? first_end - returned : -1) + " ms",
+                  id);
   }
   return tally_;
 }
 
-void Books::charge(const std::string& what, const std::string& id) {
-  if (charges_.size() > kMostCharges) return;
-  charges_ += what + ": " + id;
+void Ledger::add_to_report(const std::string& event, const std::string& id) {
+  if (report_.size() > kMaxReportBytes) return;
+  report_ += event + ": " + id;
   if (const auto it = messages_.find(id); it != messages_.end()) {
-    const auto& m = it->second;
-    const char* const said[] = {"nothing", "taken", "refused", "silence", "failed"};
-    charges_ += std::string(m.unsafe ? ", unsafe" : ", safe") + ", its client heard " +
-                said[static_cast<int>(m.said)] + " of n" + std::to_string(m.relay) + ", calls " +
-                std::to_string(m.calls) + " of which " + std::to_string(m.unproven) +
-                " may have run, delivered " + std::to_string(m.delivered) + ", " +
-                (m.notice == nullptr  ? "no notice"
-                 : m.notice->deferred ? "deferred"
-                                      : "undeliverable") +
-                ", deadline " + std::to_string(m.deadline);
-    if (m.delivered_at > 0) charges_ += ", delivered at " + std::to_string(m.delivered_at);
-    if (m.notice != nullptr) charges_ += ", notice at " + std::to_string(m.notice->at);
+    const auto& message = it->second;
+    const char* const client_result[] = {"nothing", "taken", "refused", "silence", "failed"};
+    report_ += std::string(message.unsafe ? ", unsafe" : ", safe") + ", client result " +
+               client_result[static_cast<int>(message.client_result)] + " from n" +
+               std::to_string(message.relay) + ", calls " + std::to_string(message.calls) + " of which " +
+               std::to_string(message.may_have_run) + " may have run, delivered " +
+               std::to_string(message.delivered) + ", " +
+               (message.notice == nullptr  ? "no notice"
+                : message.notice->deferred ? "deferred"
+                                           : "undeliverable") +
+               ", deadline " + std::to_string(message.deadline);
+    if (message.delivered_at > 0) report_ += ", delivered at " + std::to_string(message.delivered_at);
+    if (message.notice != nullptr) report_ += ", notice at " + std::to_string(message.notice->at);
   }
-  charges_ += "\n";
+  report_ += "\n";
 }
 
-std::string Books::charges() const {
+std::string Ledger::report() const {
   const std::lock_guard lock(mutex_);
-  return charges_;
+  return report_;
 }
 
 }  // namespace heronvane::rig
--- a/tests/fleet_rig/machine.cpp
+++ b/tests/fleet_rig/machine.cpp
@@ -25,14 +25,14 @@
 namespace {
 
 constexpr std::uint16_t kFirstPort = 8'081, kPlatformPort = 8'500;
-constexpr auto kToolPatience = std::chrono::seconds(150), kAgentPatience = std::chrono::seconds(45);
+constexpr auto kToolTimeout = std::chrono::seconds(150), kAgentTimeout = std::chrono::seconds(45);
 
-std::string whole(const std::string& file) {
+std::string read_file(const std::string& file) {
   std::ifstream in(file, std::ios::binary);
   return {std::istreambuf_iterator<char>(in), {}};
 }
 
-// Address and folder of this process alone, so that rigs run beside one another.
+// The address and the folder depend on the process id, so that several rigs can run at once.
 std::string own_address() {
   const auto pid = ::getpid();
   return "127." + std::to_string(190 + (pid >> 16) % 60) + "." + std::to_string((pid >> 8) % 256) + "." +
@@ -47,14 +47,14 @@
   return folder.string();
 }
 
-pid_t run(std::vector<std::string> words, const std::string& out, const std::string& err) {
+pid_t spawn(std::vector<std::string> words, const std::string& out, const std::string& err) {
   std::vector<char*> arguments;
   for (auto& w : words) arguments.push_back(w.data());
   arguments.push_back(nullptr);
   const pid_t parent = ::getpid(), child = ::fork();
   if (child < 0) throw std::runtime_error("fork");
   if (child > 0) return child;
-  // Other threads may hold locks: nothing here may need one.
+  // After fork() other threads may have held locks: only async-signal-safe calls from here on.
   ::prctl(PR_SET_PDEATHSIG, SIGTERM);
   if (::getppid() != parent) ::_exit(127);
   const int null = ::open("/dev/null", O_RDONLY | O_CLOEXEC);
@@ -80,15 +80,15 @@
 
 Machine::Machine(int count)
     : count_(count), folder_(own_folder()), address_(own_address()), sampler_(folder_ + "/data") {
-  ::prctl(PR_SET_CHILD_SUBREAPER, 1);  // relays of agents that were killed become children of the rig
+  ::prctl(PR_SET_CHILD_SUBREAPER, 1);  // relays of a killed agent become children of the rig
 }
 
 Machine::~Machine() {
   if (agent_ > 0) kill_agent();
   for (int i = 0; i < count_; i++)
     if (const auto relay = sampler_.open(name(i))) relay.signal(SIGKILL);
-  // A process may have been started after the last look.
-  sampler_.look_twice();
+  // A relay may have been started after the last scan.
+  sampler_.wait_for_full_scan();
   for (int i = 0; i < count_; i++)
     if (const auto relay = sampler_.open(name(i))) relay.signal(SIGKILL);
   while (::waitpid(-1, nullptr, 0) > 0) {
@@ -118,12 +118,12 @@
 
 void Machine::start_agent() {
   const std::string log = folder_ + "/agent.log";
-  // Where the rig itself is ended, the agent ends with all its relays.
-  agent_ = run({AGENT_PROGRAM, "--data", data(), "--foreground", "--stop-relays"}, log, log);
-  const auto until = std::chrono::steady_clock::now() + kAgentPatience;
+  // If the rig is ended, the agent ends with all its relays.
+  agent_ = spawn({AGENT_PROGRAM, "--data", data(), "--foreground", "--stop-relays"}, log, log);
+  const auto until = std::chrono::steady_clock::now() + kAgentTimeout;
   while (tool({"list", "-o", "json"}).status != 0) {
     if (std::chrono::steady_clock::now() > until)
-      throw std::runtime_error("the agent does not answer: " + log);
+      throw std::runtime_error("the agent does not answer; its log: " + log);
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
   }
   agent_starts_.push_back(now_ms());
@@ -138,8 +138,8 @@
 Machine::Tool Machine::start_tool(const std::vector<std::string>& words) {
   std::vector<std::string> all{TOOL_PROGRAM, "--agent", data() + "/agent.sock"};
   all.insert(all.end(), words.begin(), words.end());
-  const std::string files = folder_ + "/tool-" + std::to_string(++tools_);
-  return {run(std::move(all), files + ".out", files + ".err"), files, now_ms()};
+  const std::string output_stem = folder_ + "/tool-" + std::to_string(++tools_);
+  return {spawn(std::move(all), output_stem + ".out", output_stem + ".err"), output_stem, now_ms()};
 }
 
 bool Machine::ended(const Tool& tool) const {
@@ -148,22 +148,22 @@
          how.si_pid == tool.pid;
 }
 
-Ran Machine::finish_tool(const Tool& tool) {
-  const auto until = std::chrono::steady_clock::now() + kToolPatience;
-  Ran ran;
-  ran.pid = tool.pid;
+ToolResult Machine::finish_tool(const Tool& tool) {
+  const auto until = std::chrono::steady_clock::now() + kToolTimeout;
+  ToolResult result;
+  result.pid = tool.pid;
   int status = 0;
   while (::waitpid(tool.pid, &status, WNOHANG) != tool.pid) {
     if (std::chrono::steady_clock::now() > until) ::kill(tool.pid, SIGKILL);
     std::this_thread::sleep_for(std::chrono::milliseconds(2));
   }
-  ran.took = now_ms() - tool.begun;
-  if (WIFEXITED(status)) ran.status = WEXITSTATUS(status);
-  ran.out = whole(tool.files + ".out"), ran.err = whole(tool.files + ".err");
+  result.duration = now_ms() - tool.started;
+  if (WIFEXITED(status)) result.status = WEXITSTATUS(status);
+  result.out = read_file(tool.output_stem + ".out"), result.err = read_file(tool.output_stem + ".err");
   std::error_code ignored;
-  std::filesystem::remove(tool.files + ".out", ignored);
-  std::filesystem::remove(tool.files + ".err", ignored);
-  return ran;
+  std::filesystem::remove(tool.output_stem + ".out", ignored);
+  std::filesystem::remove(tool.output_stem + ".err", ignored);
+  return result;
 }
 
 std::vector<Machine::Operation> Machine::operations() {
@@ -183,7 +183,7 @@
         const std::string state = text_of(s, "state");
         one.done += state == "done";
         if (state != "done")
-          one.left.push_back(text_of(s, "instance") + " " + state + ": " + text_of(s, "what"));
+          one.unfinished_steps.push_back(text_of(s, "instance") + " " + state + ": " + text_of(s, "what"));
       }
     }
     all.push_back(std::move(one));
@@ -209,39 +209,41 @@
 bool Machine::healthy(int i) const {
   const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   if (fd < 0) return false;
-  const timeval patience{0, 300'000};
-  ::setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
-  ::setsockopt(fd, SOL_SOCKET, SO_SNDTIMEO, &patience, sizeof patience);
+  const timeval timeout{0, 300'000};
+  ::setsockopt(fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
+  ::setsockopt(fd, SOL_SOCKET, SO_SNDTIMEO, &timeout, sizeof timeout);
   const auto at = relays()[static_cast<std::size_t>(i)].address;
-  const std::string ask = "GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
+  const std::string request = "GET /_health HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
   char answer[13] = {};
-  const bool well = ::connect(fd, at.data(), static_cast<socklen_t>(at.size())) == 0 &&
-                    ::send(fd, ask.data(), ask.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(ask.size()) &&
-                    ::recv(fd, answer, 12, MSG_WAITALL) == 12;
+  const bool success =
+      ::connect(fd, at.data(), static_cast<socklen_t>(at.size())) == 0 &&
+      ::send(fd, request.data(), request.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(request.size()) &&
+      ::recv(fd, answer, 12, MSG_WAITALL) == 12;
   ::close(fd);
-  return well && std::string(answer).substr(9, 3) == "200";
+  return success && std::string(answer).substr(9, 3) == "200";
 }
 
 std::vector<Notice> Machine::notices() const {
   std::vector<Notice> all;
   sqlite3* db = nullptr;
-  sqlite3_stmt* ask = nullptr;
+  sqlite3_stmt* statement = nullptr;
   if (sqlite3_open_v2((data() + "/finals.db").c_str(), &db, SQLITE_OPEN_READONLY, nullptr) == SQLITE_OK) {
     sqlite3_busy_timeout(db, 2'000);
-    if (sqlite3_prepare_v2(db, "SELECT id,status,received_ms,repeats FROM finals", -1, &ask, nullptr) ==
+    if (sqlite3_prepare_v2(db, "SELECT id,status,received_ms,repeats FROM finals", -1, &statement, nullptr) ==
         SQLITE_OK)
-      while (sqlite3_step(ask) == SQLITE_ROW)
-        all.push_back({reinterpret_cast<const char*>(sqlite3_column_text(ask, 0)),
-                       std::string(reinterpret_cast<const char*>(sqlite3_column_text(ask, 1))) == "deferred",
-                       sqlite3_column_int64(ask, 2), sqlite3_column_int64(ask, 3)});
+      while (sqlite3_step(statement) == SQLITE_ROW)
+        all.push_back(
+            {reinterpret_cast<const char*>(sqlite3_column_text(statement, 0)),
+             std::string(reinterpret_cast<const char*>(sqlite3_column_text(statement, 1))) == "deferred",
+             sqlite3_column_int64(statement, 2), sqlite3_column_int64(statement, 3)});
   }
-  sqlite3_finalize(ask);
+  sqlite3_finalize(statement);
   sqlite3_close(db);
   return all;
 }
 
 std::string Machine::log() const {
-  const std::string all = whole(folder_ + "/agent.log");
+  const std::string all = read_file(folder_ + "/agent.log");
   return all.substr(all.size() > 6'000 ? all.size() - 6'000 : 0);
 }
 
--- a/tests/fleet_rig/processes.cpp
+++ b/tests/fleet_rig/processes.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-// Not by stream iterators: they throw where a process has ended between open and read.
-std::string whole(const std::string& file) {
+// Without stream iterators, which throw if the process ends between open and read.
+std::string read_file(const std::string& file) {
   std::ifstream in(file, std::ios::binary);
   std::string all;
   char piece[4096];
@@ -25,9 +25,9 @@
   return all;
 }
 
-// A field past the second of /proc/PID/stat; 0 where it is none, or has ended.
+// Field `number` (3 or higher) of /proc/PID/stat; 0 if the process does not exist or has ended.
 std::uint64_t stat_of(pid_t pid, int number) {
-  const std::string stat = whole("/proc/" + std::to_string(pid) + "/stat");
+  const std::string stat = read_file("/proc/" + std::to_string(pid) + "/stat");
   const auto name_end = stat.rfind(')');
   if (name_end == std::string::npos || name_end + 2 >= stat.size()) return 0;
   if (stat[name_end + 2] == 'Z' || stat[name_end + 2] == 'X') return 0;
@@ -47,8 +47,8 @@
 Sampler::Sampler(std::string data)
     : prefix_(std::move(data) + "/instances/"), thread_([this] {
         while (!ending_) {
-          look();
-          looks_++;
+          scan();
+          scans_++;
           std::this_thread::sleep_for(std::chrono::milliseconds(15));
         }
       }) {}
@@ -58,24 +58,26 @@
   thread_.join();
 }
 
-// The instance whose relay that process is, and its start.
+// The instance whose relay the process is, and the start time of the process; nothing for other processes.
 std::optional<std::pair<std::string, std::uint64_t>> Sampler::relay_of(pid_t pid) const {
-  const std::string words = whole("/proc/" + std::to_string(pid) + "/cmdline");
+  const std::string command_line = read_file("/proc/" + std::to_string(pid) + "/cmdline");
   const std::string before = std::string("--state") + '\0' + prefix_;
-  const auto at = words.find(before);
+  const auto at = command_line.find(before);
   if (at == std::string::npos) return std::nullopt;
   const auto from = at + before.size();
-  const auto to = words.find('/', from);
+  const auto to = command_line.find('/', from);
   if (to == std::string::npos) return std::nullopt;
   const auto start = start_time(pid);
   if (start == 0) return std::nullopt;
-  // Under the address sanitizer a relay that ends looks for leaks from a child of its own: no second relay.
-  const std::string parent = whole("/proc/" + std::to_string(parent_of(pid)) + "/cmdline");
-  if (parent.find(before + words.substr(from, to - from) + '/') != std::string::npos) return std::nullopt;
-  return std::pair(words.substr(from, to - from), start);
+  // Under AddressSanitizer, a relay that ends checks for leaks in a child process, which is not a second
+  // relay.
+  const std::string parent = read_file("/proc/" + std::to_string(parent_of(pid)) + "/cmdline");
+  if (parent.find(before + command_line.substr(from, to - from) + '/') != std::string::npos)
+    return std::nullopt;
+  return std::pair(command_line.substr(from, to - from), start);
 }
 
-void Sampler::look() {
+void Sampler::scan() {
   std::map<std::string, std::vector<Run>> now;
   DIR* const proc = ::opendir("/proc");
   if (proc == nullptr) return;
@@ -88,29 +90,29 @@
   const std::lock_guard lock(mutex_);
   alive_.clear();
   for (auto& [name, all] : now) {
-    // A look takes time: only those that still stand when the last has been seen stood at once.
+    // A scan takes time: only those that still run after the scan have run at the same time.
     if (all.size() > 1) {
       std::string text;
-      int standing = 0;
+      int running = 0;
       for (const auto& r : all) {
         if (start_time(r.pid) != r.start_time) continue;
-        standing++;
+        running++;
         text += " " + std::to_string(r.pid);
       }
-      if (standing > 1) doubles_ += name + ":" + text + "\n";
+      if (running > 1) duplicates_ += name + ":" + text + "\n";
     }
-    auto& known = runs_[name];
+    auto& known_runs = runs_[name];
     for (const auto& r : all) {
       alive_[name] = r.pid;
-      const bool old = std::any_of(known.begin(), known.end(), [&](const Run& k) {
+      const bool known_before = std::any_of(known_runs.begin(), known_runs.end(), [&](const Run& k) {
         return k.pid == r.pid && k.start_time == r.start_time;
       });
-      if (old) continue;
-      known.push_back(r);
+      if (known_before) continue;
+      known_runs.push_back(r);
       unreaped_.insert(r.pid);
     }
   }
-  // Relays whose agent was killed became children of the rig.
+  // Relays whose agent was killed are children of the rig now.
   std::erase_if(unreaped_, [](pid_t pid) {
     return ::waitpid(pid, nullptr, WNOHANG) == pid || (::kill(pid, 0) != 0 && errno == ESRCH);
   });
@@ -135,13 +137,13 @@
   if (!relay || relay->first != instance || process.ended()) return {};
   return process;
 }
-std::string Sampler::doubles() const {
+std::string Sampler::duplicates() const {
   const std::lock_guard lock(mutex_);
-  return doubles_;
+  return duplicates_;
 }
-void Sampler::look_twice() const {
-  const auto until = looks_ + 2;
-  while (looks_ < until) std::this_thread::sleep_for(std::chrono::milliseconds(5));
+void Sampler::wait_for_full_scan() const {
+  const auto until = scans_ + 2;
+  while (scans_ < until) std::this_thread::sleep_for(std::chrono::milliseconds(5));
 }
 
 }  // namespace heronvane::rig
--- a/tests/fleet_rig/world.hpp
+++ b/tests/fleet_rig/traffic.hpp
@@ -1,5 +1,5 @@
-// The outside of a fleet: partners' endpoints that misbehave in known ways, and clients, on a thread of their
-// own.
+// The traffic of a fleet: clients, and partners' endpoints that misbehave in known ways, on one thread of
+// their own.
 #pragma once
 
 #include <atomic>
@@ -16,19 +16,19 @@
 
 namespace heronvane::rig {
 
-class World {
+class Traffic {
  public:
-  // Endpoints serve at once. `nobody`: an address where no one listens.
-  World(Books& books, std::uint64_t seed, const std::string& nobody);
-  ~World();
-  World(const World&) = delete;
-  World& operator=(const World&) = delete;
-
-  std::string partners() const;  // the list, as a file of the fleet has it
-  // Traffic over all of them, so many messages a second; until stop_clients, which waits for what is out.
+  // The endpoints serve from now on. `unused_address`: the address of an endpoint where nothing listens.
+  Traffic(Ledger& ledger, std::uint64_t seed, const std::string& unused_address);
+  ~Traffic();
+  Traffic(const Traffic&) = delete;
+  Traffic& operator=(const Traffic&) = delete;
+
+  std::string partners() const;  // the partner list as JSON
+  // Sends `per_s` messages a second over all relays, until stop_clients(), which waits for pending requests.
   void start_clients(std::vector<standins::ClientsOptions::Relay> relays, double per_s);
   void stop_clients();
-  std::vector<std::uint64_t> taken();  // by relay, so far
+  std::vector<std::uint64_t> taken();  // accepted messages by relay, so far
 
  private:
   struct Partner {
@@ -37,10 +37,10 @@
     std::string address;
   };
   void add(const std::string& type, std::int64_t group, const standins::Habits& habits);
-  template <class What>
-  void on_loop(What what);
+  template <class Function>
+  void on_loop(Function function);
 
-  Books& books_;
+  Ledger& ledger_;
   std::uint64_t seed_;
   boost::asio::io_context io_;
   std::vector<Partner> partners_;
