--- a/fleet/api.cpp
+++ b/fleet/api.cpp
@@ -20,24 +20,24 @@
 constexpr std::size_t kMaxOperations = 1'000;
 constexpr std::size_t kMaxMessageIdBytes = 1'024;
 
-std::int64_t to_ms(Microseconds target) { return target / 1'000; }
+std::int64_t to_ms(Microseconds time) { return time / 1'000; }
 
 class BadRequest : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-std::uint64_t number(std::string_view text, const std::string& what, std::uint64_t max) {
+std::uint64_t parse_number(std::string_view text, const std::string& what, std::uint64_t max) {
   std::uint64_t v = 0;
-  const auto [end, bad] = std::from_chars(text.data(), text.data() + text.size(), v);
-  if (bad != std::errc() || end != text.data() + text.size() || v > max)
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), v);
+  if (error != std::errc() || end != text.data() + text.size() || v > max)
     throw BadRequest(what + ": must be a whole number up to " + std::to_string(max));
   return v;
 }
 
-void write_steps(JsonWriter& w, const Operation& o) {
+void write_steps(JsonWriter& w, const Operation& operation) {
   key(w, "steps"), w.StartArray();
-  for (const auto& s : o.steps) {
+  for (const auto& s : operation.steps) {
     w.StartObject();
     key(w, "instance"), put(w, s.instance);
     key(w, "state"), put(w, word(s.state));
@@ -55,7 +55,7 @@
 }
 
 template <class Write>
-std::string object(Write write) {
+std::string json_object(Write write) {
   rapidjson::StringBuffer b;
   JsonWriter w(b);
   w.StartObject();
@@ -76,6 +76,7 @@
   return {status, "application/json", std::move(body), {}};
 }
 
+// The first ten names and the number of the others.
 std::string list_names(const std::vector<std::string>& names) {
   std::string all;
   for (std::size_t i = 0; i < names.size() && i < 10; i++) all += (i > 0 ? ", " : "") + names[i];
@@ -90,6 +91,7 @@
 template <class... F>
 Overloaded(F...) -> Overloaded<F...>;
 
+// The response to a command; `accepted` is the status for an accepted one.
 ApiResponse verdict_response(const Verdict& verdict, unsigned accepted) {
   return std::visit(
       Overloaded{
@@ -99,7 +101,7 @@
             const std::string with = "operation " + std::to_string(v.with) + " (" +
                                      std::string(word(v.kind)) + " by " + v.by + ") is running on " +
                                      list_names(v.names);
-            return json(object([&](JsonWriter& w) {
+            return json(json_object([&](JsonWriter& w) {
                           write_error(
                               w, "conflict", with,
                               "wait for the operation, cancel it, or repeat the request with supersede");
@@ -114,7 +116,7 @@
                         409);
           },
           [](const verdict::Stale& v) {
-            return json(object([&](JsonWriter& w) {
+            return json(json_object([&](JsonWriter& w) {
                           write_error(
                               w, "stale",
                               "the request was made against an older generation; the current one is " +
@@ -161,29 +163,29 @@
 
 ApiResponse api_error(unsigned status, std::string_view code, std::string_view message,
                       std::string_view hint) {
-  return json(object([&](JsonWriter& w) { write_error(w, code, message, hint); }), status);
+  return json(json_object([&](JsonWriter& w) { write_error(w, code, message, hint); }), status);
 }
 
-std::string operation_json(const Operation& o) {
-  return object([&](JsonWriter& w) {
-    key(w, "id"), w.Uint64(o.id);
-    key(w, "kind"), put(w, word(o.kind));
-    key(w, "by"), put(w, o.by);
-    key(w, "state"), put(w, word(o.state));
-    key(w, "generation"), w.Uint64(o.generation);
-    key(w, "max_unavailable"), w.Int(o.max_unavailable);
-    key(w, "created_ms"), w.Int64(to_ms(o.created));
-    key(w, "ended_ms"), w.Int64(to_ms(o.ended));
-    key(w, "message"), put(w, o.message);
-    key(w, "superseded_by"), w.Uint64(o.superseded_by);
-    write_steps(w, o);
-    key(w, "diff"), write_names(w, o.diff);
+std::string operation_json(const Operation& operation) {
+  return json_object([&](JsonWriter& w) {
+    key(w, "id"), w.Uint64(operation.id);
+    key(w, "kind"), put(w, word(operation.kind));
+    key(w, "by"), put(w, operation.by);
+    key(w, "state"), put(w, word(operation.state));
+    key(w, "generation"), w.Uint64(operation.generation);
+    key(w, "max_unavailable"), w.Int(operation.max_unavailable);
+    key(w, "created_ms"), w.Int64(to_ms(operation.created));
+    key(w, "ended_ms"), w.Int64(to_ms(operation.ended));
+    key(w, "message"), put(w, operation.message);
+    key(w, "superseded_by"), w.Uint64(operation.superseded_by);
+    write_steps(w, operation);
+    key(w, "diff"), write_names(w, operation.diff);
   });
 }
 
 std::string instance_json(const InstanceView& v, const std::optional<StatusView>& status, bool with_status) {
   const InstanceRow& row = *v.row;
-  return object([&](JsonWriter& w) {
+  return json_object([&](JsonWriter& w) {
     key(w, "name"), put(w, row.name);
     key(w, "listen"), put(w, row.listen);
     key(w, "desired"), put(w, word(row.desired));
@@ -211,6 +213,7 @@
   });
 }
 
+// The path and the query of a request target, not percent-decoded.
 struct Api::Target {
   std::vector<std::string> path;  // "v1", "instances", "n0"
   std::map<std::string, std::string> query;
@@ -232,14 +235,14 @@
     while (!query.empty()) {
       const auto end = std::min(query.find('&'), query.size());
       const auto pair = query.substr(0, end);
-      const auto equals = std::min(pair.find('='), pair.size());
-      target.query[std::string(pair.substr(0, equals))] =
-          std::string(pair.substr(std::min(equals + 1, pair.size())));
+      const auto equals_sign = std::min(pair.find('='), pair.size());
+      target.query[std::string(pair.substr(0, equals_sign))] =
+          std::string(pair.substr(std::min(equals_sign + 1, pair.size())));
       query.remove_prefix(std::min(end + 1, query.size()));
     }
     return target;
   }
-  bool is(std::initializer_list<const char*> segments) const {  // nullptr: any segment that is not empty
+  bool matches(std::initializer_list<const char*> segments) const {  // nullptr: any segment that is not empty
     return path.size() == segments.size() &&
            std::equal(path.begin(), path.end(), segments.begin(),
                       [](const std::string& a, const char* b) { return b == nullptr ? !a.empty() : a == b; });
@@ -250,9 +253,9 @@
     if (it->second != "1") throw BadRequest(std::string(name) + ": must be 0 or 1");
     return true;
   }
-  std::size_t count(const char* name, std::size_t absent, std::size_t max) const {
+  std::size_t count(const char* name, std::size_t default_value, std::size_t max) const {
     const auto it = query.find(name);
-    return it == query.end() ? absent : number(it->second, name, max);
+    return it == query.end() ? default_value : parse_number(it->second, name, max);
   }
 };
 
@@ -262,15 +265,15 @@
     if (target.path[0] != "v1")
       return done(api_error(404, "unknown", "no such path: " + request.target,
                             "this agent serves version 1 of the API: /v1/.."));
-    const bool operations = target.is({"v1", "operations"}),
-               operation = target.is({"v1", "operations", nullptr});
+    const bool operations = target.matches({"v1", "operations"}),
+               operation = target.matches({"v1", "operations", nullptr});
     if (request.method == "GET") return handle_get(target, done);
     if (request.method == "POST" && operations) return post_operation(request, done);
-    if (request.method == "POST" && target.is({"v1", "takeover", nullptr}))
+    if (request.method == "POST" && target.matches({"v1", "takeover", nullptr}))
       return backend_.take_over(target.path[2], [done, relay = target.path[2]](const TakeOverView& v) {
         if (!v.by.empty())
-          return done(json(
-              object([&](JsonWriter& w) { key(w, "relay"), put(w, relay), key(w, "by"), put(w, v.by); })));
+          return done(json(json_object(
+              [&](JsonWriter& w) { key(w, "relay"), put(w, relay), key(w, "by"), put(w, v.by); })));
         std::string why;
         for (const auto& [instance, reply] : v.refused)
           why.append(why.empty() ? "" : "; ").append(instance).append(": ").append(reply);
@@ -282,7 +285,7 @@
             "holders"));
       });
     if (request.method == "DELETE" && operation)
-      return backend_.cancel(number(target.path[2], "operation", INT64_MAX),
+      return backend_.cancel(parse_number(target.path[2], "operation", INT64_MAX),
                              [done](const Verdict& v) { done(verdict_response(v, 200)); });
     done(api_error(404, "unknown", "no " + request.method + " at " + request.target));
   } catch (const BadRequest& e) {
@@ -297,20 +300,20 @@
 }
 
 void Api::handle_get(const Target& target, const Done& done) {
-  const Decider& d = backend_.decider();
-  if (target.is({"v1", "agent"})) {
+  const Decider& decider = backend_.decider();
+  if (target.matches({"v1", "agent"})) {
     const AgentView about = backend_.about();
-    const auto all = d.instances();
-    return done(json(object([&](JsonWriter& w) {
+    const auto all = decider.instances();
+    return done(json(json_object([&](JsonWriter& w) {
       key(w, "name"), put(w, printable(about.name));
       key(w, "version"), put(w, about.version);
       key(w, "api"), w.Int(1);
       key(w, "pid"), w.Int(about.pid);
       key(w, "started_ms"), w.Int64(to_ms(about.started));
-      key(w, "generation"), w.Uint64(d.generation());
+      key(w, "generation"), w.Uint64(decider.generation());
       key(w, "instances"), w.Uint64(all.size());
       key(w, "ready"), w.Int64(std::count_if(all.begin(), all.end(), [](const auto& v) { return v.ready; }));
-      key(w, "operation"), w.Uint64(d.running_operation());
+      key(w, "operation"), w.Uint64(decider.running_operation());
       key(w, "platform");
       if (!about.platform) return void(w.Null());
       w.StartObject();
@@ -323,15 +326,15 @@
       w.EndObject();
     })));
   }
-  if (target.is({"v1", "instances"}))
-    return done(json(object([&](JsonWriter& w) {
-      key(w, "generation"), w.Uint64(d.generation());
+  if (target.matches({"v1", "instances"}))
+    return done(json(json_object([&](JsonWriter& w) {
+      key(w, "generation"), w.Uint64(decider.generation());
       key(w, "instances"), w.StartArray();
-      for (const auto& v : d.instances()) raw(w, instance_json(v, backend_.status(v.row->name), false));
+      for (const auto& v : decider.instances()) raw(w, instance_json(v, backend_.status(v.row->name), false));
       w.EndArray();
     })));
-  if (target.is({"v1", "instances", nullptr}) || target.is({"v1", "instances", nullptr, "log"})) {
-    const auto v = d.instance(target.path[2]);
+  if (target.matches({"v1", "instances", nullptr}) || target.matches({"v1", "instances", nullptr, "log"})) {
+    const auto v = decider.instance(target.path[2]);
     if (!v)
       return done(api_error(404, "unknown", "there is no instance " + target.path[2],
                             "list the instances: heronvanectl list"));
@@ -340,13 +343,14 @@
     return done({200, "text/plain; charset=utf-8", "",
                  backend_.read_log(target.path[2], lines, target.flag("follow"))});
   }
-  if (target.is({"v1", "messages", nullptr})) {
+  if (target.matches({"v1", "messages", nullptr})) {
     const std::string id = target.path[2];
-    if (id.size() > kMaxMessageIdBytes ||
-        !std::all_of(id.begin(), id.end(), [](char c) { return c > ' ' && c < 0x7f; }))
+    if (id.size() > kMaxMessageIdBytes || !std::all_of(id.begin(), id.end(), [](char character) {
+          return character > ' ' && character < 0x7f;
+        }))
       throw BadRequest("the id of the message: at most 1,024 characters, percent-encoded");
     return backend_.find_message(id, [done](const MessageView& m) {
-      done(json(object([&](JsonWriter& w) {
+      done(json(json_object([&](JsonWriter& w) {
         key(w, "found"), w.StartArray();
         for (const auto& [instance, reply] : m.found) {
           rapidjson::Document v = parse_json(reply);
@@ -363,28 +367,29 @@
       })));
     });
   }
-  if (target.is({"v1", "fleet"}))
-    return done(json(object([&](JsonWriter& w) {
-      key(w, "generation"), w.Uint64(d.generation());
+  if (target.matches({"v1", "fleet"}))
+    return done(json(json_object([&](JsonWriter& w) {
+      key(w, "generation"), w.Uint64(decider.generation());
       key(w, "fleet");
-      if (d.fleet().text.empty())
+      if (decider.fleet().text.empty())
         w.Null();
       else
-        raw(w, d.fleet().text);
+        raw(w, decider.fleet().text);
     })));
-  if (target.is({"v1", "operations"})) {
+  if (target.matches({"v1", "operations"})) {
     const auto limit = target.count("limit", 50, kMaxOperations);
-    return done(json(object([&](JsonWriter& w) {
+    return done(json(json_object([&](JsonWriter& w) {
       key(w, "operations"), w.StartArray();
-      for (const auto* o : d.operations(limit)) raw(w, operation_json(*o));
+      for (const auto* operation : decider.operations(limit)) raw(w, operation_json(*operation));
       w.EndArray();
     })));
   }
-  if (target.is({"v1", "operations", nullptr})) {
-    const OperationId id = number(target.path[2], "operation", INT64_MAX);
-    const Operation* o = d.operation(id);
-    if (o == nullptr) return done(api_error(404, "unknown", "there is no operation " + target.path[2]));
-    if (!target.flag("follow")) return done(json(operation_json(*o)));
+  if (target.matches({"v1", "operations", nullptr})) {
+    const OperationId id = parse_number(target.path[2], "operation", INT64_MAX);
+    const Operation* operation = decider.operation(id);
+    if (operation == nullptr)
+      return done(api_error(404, "unknown", "there is no operation " + target.path[2]));
+    if (!target.flag("follow")) return done(json(operation_json(*operation)));
     return done({200, "application/x-ndjson", "", backend_.follow_operation(id)});
   }
   done(api_error(404, "unknown", "no such path"));
@@ -401,46 +406,47 @@
     if (std::none_of(std::begin(known), std::end(known), [&](const char* k) { return name == k; }))
       throw BadRequest("body." + printable(name) + ": is not a field of an operation");
   }
-  event::Command c;
-  c.kind = read_kind(wire::required_field(v, "kind", path, wire::as_string));
+  event::Command command;
+  command.kind = read_kind(wire::required_field(v, "kind", path, wire::as_string));
   if (const Value* names = wire::find_member(v, "names")) {
     if (names->IsString()) {
       if (wire::as_string(*names, "body.names") != "all")
         throw BadRequest("body.names: must be \"all\" or an array of names");
-      c.all = true;
+      command.all = true;
     } else {
       if (wire::as_array(*names, "body.names").Size() > kMaxNames)
         throw BadRequest("body.names: at most " + std::to_string(kMaxNames));
-      for (const auto& n : names->GetArray()) c.names.push_back(wire::as_string(n, "body.names"));
+      for (const auto& n : names->GetArray()) command.names.push_back(wire::as_string(n, "body.names"));
     }
   }
   if (const Value* generation = wire::find_member(v, "generation"))
-    c.against = wire::as_uint64(*generation, "body.generation");
-  c.by = wire::optional_field(v, "by", path, wire::as_string, "");
-  if (c.by.size() > kMaxByBytes) throw BadRequest("body.by: at most 256 bytes");
+    command.against = wire::as_uint64(*generation, "body.generation");
+  command.by = wire::optional_field(v, "by", path, wire::as_string, "");
+  if (command.by.size() > kMaxByBytes) throw BadRequest("body.by: at most 256 bytes");
   // The client's certificate is recorded beside the name that the client gives.
-  c.by = c.by.empty()                                ? request.peer
-         : request.peer.rfind("certificate", 0) == 0 ? c.by + " (" + request.peer + ")"
-                                                     : c.by;
+  command.by = command.by.empty()                          ? request.peer
+               : request.peer.rfind("certificate", 0) == 0 ? command.by + " (" + request.peer + ")"
+                                                           : command.by;
   if (const Value* max = wire::find_member(v, "max_unavailable"))
-    c.max_unavailable = wire::as_int(*max, "body.max_unavailable");
-  c.supersede = wire::optional_field(v, "supersede", path, wire::as_bool, false);
-  c.dry_run = wire::optional_field(v, "dry_run", path, wire::as_bool, false);
+    command.max_unavailable = wire::as_int(*max, "body.max_unavailable");
+  command.supersede = wire::optional_field(v, "supersede", path, wire::as_bool, false);
+  command.dry_run = wire::optional_field(v, "dry_run", path, wire::as_bool, false);
   const Value* fleet = wire::find_member(v, "fleet");
-  if (fleet != nullptr && c.kind != Kind::apply) throw BadRequest("body.fleet: only for kind apply");
-  if (c.kind == Kind::apply) {
+  if (fleet != nullptr && command.kind != Kind::apply) throw BadRequest("body.fleet: only for kind apply");
+  if (command.kind == Kind::apply) {
     if (fleet == nullptr) throw BadRequest("body.fleet: is missing");
     try {
-      c.fleet = backend_.read_fleet(to_text(*fleet));
+      command.fleet = backend_.read_fleet(to_text(*fleet));
     } catch (const std::exception& e) {
       return done(api_error(400, "bad_request", e.what(), "correct the fleet file, then apply it again"));
     }
   }
-  if (c.kind == Kind::rollback) {
-    c.to = wire::required_field(v, "to", path, wire::as_uint64);
-    c.fleet = backend_.fleet_at(c.to);
+  if (command.kind == Kind::rollback) {
+    command.to = wire::required_field(v, "to", path, wire::as_uint64);
+    command.fleet = backend_.fleet_at(command.to);
   }
-  backend_.command(std::move(c), [done](const Verdict& verdict) { done(verdict_response(verdict, 202)); });
+  backend_.command(std::move(command),
+                   [done](const Verdict& verdict) { done(verdict_response(verdict, 202)); });
 }
 
 }  // namespace heronvane::fleet
--- a/fleet/api.hpp
+++ b/fleet/api.hpp
@@ -69,7 +69,7 @@
 // The result of a search for a message.
 struct MessageView {
   std::vector<std::pair<std::string, std::string>> found;  // instance, the JSON object of its relay
-  std::vector<std::string> not_asked;                      // instances that did not answer
+  std::vector<std::string> not_asked;                      // instances that do not run or did not answer
 };
 
 // The result of a takeover request.
--- a/fleet/fleet_file.cpp
+++ b/fleet/fleet_file.cpp
@@ -41,10 +41,10 @@
     for (rapidjson::SizeType i = 0; i < v.Size(); i++) {
       // Elements are identified by name if they have one, so that an insertion does not show as a change of
       // all.
-      std::string item_path = std::to_string(i);
+      std::string element = std::to_string(i);
       for (const char* name : {"name", "Name"})
-        if (v[i].IsObject() && v[i].HasMember(name) && v[i][name].IsString()) item_path = name_of(v[i][name]);
-      flatten(v[i], path + "[" + item_path + "]", parts);
+        if (v[i].IsObject() && v[i].HasMember(name) && v[i][name].IsString()) element = name_of(v[i][name]);
+      flatten(v[i], path + "[" + element + "]", parts);
     }
   } else {
     parts[path] = to_text(v);
@@ -65,10 +65,10 @@
 }
 
 // Writes the scalar members of `table` as TOML; skips arrays.
-std::string toml_of(const Value& table, const std::string& item_path) {
+std::string toml_of(const Value& table, const std::string& table_path) {
   std::string toml;
   for (const auto& m : table.GetObject()) {
-    const std::string name = name_of(m.name), path = item_path + "." + printable(name);
+    const std::string name = name_of(m.name), path = table_path + "." + printable(name);
     if (m.value.IsArray()) continue;
     const bool plain = !name.empty() && std::all_of(name.begin(), name.end(), [](char c) {
       return (c >= 'a' && c <= 'z') || (c >= '0' && c <= '9') || c == '_';
