--- a/fleet/agent.cpp
+++ b/fleet/agent.cpp
@@ -137,9 +137,10 @@
       platform_(io, database_, options_.data + "/finals.db"),
       decider_(
           [this] {
-            Restored r = database_.restore([](const std::string& text) { return Fleet::read(text).spec(); });
-            restored_rows_ = r.instances;
-            return r;
+            Restored restored =
+                database_.restore([](const std::string& text) { return Fleet::read(text).spec(); });
+            restored_rows_ = restored.instances;
+            return restored;
           }(),
           seed(), options_.tuning),
       timer_(io),
@@ -186,8 +187,8 @@
     for (const auto& a : actions) {
       try {
         std::visit([this](const auto& x) { perform(x); }, a);
-      } catch (const std::exception& e) {
-        heronvane::log(std::string("agent: ") + e.what());
+      } catch (const std::exception& error) {
+        heronvane::log(std::string("agent: ") + error.what());
       }
     }
   }
@@ -202,85 +203,89 @@
   applied_platform_text_ = text;
   try {
     platform_.set(text.empty() ? std::nullopt : Fleet::read(text).platform());
-  } catch (const std::exception& e) {
-    heronvane::log(std::string("platform: ") + e.what());
+  } catch (const std::exception& error) {
+    heronvane::log(std::string("platform: ") + error.what());
   }
 }
 
-void Agent::perform(const action::Record& a) {
+void Agent::perform(const action::Record& action) {
   notify_step();
   std::map<std::string, ProcessId> processes;
-  for (const auto& row : a.instances) {
+  for (const auto& row : action.instances) {
     const auto it = instances_.find(row.name);
     if (it != instances_.end() && it->second->process && it->second->run == row.run)
       processes.emplace(row.name, it->second->process->id());
   }
-  const std::string why = database_.save(now(), a, processes);
-  fleet_changed_ = fleet_changed_ || a.fleet;
+  const std::string why = database_.save(now(), action, processes);
+  fleet_changed_ = fleet_changed_ || action.fleet;
   notify_step();
   if (why.empty())
-    events_.push_back(event::Recorded{a.record});
+    events_.push_back(event::Recorded{action.record});
   else
-    events_.push_back(event::RecordFailed{a.record, why});
+    events_.push_back(event::RecordFailed{action.record, why});
 }
 
-void Agent::perform(const action::WriteConfig& a) {
-  Instance& instance = instance_for(a.name);
+void Agent::perform(const action::WriteConfig& action) {
+  Instance& instance = instance_for(action.name);
   try {
-    const auto fleet = fleet_of(a.generation);
+    const auto fleet = fleet_of(action.generation);
     if (!fleet)
-      throw std::runtime_error("generation " + std::to_string(a.generation) + " is not in the database");
-    instance.folder.write_config(*fleet, a.generation);
+      throw std::runtime_error("generation " + std::to_string(action.generation) + " is not in the database");
+    instance.folder.write_config(*fleet, action.generation);
     instance.config_error.clear();
-  } catch (const std::exception& e) {
-    instance.config_error = e.what();
-    heronvane::log("instance " + a.name + ": configuration not written: " + e.what());
+  } catch (const std::exception& error) {
+    instance.config_error = error.what();
+    heronvane::log("instance " + action.name + ": configuration not written: " + error.what());
   }
   notify_step();
 }
 
-void Agent::perform(const action::Spawn& a) {
-  Instance& instance = instance_for(a.name);
+void Agent::perform(const action::Spawn& action) {
+  Instance& instance = instance_for(action.name);
   std::string why;
   try {
-    why = spawn(instance, a);
-  } catch (const std::exception& e) {
-    why = e.what();
+    why = spawn(instance, action);
+  } catch (const std::exception& error) {
+    why = error.what();
   }
   notify_step();
   if (why.empty())
-    events_.push_back(event::Spawned{a.name, static_cast<int>(instance.process->id().pid), a.run});
+    events_.push_back(event::Spawned{action.name, static_cast<int>(instance.process->id().pid), action.run});
   else
-    events_.push_back(event::SpawnFailed{a.name, a.run, why});
+    events_.push_back(event::SpawnFailed{action.name, action.run, why});
 }
 
 // Starts the instance's process. Returns an empty string, or the reason of the failure.
-std::string Agent::spawn(Instance& instance, const action::Spawn& a) {
+std::string Agent::spawn(Instance& instance, const action::Spawn& action) {
   if (instance.process) return "an earlier process of the instance is still running";
   if (!instance.config_error.empty()) return instance.config_error;
   instance.folder.make();
-  const InstanceRow* row = decider_.instance(a.name) ? decider_.instance(a.name)->row : nullptr;
+  const InstanceRow* row = decider_.instance(action.name) ? decider_.instance(action.name)->row : nullptr;
   const auto fleet = fleet_of(row != nullptr && row->config > 0 ? row->config : decider_.generation());
   if (!fleet) return "the fleet of its generation is not in the database";
-  Command c;
-  c.program = find_program(fleet->program());
-  if (c.program.empty()) return fleet->program() + ": no such program beside the agent's own or in PATH";
-  c.folder = instance.folder.path();
-  c.log = instance.folder.log();
-  c.hidden = hidden_variables();
-  c.descriptors = options_.relay_descriptors;
+  Command command;
+  command.program = find_program(fleet->program());
+  if (command.program.empty())
+    return fleet->program() + ": no such program beside the agent's own or in PATH";
+  command.folder = instance.folder.path();
+  command.log = instance.folder.log();
+  command.hidden = hidden_variables();
+  command.descriptors = options_.relay_descriptors;
   // A Unix socket's path has a limited length. If the absolute path is too long, use one relative to its
   // folder.
   const std::string at = instance.folder.state().size() < 90 ? instance.folder.path() + "/" : "";
-  c.arguments = {"--config",   at + "config.json",   "--state", at + "state",
-                 "--settings", at + "settings.toml", "--run",   a.run};
-  if (a.undrain) c.arguments.insert(c.arguments.end(), {"--undrain", std::to_string(*a.undrain)});
+  command.arguments = {"--config",   at + "config.json",   "--state", at + "state",
+                       "--settings", at + "settings.toml", "--run",   action.run};
+  if (action.undrain)
+    command.arguments.insert(command.arguments.end(), {"--undrain", std::to_string(*action.undrain)});
   pid_t pid = 0;
-  if (const auto bad = start_detached(c, pid)) return c.program + ": " + bad.message();
+  if (const auto bad = start_detached(command, pid)) return command.program + ": " + bad.message();
   const ProcessId id = identify(pid).value_or(ProcessId{pid, 0, ""});
   std::error_code bad;
   auto process = Process::open(
-      io_, id, [this, name = a.name, run = a.run](ExitStatus e) { process_ended(name, run, e); }, bad);
+      io_, id,
+      [this, name = action.name, run = action.run](ExitStatus status) { process_ended(name, run, status); },
+      bad);
   if (!process) {
     // Without a pidfd the process can be neither watched nor signalled safely. It is an unreaped child, so
     // its pid can't have been reused yet.
@@ -288,7 +293,7 @@
     ::waitpid(pid, nullptr, 0);
     return "pidfd: " + bad.message();
   }
-  process_started(instance, a.run, std::move(process));
+  process_started(instance, action.run, std::move(process));
   return {};
 }
 
@@ -312,18 +317,24 @@
   return {};
 }
 
-void Agent::perform(const action::Signal& a) {
-  const auto it = instances_.find(a.name);
-  if (it == instances_.end() || !it->second->process || it->second->run != a.run) return;
+void Agent::perform(const action::Signal& action) {
+  const auto it = instances_.find(action.name);
+  if (it == instances_.end() || !it->second->process || it->second->run != action.run) return;
   notify_step();
-  const auto bad = it->second->process->signal(a.signal == Signum::kill ? SIGKILL : SIGTERM);
+  const auto bad = it->second->process->signal(action.signal == Signum::kill ? SIGKILL : SIGTERM);
   if (bad && bad != std::errc::no_such_process)
-    heronvane::log("instance " + a.name + ": signal: " + bad.message());
+    heronvane::log("instance " + action.name + ": signal: " + bad.message());
 }
 
-void Agent::perform(const action::AskDrain& a) { call_admin(a.name, a.run, AdminCall::drain, a.fence); }
-void Agent::perform(const action::AskUndrain& a) { call_admin(a.name, a.run, AdminCall::undrain, a.fence); }
-void Agent::perform(const action::AskFence& a) { call_admin(a.name, a.run, AdminCall::fence, a.fence); }
+void Agent::perform(const action::AskDrain& action) {
+  call_admin(action.name, action.run, AdminCall::drain, action.fence);
+}
+void Agent::perform(const action::AskUndrain& action) {
+  call_admin(action.name, action.run, AdminCall::undrain, action.fence);
+}
+void Agent::perform(const action::AskFence& action) {
+  call_admin(action.name, action.run, AdminCall::fence, action.fence);
+}
 
 void Agent::call_admin(const std::string& name, const std::string& run, AdminCall call, OperationId fence) {
   notify_step();
@@ -332,73 +343,73 @@
                                                           : "/v1/fence";
   ask_admin(io_,
             {instance_for(name).folder.state(), true, target, "{\"fence\":" + std::to_string(fence) + "}"},
-            [this, alive = std::weak_ptr<bool>(alive_), name, run, call](const AdminAnswer& a) {
+            [this, alive = std::weak_ptr<bool>(alive_), name, run, call](const AdminAnswer& answer) {
               if (alive.expired()) return;
-              event::Answered e{name, run, call, event::Answered::Result::failed, 0, a.why};
-              if (a.status == 200) {
-                e.result = event::Answered::Result::ok;
-              } else if (a.status != 0) {
-                e.why = "status " + std::to_string(a.status);
+              event::Answered event{name, run, call, event::Answered::Result::failed, 0, answer.why};
+              if (answer.status == 200) {
+                event.result = event::Answered::Result::ok;
+              } else if (answer.status != 0) {
+                event.why = "status " + std::to_string(answer.status);
                 try {
-                  const auto v = parse_json(a.body);
+                  const auto v = parse_json(answer.body);
                   const auto& error = wire::required_member(v, "error", "answer");
-                  e.why = printable(wire::optional_field(error, "message", "error", wire::as_string, ""));
-                  if (a.status == 409) {
-                    e.highest = wire::required_field(error, "fence", "error", wire::as_uint64);
-                    e.result = event::Answered::Result::fenced;
+                  event.why = printable(wire::optional_field(error, "message", "error", wire::as_string, ""));
+                  if (answer.status == 409) {
+                    event.highest = wire::required_field(error, "fence", "error", wire::as_uint64);
+                    event.result = event::Answered::Result::fenced;
                   }
                 } catch (const std::exception& bad) {
-                  e.why += std::string(", ") + bad.what();
+                  event.why += std::string(", ") + bad.what();
                 }
               }
-              handle_event(std::move(e));
+              handle_event(std::move(event));
             });
 }
 
-void Agent::perform(const action::Removed& a) {
-  const auto it = instances_.find(a.name);
+void Agent::perform(const action::Removed& action) {
+  const auto it = instances_.find(action.name);
   if (it != instances_.end() && it->second->process) {
-    heronvane::log("instance " + a.name + ": folder kept, a process still uses it");
+    heronvane::log("instance " + action.name + ": folder kept, a process still uses it");
     return;
   }
-  instances_.erase(a.name);
-  InstanceFolder(options_.data, a.name).remove();
+  instances_.erase(action.name);
+  InstanceFolder(options_.data, action.name).remove();
 }
 
-void Agent::perform(const action::SetTimer& a) {
-  timer_.expires_at(started_steady_ + std::chrono::microseconds(a.at - started_));
+void Agent::perform(const action::SetTimer& action) {
+  timer_.expires_at(started_steady_ + std::chrono::microseconds(action.at - started_));
   timer_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](error_code bad) {
     if (!bad && !alive.expired()) handle_event(event::TimerExpired{});
   });
 }
 
-void Agent::perform(const action::Reply& a) {
-  const auto it = requests_.find(a.request);
+void Agent::perform(const action::Reply& action) {
+  const auto it = requests_.find(action.request);
   if (it == requests_.end()) return;
   const auto done = std::move(it->second);
   requests_.erase(it);
-  done(a.verdict);
+  done(action.verdict);
 }
 
-void Agent::perform(const action::OperationChanged& a) {
-  const auto it = followers_.find(a.operation);
+void Agent::perform(const action::OperationChanged& action) {
+  const auto it = followers_.find(action.operation);
   if (it == followers_.end()) return;
-  const Operation* const o = decider_.operation(a.operation);
-  if (o == nullptr) return void(followers_.erase(it));
-  const bool last = o->state != OperationState::running;
-  const std::string line = operation_json(*o);
+  const Operation* const operation = decider_.operation(action.operation);
+  if (operation == nullptr) return void(followers_.erase(it));
+  const bool last = operation->state != OperationState::running;
+  const std::string line = operation_json(*operation);
   auto all = std::move(it->second);
   followers_.erase(it);
   std::erase_if(all, [](const auto& weak) { return weak.expired(); });
   for (const auto& weak : all)
     if (const auto stream = weak.lock()) stream->push(line, last);
   if (!last && !all.empty()) {
-    auto& kept = followers_[a.operation];
+    auto& kept = followers_[action.operation];
     kept.insert(kept.end(), all.begin(), all.end());
   }
 }
 
-void Agent::perform(const action::Log& a) { heronvane::log(a.text); }
+void Agent::perform(const action::Log& action) { heronvane::log(action.text); }
 
 // ---- processes ----
 
@@ -429,7 +440,8 @@
     std::unique_ptr<Process> process;
     if (id)
       process = Process::open(
-          io_, *id, [this, name = row.name, run = row.run](ExitStatus e) { process_ended(name, run, e); },
+          io_, *id,
+          [this, name = row.name, run = row.run](ExitStatus status) { process_ended(name, run, status); },
           bad);
     if (process) {
       process_started(instance, row.run, std::move(process));
@@ -482,40 +494,40 @@
   instance.state_folder_seen = instance.state_folder_seen || state;
   ask_admin(io_, {instance.folder.state(), false, "/v1/status", ""},
             [this, alive = std::weak_ptr<bool>(alive_), name,
-             process_number = instance.process_number](const AdminAnswer& a) {
+             process_number = instance.process_number](const AdminAnswer& answer) {
               if (alive.expired()) return;
               const auto at = instances_.find(name);
               if (at == instances_.end() || at->second->process_number != process_number) return;
-              status_answered(name, a);
+              status_answered(name, answer);
             });
 }
 
-void Agent::status_answered(const std::string& name, const AdminAnswer& a) {
+void Agent::status_answered(const std::string& name, const AdminAnswer& answer) {
   Instance& instance = instance_for(name);
   // The request was not sent, for lack of descriptors or memory in the agent: that must not end a healthy
   // relay.
-  if (a.not_put) return schedule_status_poll(instance, options_.status_interval);
-  event::StatusSeen e;
-  e.name = name;
+  if (answer.not_put) return schedule_status_poll(instance, options_.status_interval);
+  event::StatusSeen event;
+  event.name = name;
   bool seen = false;
   try {
-    if (a.status == 200) {
-      const auto v = parse_json(a.body);
+    if (answer.status == 200) {
+      const auto v = parse_json(answer.body);
       const std::string path = "status";
-      e.run = wire::required_field(v, "run", path, wire::as_string);
-      e.ready = wire::required_field(v, "ready", path, wire::as_bool);
-      e.draining = wire::optional_field(v, "draining", path, wire::as_bool, false);
-      e.stopping = wire::optional_field(v, "stopping", path, wire::as_bool, false);
-      e.fence = wire::optional_field(v, "fence", path, wire::as_uint64, 0);
-      e.generation = wire::optional_field(v, "generation", path, wire::as_uint64, 0);
+      event.run = wire::required_field(v, "run", path, wire::as_string);
+      event.ready = wire::required_field(v, "ready", path, wire::as_bool);
+      event.draining = wire::optional_field(v, "draining", path, wire::as_bool, false);
+      event.stopping = wire::optional_field(v, "stopping", path, wire::as_bool, false);
+      event.fence = wire::optional_field(v, "fence", path, wire::as_uint64, 0);
+      event.generation = wire::optional_field(v, "generation", path, wire::as_uint64, 0);
       if (const auto* held = wire::find_member(v, "held")) {
-        e.held = wire::optional_field(*held, "total", "status.held", wire::as_uint64, 0);
-        e.oldest_ms = wire::optional_field(*held, "oldest_ms", "status.held", wire::as_int64, 0);
+        event.held = wire::optional_field(*held, "total", "status.held", wire::as_uint64, 0);
+        event.oldest_ms = wire::optional_field(*held, "oldest_ms", "status.held", wire::as_int64, 0);
       }
       // An answer of another run does not count as one of this process.
-      seen = e.run == instance.run;
+      seen = event.run == instance.run;
       if (seen) {
-        instance.status = a.body.size() <= kMaxStatusBytes ? a.body : "";
+        instance.status = answer.body.size() <= kMaxStatusBytes ? answer.body : "";
         instance.copies_json = copies_summary(v);
         instance.status_at = now();
       }
@@ -525,7 +537,7 @@
   }
   const auto process_number = instance.process_number;
   if (seen)
-    handle_event(std::move(e));
+    handle_event(std::move(event));
   else
     handle_event(event::StatusMissed{name, instance.run});
   const auto it = instances_.find(name);
--- a/fleet/agent_api.cpp
+++ b/fleet/agent_api.cpp
@@ -15,15 +15,15 @@
 }  // namespace
 
 AgentView Agent::about() const {
-  AgentView v;
+  AgentView view;
   char name[256] = "";
   ::gethostname(name, sizeof name - 1);
-  v.name = name;
-  v.version = HERONVANE_VERSION;
-  v.pid = ::getpid();
-  v.started = started_;
-  v.platform = platform_.view();
-  return v;
+  view.name = name;
+  view.version = HERONVANE_VERSION;
+  view.pid = ::getpid();
+  view.started = started_;
+  view.platform = platform_.view();
+  return view;
 }
 
 std::optional<StatusView> Agent::status(const std::string& name) const {
@@ -86,15 +86,15 @@
     }
     search->unanswered++;
     ask_admin(io_, {it->second->folder.state(), false, "/v1/messages/" + id, ""},
-              [search, name, alive = std::weak_ptr<bool>(alive_)](const AdminAnswer& a) {
+              [search, name, alive = std::weak_ptr<bool>(alive_)](const AdminAnswer& answer) {
                 if (alive.expired()) return;
-                bool answered = a.status == 404;
-                if (a.status == 200) {
+                bool answered = answer.status == 404;
+                if (answer.status == 200) {
                   try {
-                    answered = parse_json(a.body).IsObject();
+                    answered = parse_json(answer.body).IsObject();
                   } catch (const JsonError&) {
                   }
-                  if (answered) search->view.found.emplace_back(name, a.body);
+                  if (answered) search->view.found.emplace_back(name, answer.body);
                 }
                 if (!answered) search->view.not_asked.push_back(name);
                 search->answer_received();
@@ -125,15 +125,15 @@
     const auto [name, folder] = s->remaining.back();
     s->remaining.pop_back();
     ask_admin(io_, {folder, true, "/v1/takeover/" + relay, "{}"},
-              [s, name = name, alive = std::weak_ptr<bool>(alive_)](const AdminAnswer& a) {
+              [s, name = name, alive = std::weak_ptr<bool>(alive_)](const AdminAnswer& answer) {
                 if (alive.expired()) return;
-                if (a.status == 200) {
+                if (answer.status == 200) {
                   s->view.by = name;
                   return s->done(std::move(s->view));
                 }
-                std::string why = a.status == 0 ? a.why : "status " + std::to_string(a.status);
+                std::string why = answer.status == 0 ? answer.why : "status " + std::to_string(answer.status);
                 try {
-                  const auto v = parse_json(a.body);
+                  const auto v = parse_json(answer.body);
                   if (v.IsObject() && v.HasMember("error") && v["error"].IsObject() &&
                       v["error"].HasMember("message") && v["error"]["message"].IsString())
                     why = v["error"]["message"].GetString();
@@ -148,13 +148,13 @@
 
 std::shared_ptr<ApiStream> Agent::follow_operation(OperationId operation) {
   const auto stream = std::make_shared<LineStream>();
-  const Operation* const o = decider_.operation(operation);
-  if (o == nullptr) {
+  const Operation* const recorded = decider_.operation(operation);
+  if (recorded == nullptr) {
     stream->push("{}", true);
     return stream;
   }
-  const bool last = o->state != OperationState::running;
-  stream->push(operation_json(*o), last);
+  const bool last = recorded->state != OperationState::running;
+  stream->push(operation_json(*recorded), last);
   if (!last) {
     auto& all = followers_[operation];
     std::erase_if(all, [](const auto& weak) { return weak.expired(); });
--- a/fleet/decider.cpp
+++ b/fleet/decider.cpp
@@ -328,117 +328,117 @@
   run_round_for(now, name, actions);
 }
 
-void Decider::State::on(Microseconds now, const event::Command& e, Actions& actions) {
+void Decider::State::on(Microseconds now, const event::Command& event, Actions& actions) {
   if (queue.size() >= tuning.max_pending_commands) {
-    actions.push_back(action::Reply{e.request, verdict::Busy{}});
+    actions.push_back(action::Reply{event.request, verdict::Busy{}});
     return;
   }
-  queue.emplace_back(e);
+  queue.emplace_back(event);
   run_round(now, actions);
 }
 
-void Decider::State::on(Microseconds now, const event::Cancel& e, Actions& actions) {
+void Decider::State::on(Microseconds now, const event::Cancel& event, Actions& actions) {
   if (queue.size() >= tuning.max_pending_commands) {
-    actions.push_back(action::Reply{e.request, verdict::Busy{}});
+    actions.push_back(action::Reply{event.request, verdict::Busy{}});
     return;
   }
-  queue.emplace_back(e);
+  queue.emplace_back(event);
   run_round(now, actions);
 }
 
-void Decider::State::on(Microseconds now, const event::Recorded& e, Actions& actions) {
-  if (!record_pending || e.record != last_record) return;
+void Decider::State::on(Microseconds now, const event::Recorded& event, Actions& actions) {
+  if (!record_pending || event.record != last_record) return;
   commit(now, actions);
   run_round(now, actions);
 }
 
-void Decider::State::on(Microseconds now, const event::RecordFailed& e, Actions& actions) {
-  if (!record_pending || e.record != last_record) return;
-  revert(now, e.why, actions);
+void Decider::State::on(Microseconds now, const event::RecordFailed& event, Actions& actions) {
+  if (!record_pending || event.record != last_record) return;
+  revert(now, event.why, actions);
   if (!queue.empty()) run_round(now, actions);  // each waiting command is tried and answered
 }
 
-void Decider::State::on(Microseconds now, const event::Spawned& e, Actions& actions) {
-  Observed* observed = find_process(e.name, e.run);
+void Decider::State::on(Microseconds now, const event::Spawned& event, Actions& actions) {
+  Observed* observed = find_process(event.name, event.run);
   if (!observed) return;
   observed->spawn_pending = false;
-  observed->pid = e.pid;
-  run_round_for(now, e.name, actions);
+  observed->pid = event.pid;
+  run_round_for(now, event.name, actions);
 }
 
-void Decider::State::on(Microseconds now, const event::SpawnFailed& e, Actions& actions) {
-  if (find_process(e.name, e.run))
-    ended(now, e.name, {false, "not started: " + e.why, std::nullopt}, actions);
+void Decider::State::on(Microseconds now, const event::SpawnFailed& event, Actions& actions) {
+  if (find_process(event.name, event.run))
+    ended(now, event.name, {false, "not started: " + event.why, std::nullopt}, actions);
 }
 
-void Decider::State::on(Microseconds now, const event::Exited& e, Actions& actions) {
-  if (!find_process(e.name, e.run)) return;
+void Decider::State::on(Microseconds now, const event::Exited& event, Actions& actions) {
+  if (!find_process(event.name, event.run)) return;
   std::string text =
-      e.signal != 0 ? "signal " + std::to_string(e.signal) : "status " + std::to_string(e.status);
-  const bool drained = e.drained && e.signal == 0 && e.status == 0;
+      event.signal != 0 ? "signal " + std::to_string(event.signal) : "status " + std::to_string(event.status);
+  const bool drained = event.drained && event.signal == 0 && event.status == 0;
   if (drained) text = "drained";
-  ended(now, e.name, {false, std::move(text), drained ? e.drained : std::nullopt}, actions);
+  ended(now, event.name, {false, std::move(text), drained ? event.drained : std::nullopt}, actions);
 }
 
-void Decider::State::on(Microseconds now, const event::NotFound& e, Actions& actions) {
-  if (find_process(e.name, e.run))
-    ended(now, e.name, {true, e.drained ? "drained" : "gone", e.drained}, actions);
+void Decider::State::on(Microseconds now, const event::NotFound& event, Actions& actions) {
+  if (find_process(event.name, event.run))
+    ended(now, event.name, {true, event.drained ? "drained" : "gone", event.drained}, actions);
 }
 
-void Decider::State::on(Microseconds now, const event::Adopted& e, Actions& actions) {
-  Observed* observed = find_process(e.name, e.run);
+void Decider::State::on(Microseconds now, const event::Adopted& event, Actions& actions) {
+  Observed* observed = find_process(event.name, event.run);
   if (!observed || !observed->awaiting_adoption) return;
   observed->new_run(now);
   observed->awaiting_adoption = false;
-  observed->pid = e.pid;
-  run_round_for(now, e.name, actions);
+  observed->pid = event.pid;
+  run_round_for(now, event.name, actions);
 }
 
-void Decider::State::on(Microseconds now, const event::StatusSeen& e, Actions& actions) {
-  Observed* observed = find_process(e.name, e.run);
+void Decider::State::on(Microseconds now, const event::StatusSeen& event, Actions& actions) {
+  Observed* observed = find_process(event.name, event.run);
   if (!observed || observed->awaiting_adoption) return;
-  observed->status = e;
+  observed->status = event;
   observed->status_in_step = true;
   observed->status_missed = false;
   observed->answered_at = now;
-  if (!e.ready) {
+  if (!event.ready) {
     observed->ready_since = 0;
   } else if (observed->ready_since == 0) {
     observed->ready_since = now;
   }
-  if (e.fence > recorded.instances.find(e.name)->second.fence)
-    observed->foreign_fence = std::max(observed->foreign_fence, e.fence);
-  update_phase(now, e.name);
-  run_round_for(now, e.name, actions);
+  if (event.fence > recorded.instances.find(event.name)->second.fence)
+    observed->foreign_fence = std::max(observed->foreign_fence, event.fence);
+  update_phase(now, event.name);
+  run_round_for(now, event.name, actions);
 }
 
-void Decider::State::on(Microseconds now, const event::StatusMissed& e, Actions& actions) {
-  Observed* observed = find_process(e.name, e.run);
+void Decider::State::on(Microseconds now, const event::StatusMissed& event, Actions& actions) {
+  Observed* observed = find_process(event.name, event.run);
   if (!observed || observed->awaiting_adoption) return;
   observed->status_missed = true;
-  update_phase(now, e.name);
-  run_round_for(now, e.name, actions);
+  update_phase(now, event.name);
+  run_round_for(now, event.name, actions);
 }
 
-void Decider::State::on(Microseconds now, const event::Answered& e, Actions& actions) {
-  Observed* observed = find_process(e.name, e.run);
+void Decider::State::on(Microseconds now, const event::Answered& event, Actions& actions) {
+  Observed* observed = find_process(event.name, event.run);
   if (!observed || observed->awaiting_adoption) return;
-  if (e.call == AdminCall::fence && e.result != event::Answered::Result::fenced)
+  if (event.call == AdminCall::fence && event.result != event::Answered::Result::fenced)
     observed->fence_answered = true;
-  if (e.result == event::Answered::Result::failed) observed->admin_error = e.why;
+  if (event.result == event::Answered::Result::failed) observed->admin_error = event.why;
   // A late answer to an earlier operation's call carries a lower fence and is ignored.
-  if (e.result == event::Answered::Result::fenced &&
-      e.highest > recorded.instances.find(e.name)->second.fence) {
-    observed->foreign_fence = std::max(observed->foreign_fence, e.highest);
+  if (event.result == event::Answered::Result::fenced &&
+      event.highest > recorded.instances.find(event.name)->second.fence) {
+    observed->foreign_fence = std::max(observed->foreign_fence, event.highest);
   }
-  run_round_for(now, e.name, actions);
+  run_round_for(now, event.name, actions);
 }
 
-void Decider::State::on(Microseconds now, const event::StateFolderMissing& e, Actions& actions) {
-  auto at = recorded.instances.find(e.name);
+void Decider::State::on(Microseconds now, const event::StateFolderMissing& event, Actions& actions) {
+  auto at = recorded.instances.find(event.name);
   if (at == recorded.instances.end() || !at->second.live) return;
-  observations[e.name].state_folder_missing = true;
-  run_round_for(now, e.name, actions);
+  observations[event.name].state_folder_missing = true;
+  run_round_for(now, event.name, actions);
 }
 
 void Decider::State::on(Microseconds now, const event::TimerExpired&, Actions& actions) {
--- a/fleet/main.cpp
+++ b/fleet/main.cpp
@@ -68,7 +68,7 @@
 
 // nullopt: --help or --version was given, and its text printed.
 std::optional<Arguments> read_arguments(int argc, char** argv) {
-  Arguments a;
+  Arguments arguments;
   for (int i = 1; i < argc; i++) {
     const std::string argument = argv[i];
     const auto value = [&]() -> std::string {
@@ -84,33 +84,37 @@
       return {};
     }
     if (argument == "--data")
-      a.data = value();
+      arguments.data = value();
     else if (argument == "--listen-tls")
-      a.listen_tls = value();
+      arguments.listen_tls = value();
     else if (argument == "--cert")
-      a.tls.certificate = value();
+      arguments.tls.certificate = value();
     else if (argument == "--key")
-      a.tls.key = value();
+      arguments.tls.key = value();
     else if (argument == "--client-ca")
-      a.tls.client_ca = value();
+      arguments.tls.client_ca = value();
     else if (argument == "--foreground")
-      a.foreground = true;
+      arguments.foreground = true;
     else if (argument == "--stop-relays")
-      a.stop_relays = true;
+      arguments.stop_relays = true;
     else
       throw UsageError(argument + ": no such option");
   }
-  if (a.data.empty()) throw UsageError("--data is missing");
-  const bool all = !a.tls.certificate.empty() && !a.tls.key.empty() && !a.tls.client_ca.empty();
-  const bool any = !a.tls.certificate.empty() || !a.tls.key.empty() || !a.tls.client_ca.empty();
-  if (!a.listen_tls.empty() && !all) throw UsageError("--listen-tls needs --cert, --key and --client-ca");
-  if (a.listen_tls.empty() && any) throw UsageError("--cert, --key and --client-ca go with --listen-tls");
+  if (arguments.data.empty()) throw UsageError("--data is missing");
+  const bool all =
+      !arguments.tls.certificate.empty() && !arguments.tls.key.empty() && !arguments.tls.client_ca.empty();
+  const bool any =
+      !arguments.tls.certificate.empty() || !arguments.tls.key.empty() || !arguments.tls.client_ca.empty();
+  if (!arguments.listen_tls.empty() && !all)
+    throw UsageError("--listen-tls needs --cert, --key and --client-ca");
+  if (arguments.listen_tls.empty() && any)
+    throw UsageError("--cert, --key and --client-ca go with --listen-tls");
   // Paths are made absolute, since the agent changes its working directory to /.
-  a.data = std::filesystem::absolute(a.data).lexically_normal().string();
-  if (a.data.size() > 1 && a.data.back() == '/') a.data.pop_back();
-  for (auto* file : {&a.tls.certificate, &a.tls.key, &a.tls.client_ca})
+  arguments.data = std::filesystem::absolute(arguments.data).lexically_normal().string();
+  if (arguments.data.size() > 1 && arguments.data.back() == '/') arguments.data.pop_back();
+  for (auto* file : {&arguments.tls.certificate, &arguments.tls.key, &arguments.tls.client_ca})
     if (!file->empty()) *file = std::filesystem::absolute(*file).string();
-  return a;
+  return arguments;
 }
 
 // Continues in a child process. The parent exits when the child has started or failed.
@@ -245,11 +249,11 @@
     if (!arguments) return 0;
     run(*arguments);
     return 0;
-  } catch (const UsageError& e) {
-    std::fprintf(stderr, "heronvane-agent: %s\nheronvane-agent --help shows the usage\n", e.what());
+  } catch (const UsageError& error) {
+    std::fprintf(stderr, "heronvane-agent: %s\nheronvane-agent --help shows the usage\n", error.what());
     return 2;
-  } catch (const std::exception& e) {
-    std::fprintf(stderr, "heronvane-agent: %s\n", e.what());
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "heronvane-agent: %s\n", error.what());
     return 1;
   }
 }
--- a/fleet/state.hpp
+++ b/fleet/state.hpp
@@ -116,20 +116,20 @@
   std::uint64_t next_random();
   std::string new_run_id(Microseconds now);
 
-  void on(Microseconds now, const event::Command& e, Actions& actions);
-  void on(Microseconds now, const event::Cancel& e, Actions& actions);
-  void on(Microseconds now, const event::Recorded& e, Actions& actions);
-  void on(Microseconds now, const event::RecordFailed& e, Actions& actions);
-  void on(Microseconds now, const event::Spawned& e, Actions& actions);
-  void on(Microseconds now, const event::SpawnFailed& e, Actions& actions);
-  void on(Microseconds now, const event::Exited& e, Actions& actions);
-  void on(Microseconds now, const event::StatusSeen& e, Actions& actions);
-  void on(Microseconds now, const event::StatusMissed& e, Actions& actions);
-  void on(Microseconds now, const event::Answered& e, Actions& actions);
-  void on(Microseconds now, const event::Adopted& e, Actions& actions);
-  void on(Microseconds now, const event::NotFound& e, Actions& actions);
-  void on(Microseconds now, const event::StateFolderMissing& e, Actions& actions);
-  void on(Microseconds now, const event::TimerExpired& e, Actions& actions);
+  void on(Microseconds now, const event::Command& event, Actions& actions);
+  void on(Microseconds now, const event::Cancel& event, Actions& actions);
+  void on(Microseconds now, const event::Recorded& event, Actions& actions);
+  void on(Microseconds now, const event::RecordFailed& event, Actions& actions);
+  void on(Microseconds now, const event::Spawned& event, Actions& actions);
+  void on(Microseconds now, const event::SpawnFailed& event, Actions& actions);
+  void on(Microseconds now, const event::Exited& event, Actions& actions);
+  void on(Microseconds now, const event::StatusSeen& event, Actions& actions);
+  void on(Microseconds now, const event::StatusMissed& event, Actions& actions);
+  void on(Microseconds now, const event::Answered& event, Actions& actions);
+  void on(Microseconds now, const event::Adopted& event, Actions& actions);
+  void on(Microseconds now, const event::NotFound& event, Actions& actions);
+  void on(Microseconds now, const event::StateFolderMissing& event, Actions& actions);
+  void on(Microseconds now, const event::TimerExpired& event, Actions& actions);
   void ended(Microseconds now, const std::string& name, Observed::End end, Actions& actions);
   Observed* find_process(const std::string& name, const std::string& run);  // nullptr: not the row's live run
 
