--- a/relay/admin_port.cpp
+++ b/relay/admin_port.cpp
@@ -6,7 +6,7 @@
 #include <utility>
 #include <variant>
 
-#include "fronts/admin.hpp"
+#include "frontends/admin_server.hpp"
 
 namespace heronvane {
 namespace {
@@ -19,7 +19,7 @@
 // Answers one request, by its kind.
 class RequestHandler {
  public:
-  RequestHandler(const AdminContext& relay, const Admin::Reply& reply) : relay_(relay), reply_(reply) {}
+  RequestHandler(const AdminContext& relay, const AdminServer::Reply& reply) : relay_(relay), reply_(reply) {}
 
   void operator()(const AdminAnswer& rejection) const { reply_(rejection); }
   void operator()(const admin::GetStatus& /*asked*/) const {
@@ -79,17 +79,17 @@
   }
 
   const AdminContext& relay_;
-  const Admin::Reply& reply_;
+  const AdminServer::Reply& reply_;
 };
 
 }  // namespace
 
-std::unique_ptr<Front> open_admin_front(boost::asio::io_context& io, const Config& config,
-                                        AdminContextSource context) {
+std::unique_ptr<Frontend> open_admin_front(boost::asio::io_context& io, const Config& config,
+                                           AdminContextSource context) {
   if (!config.own.admin.socket) return std::make_unique<NoAdminFront>();
-  return std::make_unique<Admin>(
+  return std::make_unique<AdminServer>(
       io, config.state_folder + "/admin.sock",
-      [context = std::move(context)](const AdminRequest& asked, const Admin::Reply& reply) {
+      [context = std::move(context)](const AdminRequest& asked, const AdminServer::Reply& reply) {
         const AdminContext relay = context();
         std::visit(RequestHandler(relay, reply), asked);
       });
--- a/relay/admin_port.hpp
+++ b/relay/admin_port.hpp
@@ -9,7 +9,7 @@
 #include "core/log_replication.hpp"
 #include "core/request_table.hpp"
 #include "drain_controller.hpp"
-#include "fronts/front.hpp"
+#include "frontends/frontend.hpp"
 #include "status_reporter.hpp"
 #include "store/store.hpp"
 
@@ -30,11 +30,11 @@
 
 // Listens where the operator's settings ask for it; else the front is one that nobody enters. Throws
 // std::runtime_error where the socket can't be had, or this build has none.
-std::unique_ptr<Front> open_admin_front(boost::asio::io_context& io, const Config& config,
-                                        AdminContextSource context);
+std::unique_ptr<Frontend> open_admin_front(boost::asio::io_context& io, const Config& config,
+                                           AdminContextSource context);
 
 // The front that nobody enters.
-class NoAdminFront : public Front {
+class NoAdminFront : public Frontend {
  public:
   void start() override {}
   bool busy() const override { return false; }
--- a/relay/admin_port_disabled.cpp
+++ b/relay/admin_port_disabled.cpp
@@ -5,9 +5,10 @@
 
 namespace heronvane {
 
-std::unique_ptr<Front> open_admin_front(boost::asio::io_context& /*io*/, const Config& config,
-                                        // NOLINTNEXTLINE(performance-unnecessary-value-param): kept elsewhere
-                                        AdminContextSource /*context*/) {
+std::unique_ptr<Frontend> open_admin_front(
+    boost::asio::io_context& /*io*/, const Config& config,
+    // NOLINTNEXTLINE(performance-unnecessary-value-param): kept elsewhere
+    AdminContextSource /*context*/) {
   if (!config.own.admin.socket) return std::make_unique<NoAdminFront>();
   throw std::runtime_error("admin.socket: this build has no admin socket: build with -DHERONVANE_ADMIN=ON");
 }
--- a/relay/backs/kept_connections.hpp
+++ b/relay/backends/idle_connection_pool.hpp
@@ -16,7 +16,7 @@
 namespace heronvane {
 
 template <class Connection>
-class KeptConnections {
+class IdleConnectionPool {
  public:
   using EndpointId = heronvane::dispatch::EndpointId;
   using Microseconds = heronvane::dispatch::Microseconds;
--- a/relay/calls.cpp
+++ b/relay/calls.cpp
@@ -112,7 +112,8 @@
   }
 };
 
-Calls::Calls(net::io_context& io, const CallLimits& limits, Ended ended, MayBegin may_begin)
+Calls::Calls(net::io_context& io, const CallLimits& limits, AttemptEndedCallback ended,
+             MayBeginCallback may_begin)
     : io_(io),
       limits_(limits),
       ended_(std::move(ended)),
@@ -121,23 +122,23 @@
       sweep_timer_(io) {}
 Calls::~Calls() = default;
 
-void Calls::locate(const EndpointId& endpoint, const tcp::endpoint& address) {
+void Calls::set_address(const EndpointId& endpoint, const tcp::endpoint& address) {
   const auto [place, fresh] = places_.try_emplace(endpoint, address);
   if (place->second == address) return;
   place->second = address;
   connections_.moved += kept_.drop_all(endpoint);
 }
 
-void Calls::forget(const EndpointId& endpoint) {
+void Calls::remove_endpoint(const EndpointId& endpoint) {
   connections_.moved += kept_.drop_all(endpoint);
   places_.erase(endpoint);
 }
 
 void Calls::send(const EndpointId& endpoint, std::vector<Outgoing> messages) {
   const auto call = std::make_shared<Call>(io_, endpoint, std::move(messages));
-  const bool room = out_ < limits_.slots && places_.count(endpoint) > 0;
+  const bool room = in_flight_ < limits_.max_in_flight && places_.count(endpoint) > 0;
   if (room) {
-    out_++;
+    in_flight_++;
     calls_[endpoint].push_back(call);
     for (const auto& m : call->messages) by_message_[m.id] = call;
   }
@@ -167,8 +168,8 @@
     return write(call);
   }
   const Microseconds since = kept_.longest_idle_since(call->endpoint);
-  const bool room = out_ + kept_.size() < limits_.connections;
-  if (since >= 0 && (limits_.wait_for_rest || !room)) return begin_at(call, since + kRest);
+  const bool room = in_flight_ + kept_.size() < limits_.max_connections;
+  if (since >= 0 && (limits_.wait_for_reuse || !room)) return begin_at(call, since + kRest);
   connect(call, found->second);
 }
 
@@ -178,7 +179,8 @@
 
 void Calls::connect(const std::shared_ptr<Call>& call, const tcp::endpoint& address) {
   // Calls out come first: kept connections make room for theirs.
-  while (out_ + kept_.size() > limits_.connections && kept_.drop_longest_idle()) connections_.evicted++;
+  while (in_flight_ + kept_.size() > limits_.max_connections && kept_.drop_longest_idle())
+    connections_.evicted++;
   connections_.opened++;
   call->connection = std::make_shared<Connection>(io_);
   call->connection->address = address;
@@ -292,7 +294,7 @@
 void Calls::answered(const std::shared_ptr<Call>& call) {
   const AnswerReader& answer = call->answer;
   call->told_wait = answer.told_wait();
-  if (limits_.reports) call->report = answer.report();
+  if (limits_.read_load_reports) call->report = answer.report();
   call->sound = answer.reusable();
   const auto connection = call->connection;
   const unsigned status = answer.status();
@@ -388,7 +390,7 @@
 Microseconds Calls::given_up_at(const Call& call, std::size_t part) const {
   const Outgoing& message = call.messages[part];
   const bool nothing_sent = call.stage == Call::Stage::connecting;
-  if (limits_.second_copies || nothing_sent) return call.sent + message.timeout;
+  if (limits_.hedging || nothing_sent) return call.sent + message.timeout;
   return std::min(call.sent + std::max(message.time_left, message.timeout), call.last_timeout());
 }
 
@@ -424,7 +426,7 @@
     call->stage = Call::Stage::done;
     call->timer.cancel();
     call->read_pause.cancel();
-    forget(call);
+    remove_call(call);
     // Given up or broken: no answer may come on this connection any more.
     error_code ignored;
     if (call->connection && !call->sound) {
@@ -440,12 +442,12 @@
   for (std::size_t i = 0; i < call->messages.size(); i++) end(call, i, outcome, closed);
 }
 
-void Calls::forget(const std::shared_ptr<Call>& call) {
+void Calls::remove_call(const std::shared_ptr<Call>& call) {
   const auto of = calls_.find(call->endpoint);
   if (of == calls_.end()) return;
   const auto at = std::find(of->second.begin(), of->second.end(), call);
   if (at == of->second.end()) return;  // there was no room for it
-  out_--;
+  in_flight_--;
   *at = std::move(of->second.back());
   of->second.pop_back();
   if (of->second.empty()) calls_.erase(of);
@@ -468,30 +470,30 @@
   if (call->stage != Call::Stage::connecting) arm(call);
 }
 
-void Calls::hold_back(const EndpointId& endpoint) {
+void Calls::abort_unsent(const EndpointId& endpoint) {
   const auto of = calls_.find(endpoint);
   if (of == calls_.end()) return;
   for (const auto& call : std::vector<std::shared_ptr<Call>>(of->second))
     if (call->stage == Call::Stage::connecting) end_all(call, Outcome::not_sent);
 }
 
-void Calls::take_answers() {
+void Calls::read_pending_answers() {
   std::vector<std::shared_ptr<Call>> all;
   for (const auto& [endpoint, calls] : calls_) all.insert(all.end(), calls.begin(), calls.end());
   for (const auto& call : all)
     if (call->stage == Call::Stage::waiting) take(call);
 }
 
-void Calls::hold_back_all() {
+void Calls::abort_all_unsent() {
   std::vector<EndpointId> all;
   for (const auto& [endpoint, calls] : calls_) all.push_back(endpoint);
-  for (const auto& endpoint : all) hold_back(endpoint);
+  for (const auto& endpoint : all) abort_unsent(endpoint);
 }
 
 void Calls::keep(const EndpointId& endpoint, const std::shared_ptr<Connection>& connection) {
   const auto found = places_.find(endpoint);
   if (found == places_.end() || connection->address != found->second) return;
-  if (out_ + kept_.size() >= limits_.connections) {
+  if (in_flight_ + kept_.size() >= limits_.max_connections) {
     connections_.not_kept++;
     return;
   }
@@ -519,8 +521,8 @@
 
 // Closes kept connections before their end comes; sleeps until the next is due.
 void Calls::sweep() {
-  const Microseconds now = steady_now(),
-                     most = static_cast<Microseconds>(kKeptPart * static_cast<double>(limits_.idle));
+  const Microseconds now = steady_now(), most = static_cast<Microseconds>(
+                                             kKeptPart * static_cast<double>(limits_.endpoint_idle_timeout));
   connections_.aged += kept_.drop_idle_since(now - most);
   if (kept_.empty()) return;
   sweep_timer_.set(span(kept_.oldest() + most - now), [this] { sweep(); });
--- a/relay/calls.hpp
+++ b/relay/calls.hpp
@@ -14,7 +14,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "backs/kept_connections.hpp"
+#include "backends/idle_connection_pool.hpp"
 #include "clock.hpp"
 #include "core/timer.hpp"
 #include "heronvane/dispatch/dispatcher.hpp"
@@ -37,39 +37,40 @@
 };
 
 struct CallLimits {
-  std::size_t slots = 1;  // calls out at once
+  std::size_t max_in_flight = 1;  // calls out at once
   Microseconds connect_timeout = 0;
-  Microseconds idle = 0;        // endpoints close connections that were idle for so long
-  std::size_t connections = 1;  // of calls out and kept ones together
-  bool reports = false;         // answers may hold load reports
-  bool second_copies = false;   // a message may be sent again while a call with it is out
-  bool wait_for_rest = true;    // a call waits for a kept connection that rests, in place of opening one
+  Microseconds endpoint_idle_timeout = 0;  // endpoints close connections that were idle for so long
+  std::size_t max_connections = 1;         // of calls out and kept ones together
+  bool read_load_reports = false;          // answers may hold load reports
+  bool hedging = false;                    // a message may be sent again while a call with it is out
+  bool wait_for_reuse = true;  // a call waits for a kept connection that rests, in place of opening one
 };
 
 class Calls {
  public:
-  using Ended = std::function<void(const heronvane::dispatch::event::AttemptEnded&)>;
+  using AttemptEndedCallback = std::function<void(const heronvane::dispatch::event::AttemptEnded&)>;
 
   // Asked right before a call begins; where it says no the call ends as not sent.
-  using MayBegin = std::function<bool()>;
+  using MayBeginCallback = std::function<bool()>;
 
-  Calls(boost::asio::io_context& io, const CallLimits& limits, Ended ended, MayBegin may_begin);
+  Calls(boost::asio::io_context& io, const CallLimits& limits, AttemptEndedCallback ended,
+        MayBeginCallback may_begin);
   ~Calls();
 
   // Where an endpoint is found; kept connections to another address are closed.
-  void locate(const EndpointId& endpoint, const boost::asio::ip::tcp::endpoint& address);
-  void forget(const EndpointId& endpoint);  // it is gone
+  void set_address(const EndpointId& endpoint, const boost::asio::ip::tcp::endpoint& address);
+  void remove_endpoint(const EndpointId& endpoint);  // it is gone
   // One call; `ended` hears of each message once, never from inside send().
   void send(const EndpointId& endpoint, std::vector<Outgoing> messages);
   void cancel(MessageId id, int attempt);
   void close_idle(const EndpointId& endpoint);
   // Ends, as not sent, the calls to an endpoint of which no byte has gone out.
-  void hold_back(const EndpointId& endpoint);
-  void hold_back_all();
+  void abort_unsent(const EndpointId& endpoint);
+  void abort_all_unsent();
   // Reads the answers that are here, as the loop would in its next turn.
-  void take_answers();
+  void read_pending_answers();
 
-  std::size_t out() const { return out_; }
+  std::size_t in_flight() const { return in_flight_; }
   std::size_t kept() const { return kept_.size(); }
 
   // Since the start: how many connections were opened, and where those went that could have been used again.
@@ -109,20 +110,20 @@
   void watch_idle(const std::shared_ptr<Connection>& connection, const EndpointId& endpoint);
   void drop(const EndpointId& endpoint, const Connection* connection);
   void sweep();
-  void forget(const std::shared_ptr<Call>& call);
+  void remove_call(const std::shared_ptr<Call>& call);
 
   boost::asio::io_context& io_;
   CallLimits limits_;
-  Ended ended_;
-  MayBegin may_begin_;
+  AttemptEndedCallback ended_;
+  MayBeginCallback may_begin_;
   CounterLog odd_;
   std::array<char, 16 * 1024> chunk_{};  // what was read last
   Timer sweep_timer_;
   std::unordered_map<EndpointId, boost::asio::ip::tcp::endpoint> places_;
   std::unordered_map<EndpointId, std::vector<std::shared_ptr<Call>>> calls_;  // out, by endpoint
   std::unordered_map<MessageId, std::shared_ptr<Call>> by_message_;  // their messages, until each is over
-  std::size_t out_ = 0;
-  KeptConnections<Connection> kept_;
+  std::size_t in_flight_ = 0;
+  IdleConnectionPool<Connection> kept_;
   Connections connections_;
 };
 
--- a/relay/executor.cpp
+++ b/relay/executor.cpp
@@ -15,13 +15,13 @@
 
 CallLimits call_limits(const Config& config) {
   CallLimits limits;
-  limits.slots = static_cast<std::size_t>(config.settings.max_concurrent_calls);
+  limits.max_in_flight = static_cast<std::size_t>(config.settings.max_concurrent_calls);
   limits.connect_timeout = config.settings.connect_timeout;
-  limits.idle = config.settings.connection_idle_timeout;
-  limits.connections = config.endpoint_connections;
-  limits.reports = config.reports_in_answers;
-  limits.second_copies = config.settings.hedging;
-  limits.wait_for_rest = !config.own.relay.early_rounds;
+  limits.endpoint_idle_timeout = config.settings.connection_idle_timeout;
+  limits.max_connections = config.endpoint_connections;
+  limits.read_load_reports = config.reports_in_answers;
+  limits.hedging = config.settings.hedging;
+  limits.wait_for_reuse = !config.own.relay.early_rounds;
   return limits;
 }
 
@@ -116,12 +116,12 @@
 }
 
 void Executor::withdraw(const EndpointId& endpoint) {
-  calls_.hold_back(endpoint);
+  calls_.abort_unsent(endpoint);
   committer_.withdraw(endpoint);
 }
 
 void Executor::withdraw_all() {
-  calls_.hold_back_all();
+  calls_.abort_all_unsent();
   committer_.withdraw_all();
 }
 
@@ -139,7 +139,7 @@
 void Executor::abandon(const EndpointId& endpoint) {
   withdraw(endpoint);
   calls_.close_idle(endpoint);
-  if (endpoints_.find(endpoint) == nullptr) calls_.forget(endpoint);
+  if (endpoints_.find(endpoint) == nullptr) calls_.remove_endpoint(endpoint);
 }
 
 }  // namespace heronvane
--- a/relay/executor.hpp
+++ b/relay/executor.hpp
@@ -23,9 +23,9 @@
  public:
   struct Hooks {
     // The end of an attempt that was sent, or that the upstream client could not send.
-    Calls::Ended ended;
+    Calls::AttemptEndedCallback ended;
     // Asked right before a call begins; false: its attempts end as not sent.
-    Calls::MayBegin may_begin;
+    Calls::MayBeginCallback may_begin;
     // An attempt that was planned and provably not sent; its outcome is in the store already.
     std::function<void(const heronvane::dispatch::event::AttemptEnded&)> withdrawn;
   };
@@ -51,15 +51,15 @@
   void withdraw_rate_limited(const EndpointId& endpoint);
 
   // Endpoints as the list tells them.
-  void locate(const ListedEndpoint& member) { calls_.locate(member.endpoint.id, member.address); }
+  void locate(const ListedEndpoint& member) { calls_.set_address(member.endpoint.id, member.address); }
   // The endpoint drains or is gone: no call begins there, and idle connections are closed.
   void abandon(const EndpointId& endpoint);
   void close_idle(const EndpointId& endpoint) { calls_.close_idle(endpoint); }
 
   // Calls that are out.
-  std::size_t calls_out() const { return calls_.out(); }
+  std::size_t calls_out() const { return calls_.in_flight(); }
   // Reads the answers that are here, as the loop would in its next turn.
-  void take_answers() { calls_.take_answers(); }
+  void take_answers() { calls_.read_pending_answers(); }
 
  private:
   std::size_t batch_size(const heronvane::dispatch::Endpoint* endpoint) const;
--- a/relay/fronts/admin_request.cpp
+++ b/relay/frontends/admin_request.cpp
@@ -1,4 +1,4 @@
-#include "fronts/admin_request.hpp"
+#include "frontends/admin_request.hpp"
 
 #include <rapidjson/document.h>
 #include <rapidjson/stringbuffer.h>
--- a/relay/fronts/admin.cpp
+++ b/relay/frontends/admin_server.cpp
@@ -1,4 +1,4 @@
-#include "fronts/admin.hpp"
+#include "frontends/admin_server.hpp"
 
 #include <sys/socket.h>
 #include <sys/stat.h>
@@ -77,9 +77,9 @@
 
 }  // namespace
 
-class Admin::Session : public std::enable_shared_from_this<Session> {
+class AdminServer::Session : public std::enable_shared_from_this<Session> {
  public:
-  Session(Admin& admin, Socket socket)
+  Session(AdminServer& admin, Socket socket)
       : admin_(admin), socket_(std::move(socket)), timer_(admin.io_), turn_(admin.io_) {}
 
   bool idle() const { return stage_ == Stage::idle; }
@@ -209,7 +209,7 @@
   }
 
   using Buffer = beast::flat_buffer;
-  Admin& admin_;
+  AdminServer& admin_;
   Socket socket_;
   Timer timer_, turn_;
   Buffer buffer_{kMostHeader + kMostBody};
@@ -220,7 +220,7 @@
   bool closed_ = false, close_after_ = false;
 };
 
-Admin::Admin(net::io_context& io, const std::string& path, Handler handler)
+AdminServer::AdminServer(net::io_context& io, const std::string& path, Handler handler)
     : io_(io),
       path_(path),
       acceptor_(listening(io, path)),
@@ -230,13 +230,13 @@
   error_code ignored;
   acceptor_.set_option(net::socket_base::enable_connection_aborted(true), ignored);
 }
-Admin::~Admin() { ::unlink(path_.c_str()); }
+AdminServer::~AdminServer() { ::unlink(path_.c_str()); }
 
-bool Admin::busy() const {
+bool AdminServer::busy() const {
   return std::any_of(sessions_.begin(), sessions_.end(), [](const auto& s) { return !s->idle(); });
 }
 
-void Admin::accept() {
+void AdminServer::accept() {
   acceptor_.async_accept([this](error_code bad, Socket socket) {
     if (bad == net::error::operation_aborted) return;
     if (bad) {
@@ -263,7 +263,7 @@
 }
 
 // One that stands between requests may go, the longest idle first.
-bool Admin::make_room() {
+bool AdminServer::make_room() {
   if (sessions_.size() < kMostSessions) return true;
   std::shared_ptr<Session> longest;
   for (const auto& s : sessions_)
--- a/relay/fronts/admin.hpp
+++ b/relay/frontends/admin_server.hpp
@@ -13,13 +13,13 @@
 #include <string>
 
 #include "clock.hpp"
-#include "fronts/admin_request.hpp"
-#include "fronts/front.hpp"
+#include "frontends/admin_request.hpp"
+#include "frontends/frontend.hpp"
 #include "log.hpp"
 
 namespace heronvane {
 
-class Admin : public Front {
+class AdminServer : public Frontend {
  public:
   using Reply = std::function<void(AdminAnswer)>;
   // Answers by the reply, once, then or later.
@@ -27,8 +27,8 @@
 
   // Listens at `path`, a socket of mode 0600, and removes it at the end. One that an earlier life left there
   // is removed: the caller owns the folder. Throws std::runtime_error where it can't be had.
-  Admin(boost::asio::io_context& io, const std::string& path, Handler handler);
-  ~Admin() override;
+  AdminServer(boost::asio::io_context& io, const std::string& path, Handler handler);
+  ~AdminServer() override;
   void start() override { accept(); }
 
   bool busy() const override;
--- a/relay/fronts/front.hpp
+++ b/relay/frontends/frontend.hpp
@@ -3,9 +3,9 @@
 
 namespace heronvane {
 
-class Front {
+class Frontend {
  public:
-  virtual ~Front() = default;
+  virtual ~Frontend() = default;
   // Listens from its making on; begins to answer now, once what it asks stands.
   virtual void start() = 0;
   // Whether a request is being read or answered.
--- a/relay/intake.cpp
+++ b/relay/intake.cpp
@@ -87,12 +87,12 @@
   }
   // Ends it if it rests; a request that has begun is answered first, and the first one of a new connection
   // may be on its way.
-  void close_if_resting() {
+  void close_if_idle() {
     if (idle() && used_ && !has_bytes()) end_between_requests();
   }
   // As close_if_resting(), and a first request has little time left to come.
-  void finish() {
-    close_if_resting();
+  void shut_down() {
+    close_if_idle();
     if (idle()) limit(kLastRequest);
   }
   // Makes room for another connection, which can't wait; false if a request has just come.
@@ -157,7 +157,7 @@
     buffer_ = Buffer(kMostHeader + kMostBody);  // an idle connection holds no memory
     limit(kIdleTime);
     wait();
-    if (intake_.closing_resting_) close_if_resting();
+    if (intake_.closing_idle_) close_if_idle();
   }
 
   // Shuts the sending side. Nothing that comes from now on is a request.
@@ -284,13 +284,14 @@
     if (request.target() == "/_health") {
       if (request.method() != http::verb::get && request.method() != http::verb::head)
         return turn_down(405, "unknown method");
-      return answer({intake_.ready_() ? 200u : 503u, 0});
+      return answer({intake_.is_ready_() ? 200u : 503u, 0});
     }
     Handed handed = read_message(request, intake_.settings_, intake_.names_);
     if (handed.refused > 0) return turn_down(handed.refused, handed.why);
-    intake_.take_(std::move(handed.message), handed.left, [self = shared_from_this()](const ClientReply& a) {
-      a.turned_down.empty() ? self->answer(a) : self->turn_down(a.status, a.turned_down.data());
-    });
+    intake_.handle_message_(
+        std::move(handed.message), handed.left, [self = shared_from_this()](const ClientReply& a) {
+          a.turned_down.empty() ? self->answer(a) : self->turn_down(a.status, a.turned_down.data());
+        });
   }
 
   // `why`, where it was turned down, is for people who read the answer.
@@ -347,16 +348,16 @@
 };
 
 Intake::Intake(net::io_context& io, tcp::acceptor listener, const heronvane::dispatch::Settings& settings,
-               const heronvane::dispatch::adapter::NameTables& names, const IntakeLimits& limits, Take take,
-               Ready ready)
+               const heronvane::dispatch::adapter::NameTables& names, const IntakeLimits& limits,
+               MessageHandler handle_message, ReadyCallback is_ready)
     : io_(io),
       acceptor_(std::move(listener)),
       pause_(io),
       settings_(settings),
       names_(names),
       limits_(limits),
-      take_(std::move(take)),
-      ready_(std::move(ready)),
+      handle_message_(std::move(handle_message)),
+      is_ready_(std::move(is_ready)),
       tally_(io, "clients turned down"),
       accept_failures_(io, "accept failed") {
   // Else Asio keeps ECONNABORTED and EPROTO to itself, and looks at the queue again only once a further
@@ -369,7 +370,7 @@
 
 void Intake::accept() {
   acceptor_.async_accept([this](error_code bad, tcp::socket socket) {
-    if (bad == net::error::operation_aborted || (bad && finishing_)) return;
+    if (bad == net::error::operation_aborted || (bad && shutting_down_)) return;
     if (bad) {
       // Of one connection or of all: what else waits in the queue is accepted without a further one.
       accept_failures_.add(failure_text(bad));
@@ -381,7 +382,7 @@
     } else {
       begin(std::move(socket));
     }
-    if (!finishing_) accept();
+    if (!shutting_down_) accept();
   });
 }
 
@@ -392,7 +393,7 @@
   const auto session = std::make_shared<Session>(*this, std::move(socket));
   sessions_.insert(session);
   session->start();
-  if (finishing_) session->finish();
+  if (shutting_down_) session->shut_down();
 }
 
 bool Intake::short_of_room() const { return sessions_.size() * kShortOf >= limits_.clients * kShort; }
@@ -415,18 +416,18 @@
 
 void Intake::drain() { draining_ = true; }
 
-void Intake::close_resting() {
-  if (std::exchange(closing_resting_, true)) return;
-  for (const auto& session : all_sessions()) session->close_if_resting();
+void Intake::close_idle() {
+  if (std::exchange(closing_idle_, true)) return;
+  for (const auto& session : all_sessions()) session->close_if_idle();
 }
 
-void Intake::finish() {
-  if (std::exchange(finishing_, true)) return;
+void Intake::shut_down() {
+  if (std::exchange(shutting_down_, true)) return;
   pause_.cancel();
   accept_waiting();
   error_code ignored;
   acceptor_.close(ignored);
-  for (const auto& session : all_sessions()) session->finish();
+  for (const auto& session : all_sessions()) session->shut_down();
 }
 
 std::vector<std::shared_ptr<Intake::Session>> Intake::all_sessions() const {
--- a/relay/intake.hpp
+++ b/relay/intake.hpp
@@ -25,14 +25,14 @@
 class Intake {
  public:
   // The message without its deadline, and the time that is left until then.
-  using Take = std::function<void(Message, Microseconds left, ReplyCallback)>;
-  using Ready = std::function<bool()>;
+  using MessageHandler = std::function<void(Message, Microseconds left, ReplyCallback)>;
+  using ReadyCallback = std::function<bool()>;
 
   // Accepts on `listener` at once. Each message goes to `take`, which answers by the reply, once, then or
   // later.
   Intake(boost::asio::io_context& io, boost::asio::ip::tcp::acceptor listener,
          const heronvane::dispatch::Settings& settings, const heronvane::dispatch::adapter::NameTables& names,
-         const IntakeLimits& limits, Take take, Ready ready);
+         const IntakeLimits& limits, MessageHandler handle_message, ReadyCallback is_ready);
   ~Intake();
 
   // From now on each answer is the last one of its connection. Connections that rest stay open: a request may
@@ -40,11 +40,11 @@
   void drain();
   // After drain(): connections that rest are closed, from now on at once. A request that crosses the close is
   // never read, and its connection is reset.
-  void close_resting();
+  void close_idle();
   // After close_resting(): no new connections from now on, and those that brought no request yet are closed,
   // too. All are gone once clients() is 0, within kFinishMost.
-  void finish();
-  static constexpr std::chrono::milliseconds kFinishMost{1200};
+  void shut_down();
+  static constexpr std::chrono::milliseconds kMaxShutdownTime{1200};
   // Whether a request is being read or answered, or an answer may still be on its way.
   bool busy() const;
   std::size_t clients() const { return sessions_.size(); }  // connections
@@ -66,11 +66,11 @@
   const heronvane::dispatch::Settings& settings_;
   const heronvane::dispatch::adapter::NameTables& names_;
   IntakeLimits limits_;
-  Take take_;
-  Ready ready_;
+  MessageHandler handle_message_;
+  ReadyCallback is_ready_;
   bool draining_ = false;
-  bool closing_resting_ = false;
-  bool finishing_ = false;
+  bool closing_idle_ = false;
+  bool shutting_down_ = false;
   std::size_t body_bytes_ = 0;
   CounterLog tally_, accept_failures_;
   std::set<std::shared_ptr<Session>> sessions_;
--- a/relay/peers.cpp
+++ b/relay/peers.cpp
@@ -27,7 +27,7 @@
   socket_.non_blocking(true);
 }
 
-void Peers::tell(int whom, const std::string& body) {
+void Peers::send(int whom, const std::string& body) {
   if (body.size() > kMostNote) return log("note to a peer: too long, not sent");
   const auto to = whom < 0 ? all_
                   : static_cast<std::size_t>(whom) < peers_.size()
--- a/relay/peers.hpp
+++ b/relay/peers.hpp
@@ -23,7 +23,7 @@
   // Hears from now on. Apart from the making, whose owner may yet fail: a note that was here already would
   // else be told to nobody.
   void start() { receive(); }
-  void tell(int whom, const std::string& body);  // -1: every peer
+  void send(int whom, const std::string& body);  // -1: every peer
 
  private:
   void receive();
--- a/relay/platform.cpp
+++ b/relay/platform.cpp
@@ -125,7 +125,7 @@
   query.reset();
 }
 
-void Platform::move(const tcp::endpoint& address) {
+void Platform::set_address(const tcp::endpoint& address) {
   if (address == address_) return;
   address_ = address;
   index_ = 0;  // the new one may count anew: it is asked for all
@@ -345,7 +345,7 @@
 }
 
 // ---- Notices. ----
-void Platform::notice(MessageId id, const std::string& wire_id, const Ending& ending) {
+void Platform::send_notice(MessageId id, const std::string& wire_id, const Ending& ending) {
   rapidjson::StringBuffer buffer;
   rapidjson::Writer<rapidjson::StringBuffer> w(buffer);
   w.StartObject();
--- a/relay/platform.hpp
+++ b/relay/platform.hpp
@@ -36,11 +36,11 @@
   std::int64_t index() const { return index_; }  // of the list told last
   // Discovery is found elsewhere from now on: what is under way at the old address begins again at the new
   // one.
-  void move(const boost::asio::ip::tcp::endpoint& address);
+  void set_address(const boost::asio::ip::tcp::endpoint& address);
   const boost::asio::ip::tcp::endpoint& address() const { return address_; }
   // Sent until the platform has it; `noticed` tells when.
-  void notice(MessageId id, const std::string& wire_id, const Ending& ending);
-  bool notices_owed() const { return !owed_.empty(); }
+  void send_notice(MessageId id, const std::string& wire_id, const Ending& ending);
+  bool has_pending_notices() const { return !owed_.empty(); }
 
  private:
   struct Query;
--- a/relay/relay_server.cpp
+++ b/relay/relay_server.cpp
@@ -219,7 +219,7 @@
 // ---- A new configuration. ----
 void RelayServer::reconfigure(const Config& config) {
   log("configuration read again: discovery at " + text_of(config.discovery));
-  platform_.move(config.discovery);
+  platform_.set_address(config.discovery);
   status_.set_generation(config.generation);
   if (config.own.copies.on) copies_->members(config.own.copies.members);
 }
--- a/relay/relay_server.hpp
+++ b/relay/relay_server.hpp
@@ -24,7 +24,7 @@
 #include "drain_controller.hpp"
 #include "endpoint_view.hpp"
 #include "executor.hpp"
-#include "fronts/front.hpp"
+#include "frontends/frontend.hpp"
 #include "intake.hpp"
 #include "log_copies_port.hpp"
 #include "peers.hpp"
@@ -124,7 +124,7 @@
   std::unique_ptr<store::Disk> folder_;
   boost::asio::ip::tcp::acceptor listener_;  // until the intake has it
   std::unique_ptr<Peers> peers_;             // null where the settings have no gossip
-  std::unique_ptr<Front> admin_;
+  std::unique_ptr<Frontend> admin_;
   Committer committer_;
   store::Store& store_;  // the committer's
   std::unique_ptr<LogReplication> copies_;
--- a/relay/relay_shutdown.cpp
+++ b/relay/relay_shutdown.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 static_assert(std::chrono::microseconds(Lifecycle::kShutdownTime - Lifecycle::kAcceptTime) >
-              Intake::kFinishMost);
+              Intake::kMaxShutdownTime);
 constexpr auto kShutdownCheckInterval = std::chrono::milliseconds(20);
 
 }  // namespace
@@ -50,7 +50,7 @@
 // Whether something is held or owed: a drain waits for it.
 bool RelayServer::has_open_work() const {
   return !store_.held().empty() || requests_.queued() > 0 || executor_.calls_out() > 0 ||
-         platform_.notices_owed() || !committer_.is_settled();
+         platform_.has_pending_notices() || !committer_.is_settled();
 }
 
 // ---- Graceful shutdown. ----
@@ -67,7 +67,7 @@
           .requests_held = store_.held().size(),
           .client_connections = intake_->clients(),
           .requests_queued = requests_.queued() > 0,
-          .notifications_owed = platform_.notices_owed(),
+          .notifications_owed = platform_.has_pending_notices(),
           .writes_pending = !committer_.is_writable() || committer_.has_waiting_plans()};
 }
 
@@ -80,8 +80,8 @@
     committer_.commit();
   }
   committer_.commit_if_due();
-  if (lifecycle_.resting_time_is_over(now)) intake_->close_resting();
-  if (lifecycle_.accept_time_is_over(now)) intake_->finish();
+  if (lifecycle_.resting_time_is_over(now)) intake_->close_idle();
+  if (lifecycle_.accept_time_is_over(now)) intake_->shut_down();
   if (lifecycle_.is_done(now, open_work())) {
     // No call that was answered is left without its record.
     executor_.take_answers();
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -8,7 +8,7 @@
 #include "admin_harness.hpp"
 #include "core/in_flight_gauge.hpp"
 #include "core/status.hpp"
-#include "fronts/admin_request.hpp"
+#include "frontends/admin_request.hpp"
 
 namespace heronvane::testing {
 namespace {
--- a/tests/kept_connections_test.cpp
+++ b/tests/idle_connection_pool_test.cpp
@@ -1,5 +1,5 @@
 // Connections kept between calls: the freshest rested one is used, the longest idle one of all goes first.
-#include "backs/kept_connections.hpp"
+#include "backends/idle_connection_pool.hpp"
 
 #include <gtest/gtest.h>
 
@@ -10,11 +10,11 @@
 namespace heronvane {
 namespace {
 
-using Kept = KeptConnections<int>;
+using Kept = IdleConnectionPool<int>;
 
 std::shared_ptr<int> connection(int n) { return std::make_shared<int>(n); }
 
-TEST(KeptConnections, TheFreshestThatHasRestedIsTaken) {
+TEST(IdleConnectionPool, TheFreshestThatHasRestedIsTaken) {
   Kept kept;
   kept.put("a", connection(1), 10), kept.put("a", connection(2), 20), kept.put("a", connection(3), 30);
   EXPECT_EQ(*kept.take("a", 25), 2);
@@ -25,7 +25,7 @@
   EXPECT_EQ(kept.longest_idle_since("b"), -1);
 }
 
-TEST(KeptConnections, OfAllEndpointsTheLongestIdleGoesFirst) {
+TEST(IdleConnectionPool, OfAllEndpointsTheLongestIdleGoesFirst) {
   Kept kept;
   kept.put("a", connection(1), 10), kept.put("b", connection(2), 20), kept.put("a", connection(3), 30);
   EXPECT_TRUE(kept.drop_longest_idle());
@@ -37,7 +37,7 @@
   EXPECT_FALSE(kept.drop_longest_idle());
 }
 
-TEST(KeptConnections, ARandomLifeAgreesWithAPlainList) {
+TEST(IdleConnectionPool, ARandomLifeAgreesWithAPlainList) {
   std::mt19937_64 random(1);
   Kept kept;
   struct One {
--- a/tests/crossings/cancel_test.cpp
+++ b/tests/races/cancel_test.cpp
@@ -13,10 +13,10 @@
  protected:
   static CallLimits limits() {
     CallLimits limits;
-    limits.slots = 4;
+    limits.max_in_flight = 4;
     limits.connect_timeout = 1'000'000;
-    limits.idle = 5'000'000;
-    limits.connections = 4;
+    limits.endpoint_idle_timeout = 5'000'000;
+    limits.max_connections = 4;
     return limits;
   }
   static Outgoing message(MessageId id, Microseconds timeout = kTimeout) {
@@ -29,8 +29,8 @@
   }
   void SetUp() override {
     const auto colon = endpoint.address().find(':');
-    calls.locate("s-1", {net::ip::make_address(endpoint.address().substr(0, colon)),
-                         static_cast<std::uint16_t>(std::stoi(endpoint.address().substr(colon + 1)))});
+    calls.set_address("s-1", {net::ip::make_address(endpoint.address().substr(0, colon)),
+                              static_cast<std::uint16_t>(std::stoi(endpoint.address().substr(colon + 1)))});
   }
   template <class Condition>
   bool turn_until(Condition holds, std::chrono::milliseconds patience = std::chrono::milliseconds(2500)) {
