--- a/fleet/agent.cpp
+++ b/fleet/agent.cpp
@@ -184,9 +184,9 @@
     events_.pop_front();
     actions.clear();
     decider_.handle(now(), event, actions);
-    for (const auto& a : actions) {
+    for (const auto& action : actions) {
       try {
-        std::visit([this](const auto& x) { perform(x); }, a);
+        std::visit([this](const auto& typed_action) { perform(typed_action); }, action);
       } catch (const std::exception& error) {
         heronvane::log(std::string("agent: ") + error.what());
       }
@@ -307,10 +307,10 @@
     folders.push_back(rest.substr(0, end));
     rest.erase(0, std::min(end + 1, rest.size()));
   }
-  for (const auto& f : folders) {
-    const std::string file = f + "/" + program;
+  for (const auto& folder : folders) {
+    const std::string file = folder + "/" + program;
     struct stat about {};
-    if (!f.empty() && ::stat(file.c_str(), &about) == 0 && S_ISREG(about.st_mode) &&
+    if (!folder.empty() && ::stat(file.c_str(), &about) == 0 && S_ISREG(about.st_mode) &&
         ::access(file.c_str(), X_OK) == 0)
       return file;
   }
@@ -351,8 +351,8 @@
               } else if (answer.status != 0) {
                 event.why = "status " + std::to_string(answer.status);
                 try {
-                  const auto v = parse_json(answer.body);
-                  const auto& error = wire::required_member(v, "error", "answer");
+                  const auto error_json = parse_json(answer.body);
+                  const auto& error = wire::required_member(error_json, "error", "answer");
                   event.why = printable(wire::optional_field(error, "message", "error", wire::as_string, ""));
                   if (answer.status == 409) {
                     event.highest = wire::required_field(error, "fence", "error", wire::as_uint64);
@@ -512,15 +512,15 @@
   bool seen = false;
   try {
     if (answer.status == 200) {
-      const auto v = parse_json(answer.body);
+      const auto status_json = parse_json(answer.body);
       const std::string path = "status";
-      event.run = wire::required_field(v, "run", path, wire::as_string);
-      event.ready = wire::required_field(v, "ready", path, wire::as_bool);
-      event.draining = wire::optional_field(v, "draining", path, wire::as_bool, false);
-      event.stopping = wire::optional_field(v, "stopping", path, wire::as_bool, false);
-      event.fence = wire::optional_field(v, "fence", path, wire::as_uint64, 0);
-      event.generation = wire::optional_field(v, "generation", path, wire::as_uint64, 0);
-      if (const auto* held = wire::find_member(v, "held")) {
+      event.run = wire::required_field(status_json, "run", path, wire::as_string);
+      event.ready = wire::required_field(status_json, "ready", path, wire::as_bool);
+      event.draining = wire::optional_field(status_json, "draining", path, wire::as_bool, false);
+      event.stopping = wire::optional_field(status_json, "stopping", path, wire::as_bool, false);
+      event.fence = wire::optional_field(status_json, "fence", path, wire::as_uint64, 0);
+      event.generation = wire::optional_field(status_json, "generation", path, wire::as_uint64, 0);
+      if (const auto* held = wire::find_member(status_json, "held")) {
         event.held = wire::optional_field(*held, "total", "status.held", wire::as_uint64, 0);
         event.oldest_ms = wire::optional_field(*held, "oldest_ms", "status.held", wire::as_int64, 0);
       }
@@ -528,7 +528,7 @@
       seen = event.run == instance.run;
       if (seen) {
         instance.status = answer.body.size() <= kMaxStatusBytes ? answer.body : "";
-        instance.copies_json = copies_summary(v);
+        instance.copies_json = copies_summary(status_json);
         instance.status_at = now();
       }
     }
@@ -542,8 +542,9 @@
     handle_event(event::StatusMissed{name, instance.run});
   const auto it = instances_.find(name);
   if (it == instances_.end() || it->second->process_number != process_number || !it->second->process) return;
-  const auto v = decider_.instance(name);
-  const bool settled = v && (v->phase == Phase::ready || v->phase == Phase::stalled) && v->operation == 0;
+  const auto view = decider_.instance(name);
+  const bool settled =
+      view && (view->phase == Phase::ready || view->phase == Phase::stalled) && view->operation == 0;
   schedule_status_poll(*it->second, settled ? options_.status_interval : options_.status_interval_busy);
 }
 
--- a/fleet/agent_api.cpp
+++ b/fleet/agent_api.cpp
@@ -77,8 +77,8 @@
   };
   const auto search = std::make_shared<Search>();
   search->done = std::move(done);
-  for (const auto& v : decider_.instances()) {
-    const std::string name = v.row->name;
+  for (const auto& instance_view : decider_.instances()) {
+    const std::string name = instance_view.row->name;
     const auto it = instances_.find(name);
     if (it == instances_.end() || !it->second->process) {
       search->view.not_asked.push_back(name);
@@ -113,34 +113,35 @@
   };
   const auto search = std::make_shared<Search>();
   search->done = std::move(done);
-  for (const auto& v : decider_.instances()) {
-    const auto it = instances_.find(v.row->name);
-    if (v.row->name == relay || it == instances_.end() || !it->second->process) continue;
-    search->remaining.emplace_back(v.row->name, it->second->folder.state());
+  for (const auto& instance_view : decider_.instances()) {
+    const auto it = instances_.find(instance_view.row->name);
+    if (instance_view.row->name == relay || it == instances_.end() || !it->second->process) continue;
+    search->remaining.emplace_back(instance_view.row->name, it->second->folder.state());
   }
   std::reverse(search->remaining.begin(), search->remaining.end());
   search->next = [this, relay, weak = std::weak_ptr(search)] {
-    const auto s = weak.lock();
-    if (s->remaining.empty()) return s->done(std::move(s->view));
-    const auto [name, folder] = s->remaining.back();
-    s->remaining.pop_back();
+    const auto locked_search = weak.lock();
+    if (locked_search->remaining.empty()) return locked_search->done(std::move(locked_search->view));
+    const auto [name, folder] = locked_search->remaining.back();
+    locked_search->remaining.pop_back();
     ask_admin(io_, {folder, true, "/v1/takeover/" + relay, "{}"},
-              [s, name = name, alive = std::weak_ptr<bool>(alive_)](const AdminAnswer& answer) {
+              [locked_search, name = name, alive = std::weak_ptr<bool>(alive_)](const AdminAnswer& answer) {
                 if (alive.expired()) return;
                 if (answer.status == 200) {
-                  s->view.by = name;
-                  return s->done(std::move(s->view));
+                  locked_search->view.by = name;
+                  return locked_search->done(std::move(locked_search->view));
                 }
                 std::string why = answer.status == 0 ? answer.why : "status " + std::to_string(answer.status);
                 try {
-                  const auto v = parse_json(answer.body);
-                  if (v.IsObject() && v.HasMember("error") && v["error"].IsObject() &&
-                      v["error"].HasMember("message") && v["error"]["message"].IsString())
-                    why = v["error"]["message"].GetString();
+                  const auto error_json = parse_json(answer.body);
+                  if (error_json.IsObject() && error_json.HasMember("error") &&
+                      error_json["error"].IsObject() && error_json["error"].HasMember("message") &&
+                      error_json["error"]["message"].IsString())
+                    why = error_json["error"]["message"].GetString();
                 } catch (const JsonError&) {
                 }
-                s->view.refused.emplace_back(name, why);
-                s->next();
+                locked_search->view.refused.emplace_back(name, why);
+                locked_search->next();
               });
   };
   search->next();
--- a/fleet/database.cpp
+++ b/fleet/database.cpp
@@ -36,16 +36,16 @@
 )";
 
 template <class Enum>
-Enum read_enum(std::int64_t v, Enum last, const char* what) {
-  if (v < 0 || v > static_cast<std::int64_t>(last))
-    throw DatabaseError(std::string("database: ") + what + " has the value " + std::to_string(v));
-  return static_cast<Enum>(v);
+Enum read_enum(std::int64_t value, Enum last, const char* what) {
+  if (value < 0 || value > static_cast<std::int64_t>(last))
+    throw DatabaseError(std::string("database: ") + what + " has the value " + std::to_string(value));
+  return static_cast<Enum>(value);
 }
 
 // A line never contains a line break: it consists of names and JSON.
 std::string join(const std::vector<std::string>& lines) {
   std::string all;
-  for (const auto& l : lines) all.append(l).append(1, '\n');
+  for (const auto& line : lines) all.append(line).append(1, '\n');
   return all;
 }
 std::vector<std::string> split(const std::string& text) {
@@ -165,11 +165,11 @@
     prune();
     execute("COMMIT");
     return {};
-  } catch (const std::exception& e) {
+  } catch (const std::exception& error) {
     // After some errors SQLite has rolled back already.
     if (sqlite3_get_autocommit(db_.get()) == 0)
       sqlite3_exec(db_.get(), "ROLLBACK", nullptr, nullptr, nullptr);
-    return e.what();
+    return error.what();
   }
 }
 
--- a/tests/fleet/standins/relay_standin.cpp
+++ b/tests/fleet/standins/relay_standin.cpp
@@ -48,18 +48,18 @@
     if (v.HasParseError() || !v.IsObject()) throw std::runtime_error("config: can't be read");
     name_ = v["name"].GetString();
     generation_ = v["generation"].GetUint64();
-    std::string argv = read_file("behave");
-    if (const char* all = std::getenv("STANDIN_BEHAVE")) argv += std::string(" ") + all;
-    std::istringstream in(argv);
-    for (std::string w; in >> w;) {
-      if (w.rfind("held=", 0) == 0) held_ = std::strtoull(w.c_str() + 5, nullptr, 10);
-      behaviours_.insert(w);
+    std::string behaviours = read_file("behave");
+    if (const char* all = std::getenv("STANDIN_BEHAVE")) behaviours += std::string(" ") + all;
+    std::istringstream in(behaviours);
+    for (std::string behaviour; in >> behaviour;) {
+      if (behaviour.rfind("held=", 0) == 0) held_ = std::strtoull(behaviour.c_str() + 5, nullptr, 10);
+      behaviours_.insert(behaviour);
     }
     std::ifstream saved(state_ + "/kept");
     saved >> fence_ >> draining_;
   }
 
-  bool has_behaviour(const char* option) const { return behaviours_.count(option) > 0; }
+  bool has_behaviour(const char* name) const { return behaviours_.count(name) > 0; }
 
   void undrain(std::uint64_t fence) {
     if (fence < fence_) throw std::runtime_error("fenced");
--- a/tests/fleet/world.cpp
+++ b/tests/fleet/world.cpp
@@ -211,12 +211,19 @@
     if (process->second.stalled || now < process->second.started + 50 * ms) {
       deliver_later(second, event::StatusMissed{name, run});
     } else {
-      const Process& p = process->second;
-      event::StatusSeen seen{
-          name, run, !p.draining && !p.stopping && now >= p.ready_at, p.draining, p.stopping, 0, 0, 0, 0};
+      const Process& running = process->second;
+      event::StatusSeen seen{name,
+                             run,
+                             !running.draining && !running.stopping && now >= running.ready_at,
+                             running.draining,
+                             running.stopping,
+                             0,
+                             0,
+                             0,
+                             0};
       seen.fence = folders[name].fence;
       seen.held = static_cast<std::uint64_t>(folders[name].held);
-      seen.generation = p.generation;
+      seen.generation = running.generation;
       deliver_later(with_jitter(2 * ms), seen);
     }
     poll(name, run);
@@ -227,13 +234,13 @@
   std::visit([&](const auto& a) { perform(a); }, action);
 }
 
-void World::perform(const action::Record& a) {
+void World::perform(const action::Record& action) {
   expect(!unacknowledged_record_, "two unacknowledged records");
-  expect(a.record == last_record_ + 1, "record ids skip");
-  last_record_ = a.record;
-  unacknowledged_record_ = a;
+  expect(action.record == last_record_ + 1, "record ids skip");
+  last_record_ = action.record;
+  unacknowledged_record_ = action;
   const bool fails = disk_full || chance() < how.record_fails;
-  at(now + with_jitter(how.record_takes), [this, incarnation = incarnation_, fails, id = a.record] {
+  at(now + with_jitter(how.record_takes), [this, incarnation = incarnation_, fails, id = action.record] {
     if (incarnation != incarnation_ || !unacknowledged_record_ || unacknowledged_record_->record != id)
       return;
     const action::Record record = std::move(*unacknowledged_record_);
@@ -279,9 +286,9 @@
       if (step.state != StepState::acting) continue;
       taking += step.work == Step::Work::restart || step.work == Step::Work::stop ||
                 step.work == Step::Work::drain || step.work == Step::Work::remove;
-      const InstanceRow* r = row(step.instance);
-      if (r)
-        expect(r->fence == id,
+      const InstanceRow* recorded_row = row(step.instance);
+      if (recorded_row)
+        expect(recorded_row->fence == id,
                step.instance + " is acted on by " + std::to_string(id) + " without its fence");
     }
     if (operation.max_unavailable > 0) {
@@ -324,65 +331,69 @@
   }
 }
 
-void World::perform(const action::WriteConfig& a) {
-  const InstanceRow* r = row(a.name);
-  expect(r && r->config == a.generation, "WriteConfig of " + a.name + " not as recorded");
-  expect(database.fleet(a.generation) != nullptr, "WriteConfig of an unknown fleet");
-  folders[a.name].config = a.generation;
+void World::perform(const action::WriteConfig& action) {
+  const InstanceRow* recorded_row = row(action.name);
+  expect(recorded_row && recorded_row->config == action.generation,
+         "WriteConfig of " + action.name + " not as recorded");
+  expect(database.fleet(action.generation) != nullptr, "WriteConfig of an unknown fleet");
+  folders[action.name].config = action.generation;
 }
 
-void World::perform(const action::Spawn& a) {
-  add_trace("spawn " + a.name + (a.undrain ? " undrain" : ""));
-  const InstanceRow* r = row(a.name);
-  expect(r && r->live && r->run == a.run, "Spawn of " + a.name + " not as recorded");
-  expect(r && (r->desired != Desired::stopped), "Spawn of " + a.name + ", whose desired state is stopped");
-  expect(!processes.contains(a.name), "Spawn of " + a.name + " during an earlier run");
-  if (processes.contains(a.name)) return;
+void World::perform(const action::Spawn& action) {
+  add_trace("spawn " + action.name + (action.undrain ? " undrain" : ""));
+  const InstanceRow* recorded_row = row(action.name);
+  expect(recorded_row && recorded_row->live && recorded_row->run == action.run,
+         "Spawn of " + action.name + " not as recorded");
+  expect(recorded_row && (recorded_row->desired != Desired::stopped),
+         "Spawn of " + action.name + ", whose desired state is stopped");
+  expect(!processes.contains(action.name), "Spawn of " + action.name + " during an earlier run");
+  if (processes.contains(action.name)) return;
   if (chance() < how.spawn_fails)
-    return deliver_later(with_jitter(ms), event::SpawnFailed{a.name, a.run, "no such program"});
-  Folder& folder = folders[a.name];
-  if (a.undrain && *a.undrain >= folder.fence) {
-    folder.fence = *a.undrain;
+    return deliver_later(with_jitter(ms), event::SpawnFailed{action.name, action.run, "no such program"});
+  Folder& folder = folders[action.name];
+  if (action.undrain && *action.undrain >= folder.fence) {
+    folder.fence = *action.undrain;
     folder.drain = false;
     folder.drained.reset();
   }
   Process process;
-  process.run = a.run;
+  process.run = action.run;
   process.pid = ++pids_;
   process.started = now;
   process.ready_at = now + with_jitter(how.start_to_ready);
   process.draining = folder.drain;
   process.generation = folder.config;
-  processes[a.name] = process;
-  ++starts[a.name];
-  deliver_later(with_jitter(ms), event::Spawned{a.name, process.pid, a.run});
-  poll(a.name, a.run);
+  processes[action.name] = process;
+  ++starts[action.name];
+  deliver_later(with_jitter(ms), event::Spawned{action.name, process.pid, action.run});
+  poll(action.name, action.run);
   bool bad = false;
   if (const FleetSpec* fleet = database.fleet(folder.config)) {
     bad = fleet->common.contains("crashes");
     for (const InstanceSpec& spec : fleet->instances)
-      bad = bad || (spec.name == a.name && spec.own.contains("crashes"));
+      bad = bad || (spec.name == action.name && spec.own.contains("crashes"));
   }
   if (bad) {
     disturbed = true;
-    at(now + with_jitter(100 * ms), [this, a] { end_process(a.name, a.run, 1, 0); });
+    at(now + with_jitter(100 * ms), [this, action] { end_process(action.name, action.run, 1, 0); });
   } else if (folder.drain) {
-    start_draining(a.name);
+    start_draining(action.name);
   }
 }
 
-void World::perform(const action::Signal& a) {
-  add_trace((a.signal == Signum::term ? "term " : "kill ") + a.name);
-  const InstanceRow* r = row(a.name);
-  expect(r && (r->run != a.run || r->desired == Desired::stopped || r->retire == a.run),
-         "Signal to " + a.name + " not as recorded");
-  auto process = processes.find(a.name);
-  if (process == processes.end() || process->second.run != a.run) return;
-  if (a.signal == Signum::kill) return end_process(a.name, a.run, 0, 9);
+void World::perform(const action::Signal& action) {
+  add_trace((action.signal == Signum::term ? "term " : "kill ") + action.name);
+  const InstanceRow* recorded_row = row(action.name);
+  expect(recorded_row && (recorded_row->run != action.run || recorded_row->desired == Desired::stopped ||
+                          recorded_row->retire == action.run),
+         "Signal to " + action.name + " not as recorded");
+  auto process = processes.find(action.name);
+  if (process == processes.end() || process->second.run != action.run) return;
+  if (action.signal == Signum::kill) return end_process(action.name, action.run, 0, 9);
   process->second.stopping = true;
-  at(now + with_jitter(how.term_takes), [this, a] {
-    auto still = processes.find(a.name);
-    if (still != processes.end() && !still->second.stalled) end_process(a.name, a.run, 0, 0);
+  at(now + with_jitter(how.term_takes), [this, action] {
+    auto still = processes.find(action.name);
+    if (still != processes.end() && !still->second.stalled) end_process(action.name, action.run, 0, 0);
   });
 }
 
@@ -402,23 +413,24 @@
 }
 
 template <class Ask>
-void World::call(const Ask& a, AdminCall call) {
-  const InstanceRow* r = row(a.name);
-  expect(r && r->fence == a.fence, "a call to " + a.name + " with another fence than recorded");
-  at(now + with_jitter(ms), [this, incarnation = incarnation_, a, call] {
-    auto process = processes.find(a.name);
-    event::Answered answer{a.name, a.run, call, event::Answered::Result::failed, 0, "no answer"};
-    if (process != processes.end() && process->second.run == a.run && !process->second.stalled) {
-      Folder& folder = folders[a.name];
+void World::call(const Ask& action, AdminCall call) {
+  const InstanceRow* recorded_row = row(action.name);
+  expect(recorded_row && recorded_row->fence == action.fence,
+         "a call to " + action.name + " with another fence than recorded");
+  at(now + with_jitter(ms), [this, incarnation = incarnation_, action, call] {
+    auto process = processes.find(action.name);
+    event::Answered answer{action.name, action.run, call, event::Answered::Result::failed, 0, "no answer"};
+    if (process != processes.end() && process->second.run == action.run && !process->second.stalled) {
+      Folder& folder = folders[action.name];
       answer.result = event::Answered::Result::ok;
-      if (a.fence < folder.fence) {
+      if (action.fence < folder.fence) {
         answer.result = event::Answered::Result::fenced;
         answer.highest = folder.fence;
       } else {
-        folder.fence = a.fence;
+        folder.fence = action.fence;
         if (call == AdminCall::drain && !folder.drain) {
           folder.drain = process->second.draining = true;
-          start_draining(a.name);
+          start_draining(action.name);
         }
         if (call == AdminCall::undrain) folder.drain = process->second.draining = false;
       }
@@ -428,49 +440,49 @@
   });
 }
 
-void World::perform(const action::AskDrain& a) {
-  add_trace("drain " + a.name);
-  expect(row(a.name) && row(a.name)->desired == Desired::drained,
-         "AskDrain of " + a.name + " not as recorded");
-  call(a, AdminCall::drain);
+void World::perform(const action::AskDrain& action) {
+  add_trace("drain " + action.name);
+  expect(row(action.name) && row(action.name)->desired == Desired::drained,
+         "AskDrain of " + action.name + " not as recorded");
+  call(action, AdminCall::drain);
 }
 
-void World::perform(const action::AskUndrain& a) {
-  add_trace("undrain " + a.name);
-  expect(row(a.name) && row(a.name)->desired == Desired::running,
-         "AskUndrain of " + a.name + " not as recorded");
-  call(a, AdminCall::undrain);
+void World::perform(const action::AskUndrain& action) {
+  add_trace("undrain " + action.name);
+  expect(row(action.name) && row(action.name)->desired == Desired::running,
+         "AskUndrain of " + action.name + " not as recorded");
+  call(action, AdminCall::undrain);
 }
 
-void World::perform(const action::AskFence& a) {
-  add_trace("fence " + a.name);
-  call(a, AdminCall::fence);
+void World::perform(const action::AskFence& action) {
+  add_trace("fence " + action.name);
+  call(action, AdminCall::fence);
 }
 
-void World::perform(const action::Removed& a) {
-  add_trace("removed " + a.name);
-  expect(!row(a.name), "Removed " + a.name + ", whose row exists");
-  expect(!processes.contains(a.name), "Removed " + a.name + ", which runs");
-  expect(folders[a.name].held == 0, "Removed " + a.name + ", which holds messages");
-  folders.erase(a.name);
+void World::perform(const action::Removed& action) {
+  add_trace("removed " + action.name);
+  expect(!row(action.name), "Removed " + action.name + ", whose row exists");
+  expect(!processes.contains(action.name), "Removed " + action.name + ", which runs");
+  expect(folders[action.name].held == 0, "Removed " + action.name + ", which holds messages");
+  folders.erase(action.name);
 }
 
-void World::perform(const action::SetTimer& a) {
-  at(a.at, [this, incarnation = incarnation_, id = ++timer_] {
+void World::perform(const action::SetTimer& action) {
+  at(action.at, [this, incarnation = incarnation_, id = ++timer_] {
     if (incarnation == incarnation_ && decider_ && id == timer_) handle(event::TimerExpired{});
   });
 }
 
-void World::perform(const action::Reply& a) {
-  expect(!verdicts.contains(a.request), "request " + std::to_string(a.request) + " answered twice");
-  if (auto* yes = std::get_if<verdict::Accepted>(&a.verdict)) {
+void World::perform(const action::Reply& action) {
+  expect(!verdicts.contains(action.request), "request " + std::to_string(action.request) + " answered twice");
+  if (auto* yes = std::get_if<verdict::Accepted>(&action.verdict)) {
     auto recorded = database.operations.find(yes->operation.id);
     expect(recorded != database.operations.end(), "Accepted before its record is durable");
-    if (commands.contains(a.request)) accepted[yes->operation.id] = commands[a.request];
+    if (commands.contains(action.request)) accepted[yes->operation.id] = commands[action.request];
   }
-  verdicts[a.request] = a.verdict;
-  replied_at[a.request] = now;
-  replies.emplace_back(a.request, a.verdict);
+  verdicts[action.request] = action.verdict;
+  replied_at[action.request] = now;
+  replies.emplace_back(action.request, action.verdict);
 }
 
 Phase World::phase(const std::string& name) {
@@ -515,17 +527,18 @@
 
 bool World::converged() const {
   if (!decider_ || decider_->running_operation() != 0) return false;
-  for (const auto& [name, r] : database.instances) {
+  for (const auto& [name, recorded_row] : database.instances) {
     auto process = processes.find(name);
     const bool process_exists = process != processes.end();
-    if (r.live != process_exists || r.removing) return false;
-    if (!r.retire.empty() && r.retire == r.run) return false;
-    if (r.desired == Desired::running && (!process_exists || process->second.draining ||
-                                          process->second.stalled || now < process->second.ready_at)) {
+    if (recorded_row.live != process_exists || recorded_row.removing) return false;
+    if (!recorded_row.retire.empty() && recorded_row.retire == recorded_row.run) return false;
+    if (recorded_row.desired == Desired::running &&
+        (!process_exists || process->second.draining || process->second.stalled ||
+         now < process->second.ready_at)) {
       return false;
     }
-    if (r.desired != Desired::running && process_exists) return false;
-    if (r.desired == Desired::drained && !r.ended_drained) return false;
+    if (recorded_row.desired != Desired::running && process_exists) return false;
+    if (recorded_row.desired == Desired::drained && !recorded_row.ended_drained) return false;
   }
   return true;
 }
--- a/tests/fleet/world.hpp
+++ b/tests/fleet/world.hpp
@@ -64,8 +64,8 @@
   double crash = 0;                      // probability per second and process
   double stall = 0;                      // likewise
   Microseconds stall_for = 15 * second;  // 0: until killed
-  double record_fails = 0;
-  double spawn_fails = 0;
+  double record_fails = 0;               // probability per record
+  double spawn_fails = 0;                // probability per spawn
   Microseconds record_takes = 5 * ms;
   Microseconds jitter = 0;  // most random time added to each delay
 };
@@ -136,20 +136,20 @@
   void handle(const Event& event);
   void deliver_later(Microseconds delay, Event event);  // dropped if the agent is killed before
   void carry_out(const Action& action);
-  void perform(const action::Record& a);
-  void perform(const action::WriteConfig& a);
-  void perform(const action::Spawn& a);
-  void perform(const action::Signal& a);
-  void perform(const action::AskDrain& a);
-  void perform(const action::AskUndrain& a);
-  void perform(const action::AskFence& a);
-  void perform(const action::Removed& a);
-  void perform(const action::SetTimer& a);
-  void perform(const action::Reply& a);
+  void perform(const action::Record& action);
+  void perform(const action::WriteConfig& action);
+  void perform(const action::Spawn& action);
+  void perform(const action::Signal& action);
+  void perform(const action::AskDrain& action);
+  void perform(const action::AskUndrain& action);
+  void perform(const action::AskFence& action);
+  void perform(const action::Removed& action);
+  void perform(const action::SetTimer& action);
+  void perform(const action::Reply& action);
   void perform(const action::OperationChanged&) {}
   void perform(const action::Log&) {}
   template <class Ask>
-  void call(const Ask& a, AdminCall call);
+  void call(const Ask& action, AdminCall call);
   void start_draining(const std::string& name);
   void check_rows();
   void check_done(const Step& step);
