--- a/relay/copies/claim.cpp
+++ b/relay/copies/claim.cpp
@@ -71,10 +71,10 @@
 
 void Claim::handle_promise(const Member& from, const protocol::Promised& promise) {
   promises_[from] = promise;
-  // A later set of holders may be known there: then its quorum counts, and more are asked.
+  // The replica may know a later config. Its quorum then counts, and its replicas are asked too.
   if (promise.config.version > config_.version && !HERONVANE_COPIES_DEFECT("later config ignored"))
     config_ = promise.config;
-  // One that holds the log no more may have kept what was given up since, a move among it.
+  // A member that is no longer a replica may have kept what was abandoned since, such as a move.
   const auto current_replicas = members();
   std::erase_if(promises_, [&](const auto& entry) {
     return std::find(current_replicas.begin(), current_replicas.end(), entry.first) == current_replicas.end();
@@ -85,7 +85,7 @@
       !HERONVANE_COPIES_DEFECT("one promise is enough"))
     return;
 
-  // The log as a claim must take it: of the latest epoch, the longest.
+  // The claim must use the longest log of the latest epoch.
   const protocol::Promised *longest = nullptr, *moved = nullptr;
   for (const auto& [member, other] : promises_) {
     const auto key = [](const protocol::Promised& candidate) {
@@ -98,21 +98,21 @@
         (moved == nullptr || moved->moved->epoch < other.moved->epoch))
       moved = &other;
   }
-  // Where it was moved, or may have been: that is carried out first. Not where an entry was written under a
-  // later epoch: that one's claim found that the move had not been decided.
+  // A move that was or may have been decided is completed first, unless an entry was written in a later
+  // epoch: that epoch's claim found that the move had not been decided.
   if (moved != nullptr &&
       (longest->last_epoch < moved->moved->epoch || HERONVANE_COPIES_DEFECT("outdated move carried out"))) {
     into_ = moved->moved->into;
     state_ = State::moving;
     return;
   }
-  // The owner's own disk may have more: a tail that no holder acknowledged, which it may go on with.
+  // The leader's own disk may have more: entries that no replica acknowledged, which it may keep.
   if (purpose_ == Purpose::resume &&
       std::make_pair(last_epoch_, last_) >= std::make_pair(longest->last_epoch, longest->last)) {
     state_ = State::won;
     return;
   }
-  // Read as a whole: a disk that is older may differ before its end.
+  // Reads the complete state, since an older disk may differ before its end.
   state_ = State::reading;
 }
 
--- a/relay/copies/claim.hpp
+++ b/relay/copies/claim.hpp
@@ -1,5 +1,5 @@
-// Taking a log over, or going on with one's own after a restart or a fence: one claim, from its first word to
-// what was decided. No I/O, no clock.
+// A claim on a log: to take another relay's log over, or to resume the own log after a restart or after
+// fencing. Covers everything from the first request to the decision. No I/O, no clock.
 #pragma once
 
 #include <map>
@@ -19,26 +19,26 @@
 class Claim {
  public:
   enum class Purpose {
-    resume,    // the owner: under the new epoch, with the same log
-    take_over  // a holder: its messages become those of `self`'s own log
+    resume,    // the leader continues the same log in the new epoch
+    take_over  // a replica moves the messages into `self`'s own log
   };
-  // won, to go on: last(), last_epoch() and config() tell where the log goes on. Another claim may have won
-  // since: nothing may be acted on before the first entry under the new epoch stands (Owner::durable). won,
-  // to take over: the messages are this one's to act on, for good; where imports() is false an earlier claim
-  // of this one had moved the log, and they are those that it imported then.
+  // After a won resume, last(), last_epoch() and config() are the end of the log and its replicas. A later
+  // claim may have won since, so nothing may be acted on before the first entry of the new epoch is committed
+  // (Leader::durable). After a won takeover the messages belong to this relay for good. If state_was_read()
+  // is false, an earlier claim of this relay had moved the log, and the messages are those imported then.
   enum class State {
-    awaiting_promises,  // for promises
-    reading,            // the state of the log, from the holder that has most
-    importing,  // the caller puts that state in the place of its own (to go on), or writes it into its own
-                // log (to take over), and calls imported() when that is durable
-    moving,     // where the log goes is being accepted
-    won,        // see above
-    moved,      // the log is another one's: into()
-    preempted,  // a higher epoch is about: try again later, under one above beaten_by()
+    awaiting_promises,  // waits for a quorum of promises
+    reading,            // reads the state from the replica with the longest log
+    importing,          // the caller replaces its own state with it (resume) or writes it into its own log
+                        // (take_over), and calls state_imported() once that is durable
+    moving,             // waits until a quorum accepts the move
+    won,                // see above
+    moved,              // the log belongs to into()
+    preempted,          // a higher epoch exists: retry later above preempted_by()
   };
 
-  // `config`: as far as `self` knows it. `last`: what the owner's own disk has of the log; a holder's copy is
-  // asked for like any other, by a word to itself.
+  // `config`: the latest that `self` knows. `last`: the end of the log on the leader's own disk. A claimant's
+  // own replica is asked like any other, by a message to itself.
   Claim(Member self, Purpose purpose, Epoch epoch, Config config, LogId own_log, Position last,
         Epoch last_epoch, ClaimOptions options);
 
@@ -47,16 +47,16 @@
   const Epoch& preempted_by() const { return preempted_by_; }
   Position last() const { return last_; }
   const Epoch& last_epoch() const { return last_epoch_; }
-  bool state_was_read() const { return state_was_read_; }  // the state was read
+  bool state_was_read() const { return state_was_read_; }  // a replica's state was imported
   const Member& source() const { return source_; }
   const Config& config() const { return config_; }
   const LogId& into() const { return into_; }
 
-  // What is to be said now. Each may be said again as often as answers stay away: call it again.
+  // The requests that are still unanswered. May be called and sent again until the answers arrive.
   std::vector<Envelope> requests() const;
   void handle(const Member& from, const ProtocolMessage& message);
-  std::string describe() const;  // all of its state, for logs and the checker
-  void state_imported();         // what was read stands where it belongs
+  std::string describe() const;  // the complete state, for logs and the checker
+  void state_imported();         // the state that was read is durable at its destination
 
  private:
   void handle_promise(const Member& from, const protocol::Promised& promise);
--- a/relay/copies/defects.hpp
+++ b/relay/copies/defects.hpp
@@ -1,4 +1,4 @@
-// Defects that the checker of tests/copies must find. In all other programs they are nothing.
+// Injected defects that the checker in tests/copies must find. Compiled out of all other programs.
 #pragma once
 
 #ifdef HERONVANE_COPIES_DEFECTS
--- a/relay/copies/group.cpp
+++ b/relay/copies/group.cpp
@@ -8,7 +8,7 @@
 
 Quorum quorum(std::size_t replicas, Acks acks) {
   if (replicas == 0) return {0, 0};
-  // The owner is one of the group's majority.
+  // The leader counts towards the majority.
   const std::size_t majority = (replicas + 1) / 2 + 1;
   Quorum quorum_sizes;
   quorum_sizes.acks = acks == Acks::all ? replicas : std::max<std::size_t>(1, majority - 1);
--- a/relay/copies/holder.cpp
+++ b/relay/copies/holder.cpp
@@ -21,16 +21,16 @@
   return result;
 }
 
-// Whether the owner under that epoch may write here; if not, the answer says why.
+// Whether a leader of this epoch may write; if not, the answer is a refusal.
 bool Replica::accept_writer(const Epoch& epoch, const Config& config, Result& result) {
   if (epoch < state_.promised && !HERONVANE_COPIES_DEFECT("no fence")) {
     result.answer = protocol::Refused{state_.promised};
     return false;
   }
-  // Who writes under a higher epoch than a move's has won a claim that would have carried that move out, had
-  // it ever been decided.
+  // A leader with a higher epoch than the move's has won a claim, which would have completed the move if it
+  // had been decided. So it had not been.
   if (state_.moved && state_.moved->epoch < epoch) state_.moved.reset();
-  // One that has moved takes nothing more, whoever writes.
+  // A log that has moved accepts no more writes from anyone.
   if (state_.moved) {
     result.answer = protocol::Refused{std::max(state_.promised, epoch)};
     return false;
@@ -40,15 +40,15 @@
   return true;
 }
 
-// A position and the epoch of its entry name all entries up to there: one epoch has one writer, whose entries
-// follow on what its claim found.
+// A position and the epoch of its entry identify all entries up to it: each epoch has one writer, whose
+// entries follow what its claim found.
 void Replica::append(const protocol::Append& request, Result& result) {
   if (!accept_writer(request.epoch, request.config, result)) return;
   const Position until = request.after + request.entries.size();
   const bool follows = request.after == state_.last && request.after_epoch == state_.last_epoch;
   const bool overlaps = request.after < state_.last && state_.last <= until &&
                         request.entries[state_.last - request.after - 1].epoch == state_.last_epoch;
-  // Said again, and late: the holder has it, and more of this owner's.
+  // A delayed duplicate: the replica already has these entries and later ones of this leader.
   const bool is_duplicate = until < state_.last && state_.last_epoch == request.epoch;
   if (!follows && !overlaps && !is_duplicate) {
     result.answer = protocol::Behind{request.epoch, state_.last, state_.last_epoch};
@@ -62,7 +62,7 @@
 
 void Replica::snapshot(const protocol::Snapshot& request, Result& result) {
   if (!accept_writer(request.epoch, request.config, result)) return;
-  // Said again, and late: what was added since under this epoch stands.
+  // A delayed duplicate: the entries added since in this epoch are kept.
   const bool is_duplicate = request.last <= state_.last && state_.last_epoch == request.epoch;
   if (!is_duplicate || HERONVANE_COPIES_DEFECT("snapshot goes back"))
     state_.last = request.last, state_.last_epoch = request.last_epoch, result.snapshot_installed = true;
--- a/relay/copies/holder.hpp
+++ b/relay/copies/holder.hpp
@@ -1,5 +1,5 @@
-// A holder's side of one log: where it stands, what it promised, what it answers. Events in, answers out; no
-// I/O, no clock. What the log says, the state that its entries make, is the caller's (shelf.hpp).
+// A replica's side of one log: its position, its promises and its answers. No I/O, no clock. The caller keeps
+// the state that the entries produce (shelf.hpp).
 #pragma once
 
 #include <optional>
@@ -9,13 +9,13 @@
 
 namespace heronvane::copies {
 
-// All of it must be on the holder's disk, together with the state that it is of, before an answer goes out,
-// and is there again after a restart. A holder whose disk was lost has another incarnation, and with it no
-// log at all.
+// Must be on the replica's disk, together with the state it describes, before an answer is sent, and is
+// restored after a restart. A replica that lost its disk returns under another incarnation, with no log at
+// all.
 struct ReplicaState {
-  Epoch promised;     // lower ones are refused, for good
-  Position last = 0;  // the state is that of all entries up to there,
-  Epoch last_epoch;   // of which the last was written under this
+  Epoch promised;     // lower epochs are refused for good
+  Position last = 0;  // the state includes all entries up to here
+  Epoch last_epoch;   // epoch of the entry at `last`
   Config config;
   std::optional<Moved> moved;
   bool operator==(const ReplicaState&) const = default;
@@ -25,15 +25,15 @@
  public:
   struct Result {
     std::optional<ProtocolMessage>
-        answer;                  // to be sent once all of this stands on the disk; none: no word to a holder
-    std::vector<Entry> entries;  // to be added to the state, in this order
-    bool snapshot_installed = false;  // the state is the one that came with the snapshot
+        answer;                  // sent once the result is on disk; none: the message is not for a replica
+    std::vector<Entry> entries;  // to apply to the state, in this order
+    bool snapshot_installed = false;  // the transferred snapshot becomes the state
   };
 
   explicit Replica(ReplicaState state = {}) : state_(std::move(state)) {}
 
   const ReplicaState& state() const { return state_; }
-  // What a member says of this log.
+  // Handles a message about this log.
   Result handle(const ProtocolMessage& message);
 
  private:
--- a/relay/copies/log.hpp
+++ b/relay/copies/log.hpp
@@ -1,12 +1,13 @@
-// The words of copies: a relay's log, the members that hold it, epochs, and what members say to each other
-// about one log. No I/O and no clock here or in the files beside it (docs/design/copies.md).
+// Types of log replication: a relay's log, the members that keep a replica of it, epochs, and the messages
+// that members exchange about one log. Neither this file nor claim, group, holder and owner does I/O or reads
+// a clock (docs/design/copies.md).
 //
-// A log has one writer, its owner. Its entries stand on the owner's disk and at holders. Whoever wants to
-// take the log over, or to go on with it after a restart, claims a higher epoch at a quorum of the holders,
-// which then refuse all that comes under a lower one. Where a taken-over log goes is decided once, at a
-// quorum of holders (Lamport, "Paxos Made Simple", 2001, with the claim as its first phase and the move as
-// its second); fencing by the holders follows BookKeeper's ledgers, the check of the entry before follows
-// Raft's (Ongaro and Ousterhout, 2014).
+// A log has one writer, its leader. Entries are written to the leader's disk and to the replicas. A member
+// that takes the log over, or a leader that resumes it after a restart, claims a higher epoch at a quorum of
+// the replicas. These then reject all messages of lower epochs. Where a taken-over log moves is decided once,
+// at a quorum of replicas (Lamport, "Paxos Made Simple", 2001, with the claim as its first phase and the move
+// as its second); fencing by the replicas follows BookKeeper's ledgers, the check of the preceding entry
+// follows Raft's (Ongaro and Ousterhout, 2014).
 #pragma once
 
 #include <compare>
@@ -19,15 +20,15 @@
 
 namespace heronvane::copies {
 
-// A life of a disk: a relay whose disk was lost or put back comes again under a higher incarnation, as
-// another member.
+// A relay with one particular disk. A relay whose disk was lost or restored from a backup returns under a
+// higher incarnation, which makes it another member.
 struct Member {
   std::string name;
   std::uint64_t incarnation = 0;
   auto operator<=>(const Member&) const = default;
 };
 
-// A log is named by who began it.
+// Name of the relay that began the log, and a number of its own for each log that the relay begins.
 using LogId = Member;
 
 struct Epoch {
@@ -39,71 +40,71 @@
 std::ostream& operator<<(std::ostream& out, const Member& m);
 std::ostream& operator<<(std::ostream& out, const Epoch& e);
 
-using Position = std::uint64_t;  // of an entry, from 1 on; 0: before the first
+using Position = std::uint64_t;  // of an entry, counted from 1; 0: before the first entry
 
 struct Entry {
-  Epoch epoch;        // under which it was written first
-  std::string bytes;  // a batch of the store's records, in its frames
+  Epoch epoch;        // in which the entry was first written
+  std::string bytes;  // a batch of store records in the store's framing
   bool operator==(const Entry&) const = default;
 };
 
-// Of a config: who wrote it, and its how manieth step.
+// Version of a Config: the epoch of the leader that wrote it, and a counter of its changes.
 struct Version {
   Epoch epoch;
   std::uint64_t number = 0;
   auto operator<=>(const Version&) const = default;
 };
 
-// Who holds a log. While it changes there are two sets, and what wants a quorum wants one of each.
+// The replicas of a log. While the set changes, a quorum is needed in both the old and the new set.
 struct Config {
   Version version;
   std::vector<Member> replicas;
-  std::vector<Member> next;  // empty: it does not change
+  std::vector<Member> next;  // the new set; empty: no change is in progress
   bool operator==(const Config&) const = default;
 };
 
-// What a log became: its messages are `into`'s.
+// Records that the messages of a log moved to the log `into`.
 struct Moved {
-  Epoch epoch;  // under which this was accepted
+  Epoch epoch;  // in which the move was accepted
   LogId into;
   bool operator==(const Moved&) const = default;
 };
 
-// ---- What members say. Each is about one log, and goes from one member to another. ----
+// ---- Messages. Each is about one log and goes from one member to another. ----
 namespace protocol {
-// The owner to a holder. `after`: the position before the first entry, written under `after_epoch`. Without
-// entries it asks how far the holder is, and tells it that the owner lives.
+// Leader to replica. `after` is the position before the first entry, and `after_epoch` that entry's epoch. An
+// Append without entries asks for the replica's position and is the leader's heartbeat.
 struct Append {
   Epoch epoch;
   Position after = 0;
   Epoch after_epoch;
   std::vector<Entry> entries;
-  Config config;  // none (version 0) where the holder has told that it keeps it
+  Config config;  // version 0 (none) once the replica has confirmed the config
 };
 struct Appended {
   Epoch epoch;
-  Position last = 0;  // the holder has all up to there, as the owner has it
-  Version config;     // that it has kept
+  Position last = 0;  // the replica matches the leader's log up to here
+  Version config;     // stored by the replica
 };
-// The holder has not what comes before `after`, as it is told there: this is what it has.
+// The replica's log does not match the leader's at `after`. Reports the replica's last entry.
 struct Behind {
   Epoch epoch;
   Position last = 0;
   Epoch last_epoch;
 };
-// The owner to a holder that lacks more than the owner still has by entries: the state itself, as all entries
-// up to `last` made it. It travels beside this word, and counts once it is whole (streams.hpp).
+// Leader to a replica that needs entries which the leader no longer keeps: the state after all entries up to
+// `last`. The state is sent in chunks (Packet::Kind::snapshot_chunk) and installed when it is complete.
 struct Snapshot {
   Epoch epoch;
   Position last = 0;
   Epoch last_epoch;
   Config config;
 };
-// The holder has promised a higher epoch.
+// The replica has promised a higher epoch.
 struct Refused {
   Epoch promised;
 };
-// Whoever claims to a holder.
+// Claimant to replica.
 struct Claim {
   Epoch epoch;
 };
@@ -114,7 +115,7 @@
   Config config;
   std::optional<Moved> moved;
 };
-// For the state that the promise told of, which travels beside the answer.
+// Claimant to replica: asks for the state that the promise reported. The state is sent beside the answer.
 struct Read {
   Epoch epoch;
 };
@@ -123,7 +124,7 @@
   Position last = 0;
   Epoch last_epoch;
 };
-// The claimant to a holder: the log goes `into` this one.
+// Claimant to replica: the log moves `into` this one.
 struct Move {
   Epoch epoch;
   LogId into;
--- a/relay/copies/owner.cpp
+++ b/relay/copies/owner.cpp
@@ -89,7 +89,7 @@
   if (it == progress_.end()) return;
   auto& progress = it->second;
   if (const auto* const appended = std::get_if<protocol::Appended>(&message)) {
-    // Of another epoch of this owner's, or beyond what it has: not about this log as it is.
+    // Ignores answers from another epoch of this leader, and positions beyond its log.
     if (appended->epoch != epoch_ || appended->last > last()) return;
     progress.in_flight = progress.diverged = false;
     progress.acknowledged = std::max(progress.acknowledged, appended->last);
@@ -99,7 +99,8 @@
   } else if (const auto* const behind = std::get_if<protocol::Behind>(&message)) {
     if (behind->epoch != epoch_) return;
     progress.in_flight = false;
-    // Less than it told before: a word that comes late, which costs a repeat; or its disk went back.
+    // A lower position than before is a delayed message, which costs a resend, or the replica's disk was
+    // rolled back.
     progress.acknowledged = std::min(progress.acknowledged, behind->last);
     progress.append_after = std::min(behind->last, last());
     progress.diverged =
@@ -118,7 +119,7 @@
   config_.version.number++;
   config_.next = config_.replicas;
   config_.next[static_cast<std::size_t>(replaced_at - config_.replicas.begin())] = replacement;
-  progress_[replacement];  // from the beginning
+  progress_[replacement];  // starts at position 0
   advance();
   return true;
 }
@@ -130,7 +131,7 @@
 
 void Leader::advance() {
   if (fenced_) return;
-  // What stands: the highest position that enough holders have, of this epoch.
+  // The highest position of this epoch that enough replicas have is committed.
   const Position floor = std::max(durable_, epoch_start_);
   if (HERONVANE_COPIES_DEFECT("earlier epochs count")) durable_ = floor;
   for (Position position = last(); position > floor; position--) {
@@ -143,11 +144,11 @@
     break;
   }
   if (!changing()) return;
-  // What earlier epochs made stand is known only once something of this one does.
+  // What earlier epochs committed is known only once an entry of this epoch is committed.
   const bool durable_known = last() == 0 || durable_ > epoch_start_;
   if (!durable_known) return;
-  // The change is over when any claimant, of either set, would learn of it, and the new set alone would
-  // answer for all that stands. One that is lost for good need not hear of it: a holder of two can be
+  // The change is complete when any claim on either set learns of it and the new set alone has a quorum for
+  // every committed entry. A replica that is lost for good need not confirm it, so one of two replicas can be
   // replaced.
   std::set<Member> informed, acknowledged_by;
   for (const auto& [member, progress] : progress_) {
--- a/relay/copies/owner.hpp
+++ b/relay/copies/owner.hpp
@@ -1,5 +1,5 @@
-// The owner's side of its log while it lives: what is sent to whom, what stands, when it is fenced. No I/O,
-// no clock.
+// The leader's side of log replication: what is sent to which replica, what is committed, and fencing. No
+// I/O, no clock.
 #pragma once
 
 #include <deque>
@@ -20,56 +20,56 @@
 
 class Leader {
  public:
-  // `last`, `last_epoch`: where the log stands on the owner's disk, or where a claim found it (claim.hpp).
-  // `epoch` is the owner's: of a log that it begins, or that its claim won.
+  // `last`, `last_epoch`: the end of the log on the leader's disk, or as its claim found it (claim.hpp).
+  // `epoch` is the epoch in which the leader began the log, or the one that its claim won.
   Leader(Member self, Epoch epoch, Config config, Position last, Epoch last_epoch, LeaderOptions options);
 
-  // The next entry stands on the owner's own disk.
+  // Adds the next entry. It must already be on the leader's own disk.
   void append(std::string bytes);
-  // All up to there stands at enough holders too: it may be acted on. Never goes back; stays where it is once
-  // fenced. What was written under earlier epochs stands with the first entry under this one (Raft, 5.4.2):
-  // after a claim the owner writes one at once.
+  // The last committed position: all entries up to it are at enough replicas and may be acted on. Never
+  // decreases, and stays where it is once the leader is fenced. Entries of earlier epochs are committed with
+  // the first entry of this epoch (Raft, 5.4.2), so a leader writes one right after its claim.
   Position durable() const { return durable_; }
   Position last() const { return base_ + entries_.size(); }
-  Epoch epoch_at(Position position) const;  // from base() on
+  Epoch epoch_at(Position position) const;  // position >= base()
   const Epoch& epoch() const { return epoch_; }
   const Config& config() const { return config_; }
 
-  // Entries after this are kept, for holders that lack them.
+  // Entries after this position are kept for replicas that lack them.
   Position base() const { return base_; }
-  std::uint64_t bytes() const { return bytes_; }  // of the entries kept
-  // Lets go what all holders have, and more, the oldest first, until `most` bytes are left: a holder that
-  // lacks any of it then needs a snapshot.
+  std::uint64_t bytes() const { return bytes_; }  // size of the kept entries
+  // Drops entries that all replicas have, then the oldest others until `max_bytes` are left. A replica that
+  // lacks a dropped entry needs a snapshot.
   void trim(std::uint64_t max_bytes);
 
-  // A holder promised a higher epoch, this one: nothing stands any more until the owner has claimed a higher
-  // one itself.
+  // The higher epoch that a replica promised, if any. Nothing more is committed until the leader has claimed
+  // an epoch above it.
   const std::optional<Epoch>& fenced() const { return fenced_; }
 
-  // What is to be sent to a holder now: what it lacks, or, with `ask`, a word that the owner lives. At most
-  // one Append is out to each; `again` says that the last one was lost, or its answer. Nothing while the
-  // holder needs a snapshot.
+  // The next Append for a replica: the entries that it lacks, or with `probe` an empty one as a heartbeat. At
+  // most one is in flight per replica; mark_lost() reports that the last one or its answer was lost. Returns
+  // nothing for a replica that needs a snapshot.
   std::optional<Envelope> next_append(const Member& replica, bool probe = false);
-  // The entries that it lacks are not kept, or it has others: it needs the state itself. `snapshot` is the
-  // word that goes with the state as it stands now; it counts as out.
+  // True if the entries that the replica lacks are no longer kept, or its log diverged. snapshot() returns
+  // the message that completes the transfer of the current state, and counts it as in flight.
   bool needs_snapshot(const Member& replica) const;
   std::optional<Envelope> snapshot(const Member& replica);
   void mark_lost(const Member& replica);
   void handle(const Member& from, const ProtocolMessage& message);
 
-  // Puts `fresh` in the place of `old`, one at a time: both sets bind until a quorum of each has the change
-  // and `fresh` has all that stands. False: a change is under way, or `old` does not hold it, or `fresh` does
-  // already.
+  // Replaces one replica at a time. Both sets are binding until a quorum of each has the change and
+  // `replacement` has every committed entry. False: a change is in progress, the leader is fenced, `replaced`
+  // is not a replica, or `replacement` already is one.
   bool replace(const Member& replaced, const Member& replacement);
   bool changing() const { return !config_.next.empty(); }
-  // Holders that are sent to: of both sets.
+  // The replicas of both the old and the new set.
   std::vector<Member> replicas() const;
-  Position lag(const Member& replica) const;  // entries that it lacks
-  std::string describe() const;               // all of its state, for logs and the checker
+  Position lag(const Member& replica) const;  // number of entries that the replica lacks
+  std::string describe() const;               // the complete state, for logs and the checker
 
  private:
   struct Progress {
-    Position acknowledged = 0;  // as it told
+    Position acknowledged = 0;  // reported by the replica
     Position append_after = 0;  // the next Append begins after it
     Version config;
     bool in_flight = false, diverged = false;
@@ -79,9 +79,9 @@
   Member self_;
   Epoch epoch_;
   Config config_;
-  Position epoch_start_;  // where this epoch began
-  Position base_;         // before the first entry that is kept,
-  Epoch base_epoch_;      // of the entry there
+  Position epoch_start_;  // last position before this epoch
+  Position base_;         // position before the first kept entry
+  Epoch base_epoch_;      // epoch of the entry at base_
   std::deque<Entry> entries_;
   std::uint64_t bytes_ = 0;
   LeaderOptions options_;
--- a/relay/copies/rows.hpp
+++ b/relay/copies/rows.hpp
@@ -1,5 +1,5 @@
-// The state of a store, written as records that make it anew, in parts of bounded size; and such records
-// read. No I/O.
+// Writes the state of a store as records that recreate it, in chunks of bounded size, and reads such records.
+// No I/O.
 #pragma once
 
 #include <functional>
@@ -11,15 +11,15 @@
 
 namespace heronvane::copies {
 
-// A message that changes meanwhile is written as it then stands: whoever is told all that changed before each
-// part, in order, ends with the state as it is at the last one.
+// The store may change between chunks. A chunk contains each message as it is at that moment, so a receiver
+// that gets all changes made before each chunk, in order, ends with the state as of the last chunk.
 class StateWriter {
  public:
   explicit StateWriter(const store::Store& store);
-  // The next rows, some `most` bytes of them, as frames with the store's salt.
+  // The next records, about `max_bytes` of them, as frames with the store's salt.
   std::string next(std::size_t max_bytes);
   bool done() const { return done_; }
-  // Messages and remembered ids in all parts together, where nothing changes meanwhile.
+  // Number of messages and remembered ids in all chunks, provided that the store does not change meanwhile.
   std::size_t numbered_records() const { return numbered_; }
 
  private:
@@ -28,11 +28,12 @@
   std::vector<store::record::Over> over_;
   const std::size_t numbered_;
   std::size_t fact_index_ = 0, over_index_ = 0;
-  MessageId next_message_ = 0;  // the next is not below
+  MessageId next_message_ = 0;  // lowest number that is still to be written
   bool done_ = false;
 };
 
-// Each record of these frames, in order. False: they are not whole frames, and some were not read.
+// Calls `visit` for each record in order. False: the frames are damaged or incomplete, and some were not
+// read.
 bool read_records(store::Salt salt, std::string_view frames,
                   const std::function<void(store::Record&&)>& visit);
 
--- a/relay/copies/settings.hpp
+++ b/relay/copies/settings.hpp
@@ -1,4 +1,4 @@
-// What an operator says of copies: [copies] in the settings file (docs/operate/copies.md).
+// Operator settings of log replication: [copies] in the settings file (docs/operate/copies.md).
 #pragma once
 
 #include <cstdint>
@@ -11,20 +11,20 @@
 
 struct Settings {
   struct Member {
-    std::string name;           // of the relay, as its configuration has it
-    std::string address;        // ip:port, under which its copies listener is reached
-    std::string machine, zone;  // empty: not told
+    std::string name;           // relay name, as in its configuration
+    std::string address;        // ip:port of its replication listener
+    std::string machine, zone;  // empty: unknown
   };
   bool on = false;
-  std::string cluster;            // no connection to or from another one
-  std::string listen;             // ip:port; empty: the address of the member that is this relay
-  int holders = 2;                // 0 to 4
-  bool require_all_acks = false;  // acks: all holders; else a majority of the group, the owner among it
+  std::string cluster;            // members of other clusters are rejected
+  std::string listen;             // ip:port; empty: this relay's own member address
+  int holders = 2;                // replicas of the log besides the leader, 0 to 4
+  bool require_all_acks = false;  // all replicas; else a majority that includes the leader
   Microseconds takeover_after =
-      10'000'000;  // an owner not heard for so long is taken over; 0: only when an operator says so
-  Microseconds replace_after = 10'000'000;  // a holder that is away for so long is replaced
-  Microseconds short_after = 250'000;       // what waits for copies for so long is turned away
-  std::uint64_t disk_bytes = 0;  // that copies of others may take; 0: (2 * holders + 4) times disk_mb
+      10'000'000;  // silence before a leader's log is taken over; 0: only on an operator's request
+  Microseconds replace_after = 10'000'000;  // time a replica may be unreachable before it is replaced
+  Microseconds short_after = 250'000;       // time an entry may wait for acknowledgements
+  std::uint64_t disk_bytes = 0;  // limit for other relays' logs; 0: (2 * holders + 4) times disk_mb
   std::vector<Member> members;
 };
 
--- a/relay/copies/shelf.hpp
+++ b/relay/copies/shelf.hpp
@@ -1,8 +1,8 @@
-// The logs that this relay holds for others: each a folder of its own with a store in it, whose records are
-// the owner's, with what was promised beside them in the same batch. Read anew at the start; a copy that is
-// whole takes the place of an earlier one at once.
+// The replicas that this relay keeps of other relays' logs. Each has a folder with a store of the leader's
+// records, and the replica's promises are written in the same batch. Replicas are loaded at start. A complete
+// snapshot replaces the earlier copy in one step.
 //
-// Called from one thread. Files under `folder` alone are touched, NAME.NUMBER.COUNT for a log.
+// Called from one thread. Touches files under `folder` only: NAME.NUMBER.COUNT for a log.
 #pragma once
 
 #include <deque>
@@ -23,11 +23,11 @@
 namespace heronvane::copies {
 
 struct ReplicaLogsOptions {
-  std::string folder;             // made where it is missing
-  std::uint64_t limit_bytes = 0;  // of all logs together, by what their owners may fill
+  std::string folder;             // created if missing
+  std::uint64_t limit_bytes = 0;  // for all logs together, counting each at its leader's limit
   store::Durability durability = store::Durability::process;
-  std::function<Microseconds()> now;     // this relay's lasting time
-  std::function<Microseconds()> steady;  // that a step of no clock moves, from any zero
+  std::function<Microseconds()> now;     // this relay's persistent clock
+  std::function<Microseconds()> steady;  // monotonic clock
   store::SyncThread::Post post;          // Durability::machine only
   std::function<void(const std::string&)> log = [](const std::string&) {};
 };
@@ -36,29 +36,30 @@
  public:
   using Reply = std::function<void(Packet)>;
 
-  // Throws std::exception where the folder can't be had.
+  // Throws std::exception if the folder can't be used.
   explicit ReplicaLogs(ReplicaLogsOptions options);
   ~ReplicaLogs();
 
-  // Something of it can't be read any more: what was promised may be forgotten. All of it is gone then, and
-  // this relay must come back as another member.
+  // A replica was unreadable or damaged, so promises may be lost. All replicas have been deleted, and this
+  // relay must return as another member.
   bool lost_promises() const { return lost_promises_; }
 
-  // A word, a part, a release: answered exactly once (a release never), when what it says stands on the disk.
+  // Handles a message, a snapshot chunk or a release. Replies exactly once, when the result is on disk; never
+  // to a release.
   void handle(const Packet& packet, Reply reply);
-  // Others hold that log in this one's place: what it says goes, what was promised stays.
+  // This relay is no longer a replica of that log: deletes its entries and keeps its promises.
   void discard_entries(const LogId& log);
-  // All of it goes, with what was promised: this relay is another member from now on.
+  // Deletes everything, promises included. This relay is another member from now on.
   void discard_all();
-  // The owner of that log was heard just now.
+  // Records contact with the leader of that log.
   void note_contact(const LogId& log);
-  // Bounded work that is left over: compaction. True: there is more.
+  // Does a bounded amount of compaction. True: more is left.
   bool compact();
 
   struct View {
     LogId log;
     ReplicaState state;
-    Microseconds last_contact = 0;  // steady time
+    Microseconds last_contact = 0;  // on the monotonic clock
     std::size_t messages = 0;
     std::uint64_t bytes = 0;
     std::string error;
@@ -67,7 +68,7 @@
   std::optional<View> find(const LogId& log) const;
 
  private:
-  struct Folder {  // one folder
+  struct Folder {
     std::string path;
     std::unique_ptr<store::Disk> disk;
     std::unique_ptr<store::SyncThread> sync;
@@ -76,10 +77,10 @@
   };
   struct ReplicaLog {
     LogId log;
-    std::uint64_t folder_count = 0;  // of its folders, ever
+    std::uint64_t folder_count = 0;  // number of folders ever created
     std::unique_ptr<Folder> current, staging;
     std::uint64_t next_chunk = 0;
-    bool replaced = false;  // others hold that log: only promises are here
+    bool replaced = false;  // no longer a replica: only promises are kept
     Replica replica;
     Microseconds last_contact = 0, clock_offset = 0;
     std::uint64_t leader_disk_bytes = 0;
--- a/relay/copies/takeover.hpp
+++ b/relay/copies/takeover.hpp
@@ -1,7 +1,7 @@
-// Taking over logs that this relay holds: when an owner counts as gone, one claim at a time, what it brings
-// into the relay's own log, and when that may be acted on. The claim itself is claim.hpp's.
+// Takes over logs of which this relay keeps a replica: detects lost leaders, runs one claim (claim.hpp) at a
+// time, imports the messages into the relay's own log, and decides when they may be acted on.
 //
-// One thread. Time is the caller's.
+// Called from one thread. The caller supplies the time.
 #pragma once
 
 #include <functional>
@@ -26,38 +26,38 @@
     std::function<LogId()> own_log;
     std::function<Acks()> acks;
     std::function<Microseconds()> steady;
-    std::function<std::uint64_t(std::uint64_t above)> next_epoch;  // kept before it is used
-    // To a member, this relay's own shelves among them. False: not now.
+    std::function<std::uint64_t(std::uint64_t above)> next_epoch;  // persisted before use
+    // Sends to a member; this relay's own replicas count as one. False: can't be sent now.
     std::function<bool(const Member& to, const Packet& packet)> send;
     std::function<void()> commit;
     std::function<void(MessageId from, MessageId to)> taken_over;
     std::function<void(const std::string&)> log;
-    Microseconds takeover_after = 0;  // an owner not heard for so long is gone; 0: only by hand
+    Microseconds takeover_after = 0;  // silence after which a leader is lost; 0: only on request
   };
   explicit Takeover(Host host) : host_(std::move(host)) {}
 
-  // What an earlier life had begun to take over: parked from here on.
+  // Loads the takeovers that an earlier process began. Their messages are parked.
   void load();
   bool parked(MessageId number) const;
   std::string begin_by_operator(const std::string& name);
-  void tick();  // some times a second, once the relay's own log stands
-  // An answer about a log that is not this relay's own.
+  void tick();  // several times a second, once the relay's own log is ready
+  // Handles an answer about another relay's log.
   void handle(const Member& from, const Packet& packet);
-  // What had been begun is given up: its log is taken over anew later. The own log is gone.
+  // Abandons the takeovers in progress, because the own log was lost. They start anew later.
   void abandon_all();
 
-  // Members that it wants to speak to.
+  // Members to which connections are needed.
   std::vector<Member> wanted_members() const;
-  std::size_t completed() const { return completed_; }  // since the start
-  std::string describe_progress() const;                // for people; empty: nothing
+  std::size_t completed() const { return completed_; }  // since the process started
+  std::string describe_progress() const;                // for the status; empty: idle
 
  private:
-  struct SilentLeader {  // an owner not heard: what other holders say
+  struct SilentLeader {  // a silent leader, and the silence that other replicas report
     std::map<Member, Microseconds> silence;
     Microseconds asked_at = -1;
   };
   struct ChainedImport {
-    Import import;  // numbers as that log had them, then as they are here
+    Import import;  // numbers in that log; first and end are the numbers here
     MessageId first = 0, end = 0;
   };
   void begin(const LogId& log, const Config& config, std::uint64_t above);
@@ -74,17 +74,17 @@
   const Import* import_of(const LogId& log) const;
 
   Host host_;
-  std::vector<Import> imports_;  // parked, those of `claim_` among them
+  std::vector<Import> imports_;  // parked, including those of `claim_`
   std::map<LogId, SilentLeader> silent_leaders_;
   std::optional<Claim> claim_;
-  LogId claimed_log_;  // that is claimed
+  LogId claimed_log_;  // the log of `claim_`
   bool by_operator_ = false;
   Microseconds last_sent_at_ = 0, read_requested_at_ = 0, retry_at_ = 0, claim_started_at_ = 0;
   std::uint64_t next_chunk_ = 0;
-  MessageId next_number_ = 0;              // number of the next message that is read
-  Microseconds clock_shift_ = 0;           // of its times
-  bool state_complete_ = false;            // all parts are here
-  store::Sequence imported_sequence_ = 0;  // with them
+  MessageId next_number_ = 0;              // number for the next imported message
+  Microseconds clock_shift_ = 0;           // added to imported times
+  bool state_complete_ = false;            // all chunks have arrived
+  store::Sequence imported_sequence_ = 0;  // sequence of the last imported record
   std::vector<ChainedImport> chained_imports_;
   std::size_t completed_ = 0;
 };
