--- a/relay/copies/copies.hpp
+++ b/relay/copies/copies.hpp
@@ -1,7 +1,7 @@
-// A relay's own log among its holders, and the logs that it holds for others: the decisions (owner.hpp,
-// claim.hpp, holder.hpp) carried out over connections, the relay's store and the shelves.
+// Replicates a relay's own log and keeps replicas of other relays' logs: applies the decisions of owner.hpp,
+// claim.hpp and holder.hpp to connections, the relay's store and the replica logs.
 //
-// One thread: all calls from the one that runs `io`. docs/design/copies.md.
+// All calls come from the thread that runs `io`. See docs/design/copies.md.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -30,11 +30,11 @@
 
 struct Options {
   Settings settings;
-  std::string name;                // this relay's
-  std::string folder;              // for the logs of others
-  std::uint64_t disk_bytes = 0;    // of the relay's own folder
-  std::uint64_t memory_bytes = 0;  // that the process may take
-  bool force_own = false;          // what the folder holds is this relay's: its holders are not asked
+  std::string name;                // this relay's name
+  std::string folder;              // for replicas of other relays' logs
+  std::uint64_t disk_bytes = 0;    // limit of the relay's own folder
+  std::uint64_t memory_bytes = 0;  // memory limit of the process
+  bool force_own = false;          // starts a new log from the folder without asking the replicas
   store::Durability durability = store::Durability::process;
   std::function<void(const std::string&)> log = [](const std::string&) {};
 };
@@ -42,22 +42,22 @@
 class LogReplicator : public LogReplication, public store::LogSink {
  public:
   struct Hooks {
-    // What was added to the store is to be written, and what waited for its records done.
+    // Commits the records added to the store and runs what waits for them.
     std::function<void()> commit;
-    std::function<void()> durable_advanced;  // store.durable() has moved on
-    // The log is this relay's, and stands: what it holds may be acted on. Once after a start, and once more
-    // after each disown().
+    std::function<void()> durable_advanced;  // store.durable() has advanced
+    // The log is known to be this relay's and may be acted on. Called once after a start and once after each
+    // disown().
     std::function<void()> ready;
-    // The log went to another relay: nothing that is held is this one's any more.
+    // Another relay took the log over: none of the held messages belong to this relay any more.
     std::function<void()> disown;
-    // The messages of these numbers are this relay's now.
+    // The messages numbered `from` to below `to` belong to this relay now.
     std::function<void(MessageId from, MessageId to)> taken_over;
-    // What waits for copies has waited too long: whoever waits is told.
+    // Entries have waited too long for acknowledgements: reject the requests that wait for them.
     std::function<void()> wait_is_over;
   };
 
-  // Listens at once; speaks to nobody before start(). `store` must outlive it. Throws std::exception where
-  // the address, the folder or the settings can't be used.
+  // Listens at once but sends nothing before start(). `store` must outlive this object. Throws std::exception
+  // if the address, the folder or the settings can't be used.
   LogReplicator(boost::asio::io_context& io, store::Store& store, Options options, Hooks hooks);
   ~LogReplicator() override;
 
@@ -76,21 +76,21 @@
 
  private:
   enum class Phase {
-    choosing,  // holders of a log that begins
-    claiming,  // the log that an earlier life, or this one until it was fenced, wrote
+    choosing,  // chooses the replicas of a new log
+    claiming,  // claims the log that this relay led before a restart or fencing
     leading
   };
-  struct SnapshotTransfer {  // of a snapshot to one holder
+  struct SnapshotTransfer {  // a snapshot on its way to one replica
     std::unique_ptr<StateWriter> state_writer;
     std::uint64_t next_chunk = 0;
-    std::string written_since;  // frames written since the last part
+    std::string written_since;  // frames written since the last chunk
     bool in_flight = false;
   };
   struct ReplicaHealth {
     Microseconds away_since = 0;  // 0: connected
-    std::string error;            // why it takes nothing; empty: it does
+    std::string error;            // why it accepts nothing; empty if it does
     Microseconds failing_since = 0;
-    Microseconds retry_at = 0;  // after it was full
+    Microseconds retry_at = 0;  // after an error
   };
   Microseconds steady() const;
   void on_tick();
@@ -111,7 +111,7 @@
   void send_pending();
   void send_pending(const Member& replica);
   void send_snapshot_chunk(const Member& replica);
-  void apply_progress();  // after the owner heard something, or wrote
+  void apply_progress();  // after a write or an answer
   void check_commit_delay();
   void log_awaited_replicas();
   void replace_lost_replicas();
@@ -144,33 +144,33 @@
   Phase phase_ = Phase::choosing;
   Microseconds phase_since_ = 0;
   std::uint64_t highest_used_epoch_ = 0;
-  store::Sequence announced_mark_ = 0;  // how far it said that it is; at first, how far an earlier life got
+  store::Sequence announced_mark_ = 0;  // highest own mark sent; at start, that of the earlier process
   bool rollback_detected_ = false;
-  Config config_;      // as it is kept
-  Position last_ = 0;  // of the log on this disk,
-  Epoch last_epoch_;   // of the entry there
+  Config config_;      // as stored
+  Position last_ = 0;  // last position of the log on this disk
+  Epoch last_epoch_;   // epoch of that entry
   std::optional<Leader> leader_;
-  Position epoch_start_ = 0;  // where the owner's epoch began
+  Position epoch_start_ = 0;  // last position before the leader's epoch
   std::optional<Claim> claim_;
   Microseconds last_sent_at_ = 0, claim_retry_at_ = 0;
   std::uint64_t next_read_chunk_ = 0;
   Microseconds read_requested_at_ = 0;
-  std::set<MessageId> read_numbers_;  // numbers in the state that is read
+  std::set<MessageId> read_numbers_;  // numbers of the messages in the state being read
   bool leaderless_frames_dropped_ = false;
-  std::string leaderless_frames_;  // frames written while there is no owner
+  std::string leaderless_frames_;  // frames written while this relay is not the leader
   struct UncommittedEntry {
     Position position;
     store::Sequence last;
     Microseconds since;
   };
-  std::deque<UncommittedEntry> uncommitted_;  // entries that do not stand yet
+  std::deque<UncommittedEntry> uncommitted_;  // entries that are not committed yet
   std::map<Member, SnapshotTransfer> transfers_;
   std::map<std::string, std::pair<std::uint64_t, store::Sequence>>
-      peer_marks_;  // told by others: incarnation, how far
+      peer_marks_;  // reported by others: incarnation and mark
   std::map<std::string, ReplicaHealth> replica_health_;
   bool ready_ = false, short_ = false, started_ = false, settling_ = false;
   std::uint64_t shortages_ = 0;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // for what is posted
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // expires before posted callbacks run
 };
 
 }  // namespace heronvane::copies
--- a/relay/copies/packet.hpp
+++ b/relay/copies/packet.hpp
@@ -49,8 +49,8 @@
     last_contact,  // asks how long the log's leader has been silent; `version` is that of the asker's config.
                    // Answer: `last_contact_age`; `replaced`: a later config no longer has the asker as a
                    // replica
-    unavailable,  // answer: the replica can't accept this now, for `reason`
-    release       // the log has moved for good: its messages may be dropped
+    unavailable,   // answer: the replica can't accept this now, for `reason`
+    release        // the log has moved for good: its messages may be dropped
   };
   Kind kind = Kind::message;
   LogId log;
--- a/relay/copies/shelf.cpp
+++ b/relay/copies/shelf.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-// Beside the owner's facts, none of which is called so: all of a holder's state; where it is since.
+// Keys beside the leader's facts, which have no such names: the complete replica state, and the end of the
+// log since.
 const std::string kStateKey = "shelf", kEndKey = "shelf.at";
 constexpr std::size_t kReadChunkBytes = 1 << 20;
 constexpr std::uint64_t kMinLeaderDiskBytes = 1'000'000;
@@ -61,7 +62,7 @@
 
 }  // namespace
 
-// What syncs goes before the files that it syncs.
+// The sync thread must end before the files that it syncs are closed.
 ReplicaLogs::Folder::~Folder() {
   sync.reset();
   store.reset();
@@ -83,11 +84,11 @@
     replica_log->log = log, replica_log->last_contact = options_.steady();
     replica_log->folder_count = folders.rbegin()->first;
     for (auto it = folders.rbegin(); it != folders.rend(); ++it) {
-      if (replica_log->current) {  // an earlier one
+      if (replica_log->current) {  // older copies of the log
         fs::remove_all(it->second);
         continue;
       }
-      replica_log->leader_disk_bytes = options_.limit_bytes;  // until it is known
+      replica_log->leader_disk_bytes = options_.limit_bytes;  // until the saved limit is read
       std::unique_ptr<Folder> folder;
       try {
         folder = open(*replica_log, it->second);
@@ -103,7 +104,7 @@
       const auto state_fact = folder->store->facts().find(kStateKey);
       const auto saved =
           state_fact == folder->store->facts().end() ? std::nullopt : read_state(state_fact->second);
-      if (!saved) {  // a snapshot that had not come to its end
+      if (!saved) {  // an incomplete snapshot
         folder.reset();
         fs::remove_all(it->second);
         continue;
@@ -163,7 +164,7 @@
   if (const auto it = replica_logs_.find(packet.log); it != replica_logs_.end()) return it->second.get();
   std::uint64_t used = 0;
   for (const auto& [log, replica_log] : replica_logs_) {
-    // Of one that has gone elsewhere only the promises are left.
+    // Of a log that moved or has other replicas, only the promises remain.
     const auto& state = replica_log->replica.state();
     const bool released =
         (state.moved || replica_log->replaced) && replica_log->current->store->held().empty();
@@ -192,7 +193,7 @@
   const bool writes = packet.kind == Packet::Kind::snapshot_chunk ||
                       (packet.message && std::holds_alternative<protocol::Append>(*packet.message));
   const auto known = replica_logs_.find(packet.log);
-  // A claim, too, binds one that had nothing yet: what comes later under a lower epoch is refused.
+  // A claim binds a relay without this log too: later messages of a lower epoch are refused.
   std::string error;
   ReplicaLog* const replica_log = packet.kind == Packet::Kind::release
                                       ? (known == replica_logs_.end() ? nullptr : known->second.get())
@@ -224,7 +225,8 @@
   }
 }
 
-// State and records in one batch. False: they can't be written now, and are kept for the next time.
+// Writes the state and the pending records in one batch. False: the write failed, and they are kept for the
+// next one.
 bool ReplicaLogs::keep_state(ReplicaLog& replica_log, Folder& folder, const ReplicaState& state) {
   folder.store->put(store::record::Fact{kEndKey, {}});
   folder.store->put(store::record::Fact{
@@ -238,7 +240,7 @@
   auto result = replica_log.replica.handle(*packet.message);
   if (!result.answer) return reply(unavailable(packet, "no word to a holder"));
   auto& store = *replica_log.current->store;
-  // Records that a holder can't read are not what its owner wrote: better told than acknowledged.
+  // Unreadable records are not what the leader wrote, so they are reported and not acknowledged.
   bool intact = true;
   for (const auto& e : result.entries)
     intact =
@@ -292,7 +294,7 @@
   }
   Replica replica = replica_log.replica;
   auto result = replica.handle(*packet.message);
-  if (!result.snapshot_installed) {  // refused, or what it has is newer
+  if (!result.snapshot_installed) {  // refused, or the replica is newer
     remove(std::exchange(replica_log.staging, nullptr));
     return result.answer ? reply(message_to(packet, std::move(*result.answer)))
                          : reply(unavailable(packet, "no word to a holder"));
@@ -307,12 +309,13 @@
                [reply, answer = message_to(packet, std::move(*result.answer))] { reply(answer); });
 }
 
-// What waits for the earlier copy is answered by what is in its place: that is of a later word.
+// Replies that wait for the earlier copy are sent once the new one is durable, since it is of a later
+// message.
 void ReplicaLogs::install_staging(ReplicaLog& replica_log) {
   auto previous = std::exchange(replica_log.current, std::exchange(replica_log.staging, nullptr));
   replica_log.state_reader.reset();
   for (auto& one : replica_log.pending_replies) one.first = replica_log.current->store->written();
-  // The earlier one goes once the new one stands.
+  // The earlier copy is deleted once the new one is durable.
   const auto held = std::make_shared<std::unique_ptr<Folder>>(std::move(previous));
   when_durable(replica_log, [this, held] { remove(std::move(*held)); });
 }
@@ -355,7 +358,7 @@
   reply(answer);
 }
 
-// The promises stay, with nothing beside them.
+// Deletes the messages and keeps the promises.
 void ReplicaLogs::handle_release(ReplicaLog& replica_log, const Packet& packet) {
   const auto& state = replica_log.replica.state();
   if (!state.moved || state.moved->epoch > packet.epoch || replica_log.current->store->held().empty()) return;
@@ -365,7 +368,7 @@
 void ReplicaLogs::discard_entries(const LogId& log) {
   const auto it = replica_logs_.find(log);
   if (it == replica_logs_.end()) return;
-  // As one that has the promise and none of the log: whoever writes to it again begins with a snapshot.
+  // Keeps the promise at position 0, so a leader that writes to this replica again begins with a snapshot.
   ReplicaState state = it->second->replica.state();
   state.last = 0, state.last_epoch = {};
   it->second->replaced = true;
@@ -376,7 +379,7 @@
   try {
     replica_log.staging = create_folder(replica_log);
   } catch (const std::exception&) {
-    return;  // it only takes room
+    return;  // the old folder stays and only uses disk space
   }
   if (!keep_state(replica_log, *replica_log.staging, state))
     return remove(std::exchange(replica_log.staging, nullptr));
--- a/relay/copies/streams.hpp
+++ b/relay/copies/streams.hpp
@@ -1,8 +1,10 @@
-// Connections between members: one to each that this relay says something to, those of others that come in.
-// Frames in order, answers on the connection that asked. One thread: all calls from the one that runs `io`.
+// Connections between members: one outgoing to each member that this relay sends to, and incoming ones from
+// others. Frames arrive in order, and an answer uses the connection of its request. Called from the thread
+// that runs `io`.
 //
-// A connection begins with a hello of each side. A stranger, another cluster, what can't be read or is longer
-// than allowed, is closed and counted. One that is silent while it owes an answer is closed after kSilence.
+// Each side begins with a hello. A connection is closed and counted if the peer is unknown, belongs to
+// another cluster, or sends a malformed or oversized frame. A peer that sends nothing for kAnswerTimeout
+// while it owes an answer is disconnected.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,7 +19,8 @@
 
 namespace heronvane::copies {
 
-// Loopback, private or link-local (RFC 1918, 3927, 4193, 4291): connections are neither encrypted nor signed.
+// Loopback, private or link-local (RFC 1918, 3927, 4193, 4291): connections are neither encrypted nor
+// authenticated.
 bool is_private(const boost::asio::ip::address& address);
 
 class PeerConnections {
@@ -26,36 +29,36 @@
   static constexpr auto kAnswerTimeout = std::chrono::seconds(3);
   static constexpr auto kConnectTimeout = std::chrono::seconds(2);
   static constexpr auto kRetryInterval = std::chrono::milliseconds(150);
-  static constexpr std::size_t kMaxIncoming = 32;           // connections of others
-  static constexpr std::size_t kMaxQueuedBytes = 64 << 20;  // bytes that wait to be sent on a connection
+  static constexpr std::size_t kMaxIncoming = 32;           // incoming connections
+  static constexpr std::size_t kMaxQueuedBytes = 64 << 20;  // bytes queued on one connection
 
-  using Reply = std::function<void(Packet)>;  // at most once; later than the connection, it does nothing
+  using Reply = std::function<void(Packet)>;  // at most one call; ignored once the connection is closed
   struct Hooks {
-    std::function<bool(const std::string& name)> is_member;  // a member's name
-    // How far this relay is, and what that member told of itself: fills in `mark` and `seen_...`.
+    std::function<bool(const std::string& name)> is_member;  // whether the name is a member's
+    // Fills in `mark` and `seen_...` of the hello to that member.
     std::function<void(const std::string& name, Hello& hello)> fill_hello;
-    std::function<void(const Hello& hello)> on_hello;      // by any connection, before all else on it
-    std::function<void(const Member& peer)> on_up;         // a connection to it stands
-    std::function<void(const std::string& name)> on_down;  // no longer; what was said may be lost
-    std::function<void(const Member& from, Packet packet)> on_answer;  // to what was said
+    std::function<void(const Hello& hello)> on_hello;                  // the first event of each connection
+    std::function<void(const Member& peer)> on_up;                     // the outgoing connection is ready
+    std::function<void(const std::string& name)> on_down;              // it ended; packets sent may be lost
+    std::function<void(const Member& from, Packet packet)> on_answer;  // an answer to a packet sent
     std::function<void(const Member& from, Packet packet, Reply reply)> on_request;
   };
   struct Counts {
     std::uint64_t rejected_hellos = 0, malformed_frames = 0, sent_bytes = 0, received_bytes = 0;
   };
 
-  // Listens at once. Throws std::runtime_error where the address can't be had.
+  // Listens at once. Throws std::system_error if the address can't be bound.
   PeerConnections(boost::asio::io_context& io, const Address& listen, Hello self, Hooks hooks);
   ~PeerConnections();
   PeerConnections(const PeerConnections&) = delete;
   PeerConnections& operator=(const PeerConnections&) = delete;
 
-  // Connects to that member, and again whenever the connection has ended.
+  // Connects to that member, and reconnects whenever the connection ends.
   void connect_to(const std::string& name, const Address& address);
-  void disconnect_from(const std::string& name);  // no longer
-  // Whom a connection stands to, as it said in its hello; nullptr: to none.
+  void disconnect_from(const std::string& name);  // stops that
+  // The connected member as named in its hello; nullptr if not connected.
   const Member* peer(const std::string& name) const;
-  // False, with nothing said, where there is no connection to exactly that member or too much waits.
+  // Returns false, and sends nothing, if that exact member is not connected or too much is queued.
   bool send(const Member& to, const Packet& packet);
   Counts counts() const;
 
