--- a/relay/copies/copies.cpp
+++ b/relay/copies/copies.cpp
@@ -20,13 +20,14 @@
 constexpr auto kTick = std::chrono::milliseconds(25), kSendDelay = std::chrono::milliseconds(3);
 constexpr std::size_t kMaxLeaderlessBytes = 1 << 20;
 constexpr Microseconds kReconnectInterval = 200'000;
-constexpr Microseconds kProbeInterval = 500'000;  // that the owner lives; less where a take-over comes sooner
-constexpr Microseconds kPreferredReplicasTimeout = 3'000'000;  // then others than the first choice
+constexpr Microseconds kProbeInterval = 500'000;  // heartbeat; shorter if takeover_after is short
+constexpr Microseconds kPreferredReplicasTimeout = 3'000'000;  // then other replicas than the first choice
 constexpr Microseconds kUnavailablePause = 500'000;
-constexpr std::uint64_t kRetainedEntriesMemoryDivisor = 16;  // of the memory, for entries that holders lack
-constexpr std::size_t kSnapshotChunkBytes = 256 * 1024;      // in a part of a snapshot
+constexpr std::uint64_t kRetainedEntriesMemoryDivisor =
+    16;  // share of the memory for entries that replicas lack
+constexpr std::size_t kSnapshotChunkBytes = 256 * 1024;
 constexpr std::uint64_t kTransferBacklogMemoryDivisor =
-    8;  // of the memory, for what is written while one goes on
+    8;  // share of the memory for frames written during a snapshot
 constexpr std::size_t kSpareReplicas = 2;
 
 std::uint64_t number_fact(const std::map<std::string, std::string>& facts, const std::string& key) {
@@ -50,7 +51,7 @@
   return {ip, static_cast<std::uint16_t>(port)};
 }
 
-// Of a life of a disk or of a log: later ones are higher, but for a wall clock that was set back.
+// A number for a new disk or log. Later numbers are higher unless the wall clock was set back.
 std::uint64_t new_incarnation() {
   return static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::microseconds>(
                                         std::chrono::system_clock::now().time_since_epoch())
@@ -123,7 +124,7 @@
       io_, address(text, "copies.listen"), Hello{options_.settings.cluster, self_, 0, 0, 0}, std::move(h));
 }
 
-// Each remembers how far the others said they were, and tells them: a disk of an earlier moment is found out.
+// Members remember each other's marks and report them back, which reveals a disk that was rolled back.
 void LogReplicator::on_hello(const Hello& hello) {
   note_mark(hello.self, hello.mark);
   if (hello.seen_incarnation != self_.incarnation || hello.seen_mark <= announced_mark_ ||
@@ -140,7 +141,7 @@
   seen.second = std::max(seen.second, mark);
 }
 
-// As a holder this relay is another one now; as an owner its claim finds out what it lacks.
+// As a replica, this relay becomes another member. As a leader, its claim finds out what its disk lacks.
 void LogReplicator::handle_disk_rollback() {
   options_.log(
       "copies: this disk is of an earlier moment than others have seen: what it promised as a holder is "
@@ -153,7 +154,7 @@
   replica_health_.clear();
   transfers_.clear();
   listen();
-  // Under its new name; what the old one had claimed is another's word.
+  // Claims as the new member, since the earlier claim was the old member's.
   if (leader_ || claim_) begin_claim(highest_used_epoch_);
   update_connections();
   hooks_.commit();
@@ -200,12 +201,12 @@
   return peer != nullptr && *peer == m;
 }
 
-// ---- The start. ----
+// ---- Start. ----
 void LogReplicator::restore_from_store() {
   const auto& facts = store_.facts();
   self_ = {options_.name, number_fact(facts, kMemberKey)};
   if (self_.incarnation == 0 || replica_logs_.lost_promises()) {
-    // Under the old name it would be held to promises that it knows no more.
+    // The old incarnation is bound by promises that this disk has lost.
     self_.incarnation = std::max(new_incarnation(), self_.incarnation + 1);
     put(kMemberKey, std::to_string(self_.incarnation));
   }
@@ -225,7 +226,7 @@
   const auto& r = store_.recovery();
   if (!r.damaged.empty() || r.counts.missing > 0) {
     options_.log("copies: the own folder is damaged: what it held is read from the holders");
-    return;  // at position 0: theirs is more
+    return;  // position 0: the replicas have more
   }
   if (const auto it = facts.find(kEndKey); it != facts.end()) {
     std::istringstream in(it->second);
@@ -251,7 +252,7 @@
   return highest_used_epoch_;
 }
 
-// To the holders, to those that might take their place, and to whom a claim speaks.
+// Connects to the replicas, to their possible replacements, and to the members that a claim involves.
 void LogReplicator::update_connections() {
   std::set<std::string> wanted_members;
   const auto want = [&](const std::vector<Member>& all) {
@@ -274,7 +275,7 @@
   }
 }
 
-// The first choice; where some of it is not there for long, others.
+// Waits for the preferred replicas, then after kPreferredReplicasTimeout also accepts others.
 void LogReplicator::try_choose_replicas() {
   const auto count = static_cast<std::size_t>(options_.settings.holders);
   const bool late = steady() - phase_since_ > kPreferredReplicasTimeout;
@@ -294,7 +295,7 @@
   log_ = {options_.name, new_incarnation()};
   const Epoch epoch{next_epoch(0), self_};
   config_ = {{epoch, 1}, std::move(replicas), {}};
-  // What is here already counts as its first entry: holders get it as a snapshot.
+  // The existing state counts as the first entry. Replicas receive it as a snapshot.
   last_ = 1, last_epoch_ = epoch;
   put(kLogKey, std::to_string(log_.incarnation));
   std::string names;
@@ -315,13 +316,13 @@
 void LogReplicator::written(store::Sequence last, std::string_view frames) {
   for (auto& [m, t] : transfers_) t.written_since.append(frames);
   if (!leader_ || leader_->fenced()) {
-    // Facts, and outcomes of calls that are still out: they go with the first entry of the next epoch.
+    // Facts and outcomes of calls in flight become part of the first entry of the next epoch.
     leaderless_frames_.append(frames);
-    // Asked for hours: then holders get a snapshot in its place.
+    // After a long claim, replicas get a snapshot instead.
     if (leaderless_frames_.size() > kMaxLeaderlessBytes)
       leaderless_frames_.clear(), leaderless_frames_dropped_ = true;
     if (!ready_) return;
-    // What was fenced acts on nothing that is written now.
+    // A fenced leader acts on nothing that is written now.
     if (uncommitted_.empty()) store_.stands_elsewhere(store_.written());
     if (uncommitted_.empty() || uncommitted_.back().position <= last_)
       uncommitted_.push_back({last_ + 1, last, steady()});
@@ -337,9 +338,9 @@
   while (!uncommitted_.empty() && uncommitted_.front().position <= leader_->durable())
     uncommitted_.pop_front();
   if (uncommitted_.empty()) return;
-  // What was written before the oldest that waits stands.
+  // Everything written before the oldest uncommitted entry is committed.
   if (uncommitted_.size() == 1) store_.stands_elsewhere(store_.written());
-  // Outcomes, for which nobody waits, go with what is waited for, or a little later together.
+  // Nothing waits for outcomes: they are sent with the next urgent entry, or together after kSendDelay.
   if (std::exchange(send_scheduled_, true)) return;
   send_timer_.expires_after(kSendDelay);
   send_timer_.async_wait([this](boost::system::error_code error) {
@@ -363,7 +364,7 @@
 void LogReplicator::send_pending(const Member& h) {
   if (!leader_ || !connected(h) || steady() < replica_health_[h.name].retry_at) return;
   if (leader_->needs_snapshot(h)) {
-    // One at a time: it costs both sides.
+    // One snapshot at a time, because it loads both sides.
     const auto it = transfers_.find(h);
     if (it == transfers_.end()) {
       if (!transfers_.empty()) return;
@@ -380,7 +381,7 @@
   auto& t = transfers_[h];
   if (t.in_flight) return;
   if (t.written_since.size() >
-      options_.memory_bytes / kTransferBacklogMemoryDivisor) {  // slower than what is written
+      options_.memory_bytes / kTransferBacklogMemoryDivisor) {  // the transfer is slower than the writes
     transfers_.erase(h);
     replica_health_[h.name].retry_at = steady() + kUnavailablePause;
     return;
@@ -388,7 +389,7 @@
   Packet p;
   p.kind = Packet::Kind::snapshot_chunk, p.log = log_, p.epoch = leader_->epoch(), p.chunk = t.next_chunk;
   p.salt = store_.salt(), p.log_time = store_.clock().now(), p.leader_disk_bytes = options_.disk_bytes;
-  // What was written since the last part goes before the rows, which know of it.
+  // Frames written since the last chunk precede the records, which already include them.
   p.body = std::exchange(t.written_since, {});
   p.body += t.state_writer->next(kSnapshotChunkBytes);
   p.last = t.state_writer->done();
@@ -403,7 +404,7 @@
   }
 }
 
-// ---- What is heard. ----
+// ---- Incoming packets. ----
 void LogReplicator::on_answer(const Member& from, Packet p) {
   note_mark(from, p.mark);
   if (p.log != log_) return takeover_.handle(from, p);
@@ -472,7 +473,7 @@
   while (!uncommitted_.empty() && uncommitted_.front().position <= leader_->durable()) {
     const auto last = uncommitted_.front().last;
     uncommitted_.pop_front();
-    // What compaction wrote meanwhile stands where it stood.
+    // Records that compaction rewrote meanwhile were committed before.
     store_.stands_elsewhere(uncommitted_.empty() ? store::Store::kEverything : last);
     moved = true;
   }
@@ -526,7 +527,7 @@
     if (h.name == name) leader_->mark_lost(h);
 }
 
-// ---- Time. ----
+// ---- Timer. ----
 void LogReplicator::on_tick() {
   timer_.expires_after(kTick);
   timer_.async_wait([this](boost::system::error_code error) {
@@ -569,7 +570,7 @@
   replica_logs_.compact();
 }
 
-// Health is 503 meanwhile; nobody is to guess why.
+// Logs which replicas are missing, since health is 503 meanwhile.
 void LogReplicator::log_awaited_replicas() {
   constexpr Microseconds kLogInterval = 5'000'000;
   if (steady() - awaited_logged_at_ < kLogInterval) return;
@@ -604,7 +605,7 @@
   hooks_.wait_is_over();
 }
 
-// A holder that is away for long, or came back without what it promised, goes for another one.
+// Replaces a replica that is unreachable or failing for replace_after, or that returned without its disk.
 void LogReplicator::replace_lost_replicas() {
   if (!leader_ || leader_->changing() || leader_->fenced()) return;
   const auto replicas = leader_->config().replicas;
--- a/relay/copies/copies_claims.cpp
+++ b/relay/copies/copies_claims.cpp
@@ -1,4 +1,4 @@
-// How a relay comes to own its log: one that begins, one that an earlier life wrote, one that was fenced.
+// How a relay becomes the leader of its log: a claim after a restart or after fencing.
 #include <stdexcept>
 #include <utility>
 
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr Microseconds kResendInterval = 150'000;       // words of a claim
-constexpr Microseconds kReadRetryInterval = 2'000'000;  // a state that is read, from its first part on
+constexpr Microseconds kResendInterval = 150'000;       // unanswered requests of a claim
+constexpr Microseconds kReadRetryInterval = 2'000'000;  // then a read restarts at its first chunk
 
 }  // namespace
 
@@ -19,14 +19,14 @@
   leader_.reset();
   transfers_.clear();
   const Epoch epoch{next_epoch(above), self_};
-  if (config_.replicas.empty() && config_.next.empty()) {  // nobody else was ever to have it
+  if (config_.replicas.empty() && config_.next.empty()) {  // the log never had replicas
     leader_.emplace(self_, epoch, config_, last_, last_epoch_, LeaderOptions{acks(), 64});
     return start_leading();
   }
   claim_.emplace(self_, Claim::Purpose::resume, epoch, config_, log_, last_, last_epoch_,
                  ClaimOptions{acks()});
   last_sent_at_ = 0, read_requested_at_ = 0;
-  // Before its words go out; a store that can't be written says none.
+  // Persists the epoch first. While the store can't be written, no request is sent.
   if (started_) hooks_.commit();
 }
 
@@ -46,7 +46,7 @@
   }
 }
 
-// The holder's state in the place of the own one, which is older: what it has not is over.
+// Replaces the own, older state with a replica's. Messages that the replica does not have are complete.
 void LogReplicator::import_chunk(const Packet& p) {
   const bool sound = read_records(p.salt, p.body, [this](store::Record&& r) {
     if (const auto* const t = std::get_if<store::record::Taken>(&r)) read_numbers_.insert(t->number);
@@ -79,7 +79,7 @@
   switch (claim_->state()) {
     case Claim::State::importing:
       last_ = claim_->last(), last_epoch_ = claim_->last_epoch();
-      // Only its owner writes a log: what runs can't be older than its copies.
+      // Only its leader writes a log, so a running leader can't be older than its replicas.
       if (ready_) throw std::runtime_error("copies: the holders have more of the own log than was written");
       put(kEndKey, std::to_string(last_) + " " + std::to_string(last_epoch_.number) + " " +
                        std::to_string(last_epoch_.claimant.incarnation));
@@ -90,7 +90,7 @@
       config_ = claim_->config();
       const Epoch epoch = claim_->epoch();
       claim_.reset();
-      // As if it were an entry, which no holder has.
+      // Counts the dropped frames as an entry that no replica has, so that replicas get a snapshot.
       if (std::exchange(leaderless_frames_dropped_, false)) last_++, last_epoch_ = epoch;
       leader_.emplace(self_, epoch, config_, last_, last_epoch_, LeaderOptions{acks(), 64});
       return start_leading();
@@ -100,7 +100,7 @@
                    ": nothing of it is this relay's any more");
       return abandon_log();
     case Claim::State::preempted:
-      // At another moment than the other one, which may try again, too.
+      // Retries at a different time than the competing claimant.
       claim_retry_at_ = steady() + 200'000 + static_cast<Microseconds>(self_.incarnation % 300'000);
       return;
     case Claim::State::awaiting_promises:
@@ -135,7 +135,7 @@
   for (const auto& h : leader_->replicas()) replica_health_[h.name].away_since = connected(h) ? 0 : steady();
   config_ = leader_->config();
   put(kConfigKey, write_state(leader_->epoch(), 0, {}, config_, std::nullopt, 0, 0));
-  hooks_.commit();  // the first entry under this epoch
+  hooks_.commit();  // writes the first entry of this epoch
   update_connections();
   send_pending();
   apply_progress();
--- a/relay/copies/takeover.cpp
+++ b/relay/copies/takeover.cpp
@@ -10,13 +10,12 @@
 
 namespace {
 
-constexpr Microseconds kResendInterval = 150'000;       // words that were not answered
-constexpr Microseconds kReadRetryInterval = 2'000'000;  // a state that is read, from its first part on
-constexpr Microseconds kClaimTimeout = 20'000'000;      // then anew, under a higher epoch
-constexpr Microseconds kPreemptedPause = 1'000'000;     // after one that was beaten
-constexpr Microseconds kQueryInterval = 250'000;        // other holders, when they heard an owner
-constexpr Microseconds kSlowQueryInterval =
-    2'000'000;  // where it has been silent here for long, and not to them
+constexpr Microseconds kResendInterval = 150'000;       // unanswered requests
+constexpr Microseconds kReadRetryInterval = 2'000'000;  // then a read restarts at its first chunk
+constexpr Microseconds kClaimTimeout = 20'000'000;      // then a new claim in a higher epoch
+constexpr Microseconds kPreemptedPause = 1'000'000;     // after a preempted claim or unreadable state
+constexpr Microseconds kQueryInterval = 250'000;        // between last_contact queries to other replicas
+constexpr Microseconds kSlowQueryInterval = 2'000'000;  // when the leader is long silent here but not to them
 
 std::string import_key(const LogId& log) {
   return kImportKeyPrefix + log.name + "." + std::to_string(log.incarnation);
@@ -92,16 +91,16 @@
   const Member self = host_.self();
   claim_.emplace(self, Claim::Purpose::take_over, Epoch{host_.next_epoch(above), self}, config,
                  host_.own_log(), 0, Epoch{}, ClaimOptions{host_.acks()});
-  host_.commit();  // the epoch is kept before it is said
+  host_.commit();  // persists the epoch before it is sent
 }
 
 void Takeover::tick() {
   const Microseconds now = host_.steady();
   if (!claim_) {
     if (now < retry_at_) return;
-    // What an earlier life began goes first, unless its owner has written on since.
+    // Takeovers that an earlier process began come first, unless the leader has written since.
     for (const auto& i : std::vector<Import>(imports_)) {
-      // Not before the log that it came with is this one's.
+      // Not before the takeover of the log that contained it is won.
       if (i.via && import_of(*i.via) != nullptr) continue;
       const auto replica_log = host_.replica_logs.find(i.log);
       if (replica_log && replica_log->state.last_epoch > i.epoch && i.epoch != Epoch{}) {
@@ -133,7 +132,7 @@
   if (now - last_sent_at_ >= kResendInterval) send_requests();
 }
 
-// An owner that neither this holder nor enough of the others have heard is gone.
+// A leader is lost when neither this replica nor enough of the others have had contact with it.
 void Takeover::check_for_lost_leaders() {
   const Microseconds now = host_.steady();
   if (host_.takeover_after <= 0) return;
@@ -141,14 +140,14 @@
   std::map<LogId, SilentLeader> silent_leaders;
   for (const auto& replica_log : host_.replica_logs.all()) {
     const auto& config = replica_log.state.config;
-    // Of one that it holds no more only the promises are left.
+    // Of a log that it no longer replicates, only the promises remain.
     if (replica_log.state.moved || replica_log.state.last == 0 || replica_log.log == host_.own_log())
       continue;
     auto replicas = config.replicas;
     replicas.insert(replicas.end(), config.next.begin(), config.next.end());
     const auto rank = std::find(replicas.begin(), replicas.end(), self) - replicas.begin();
-    if (rank == static_cast<std::ptrdiff_t>(replicas.size())) continue;  // it holds that log no more
-    // One after the other, so that few claim at a time.
+    if (rank == static_cast<std::ptrdiff_t>(replicas.size())) continue;  // no longer a replica of that log
+    // Replicas wait by rank, so that few claim at the same time.
     const Microseconds silence_limit =
         host_.takeover_after + rank * std::min<Microseconds>(host_.takeover_after / 4, 1'000'000);
     if (now - replica_log.last_contact < silence_limit) continue;
@@ -170,7 +169,7 @@
         (now - replica_log.last_contact > 4 * silence_limit ? kSlowQueryInterval : kQueryInterval))
       continue;
     silent_leader.asked_at = now;
-    silent_leader.silence.clear();  // what was said a while ago counts no more
+    silent_leader.silence.clear();  // old answers no longer count
     Packet ask;
     ask.kind = Packet::Kind::last_contact, ask.log = replica_log.log, ask.version = config.version;
     for (const auto& m : replicas)
@@ -180,14 +179,14 @@
 }
 
 void Takeover::send_requests() {
-  if (!host_.store.trouble().empty()) return;  // what is promised here could not be kept
+  if (!host_.store.trouble().empty()) return;  // a promise made here could not be persisted
   last_sent_at_ = host_.steady();
   const auto requests = claim_->requests();
   for (const auto& envelope : requests) {
     Packet p;
     p.log = claimed_log_, p.message = envelope.message;
     if (std::holds_alternative<protocol::Read>(envelope.message)) {
-      // Part by part, as they come; anew where none came for long.
+      // Chunk by chunk; restarts if no chunk arrives for kReadRetryInterval.
       if (read_requested_at_ != 0 && last_sent_at_ - read_requested_at_ < kReadRetryInterval) continue;
       read_requested_at_ = last_sent_at_;
       p.chunk = next_chunk_ = 0;
@@ -231,7 +230,7 @@
 void Takeover::on_claim_state() {
   switch (claim_->state()) {
     case Claim::State::importing: {
-      // What that log had begun to take over itself stays parked when this is won.
+      // Takeovers that the claimed log had begun stay parked after this one is won.
       for (const auto& c : chained_imports_) {
         if (c.first == 0 || import_of(c.import.log) != nullptr) continue;
         Import there = c.import;
@@ -255,14 +254,14 @@
     case Claim::State::preempted:
       host_.log("copies: the claim on " + log_name(claimed_log_) + " was beaten by " +
                 claim_->preempted_by().claimant.name);
-      // It may be alive; what stands here stays parked until it is known where the log went.
+      // The leader may be alive. What was imported stays parked until it is known where the log moved.
       host_.replica_logs.note_contact(claimed_log_);
       retry_at_ = host_.steady() + kPreemptedPause;
       return end_claim();
     case Claim::State::awaiting_promises:
     case Claim::State::reading:
     case Claim::State::moving:
-      last_sent_at_ = 0;  // the next words at once
+      last_sent_at_ = 0;  // sends the next requests at once
       return;
   }
 }
@@ -272,7 +271,7 @@
   host_.store.put(store::record::Fact{import_key(log), i == nullptr ? std::string() : write_import(*i)});
 }
 
-// With what came along; its messages go, too.
+// Drops the import, the imports it contained, and their messages.
 void Takeover::drop_import(const LogId& log) {
   for (const auto& i : std::vector<Import>(imports_)) {
     if (i.log != log && i.via != log) continue;
@@ -285,7 +284,7 @@
 void Takeover::import_chunk(const Packet& packet) {
   if (packet.chunk == 0) {
     const Import* i = import_of(claimed_log_);
-    // What an earlier claim brought is read anew.
+    // What an earlier claim imported is read again.
     if (i != nullptr && (i->epoch != claim_->epoch() || i->to - i->from != packet.numbered_records)) {
       drop_import(claimed_log_);
       i = nullptr;
@@ -301,7 +300,7 @@
     }
     next_number_ = i->from;
     chained_imports_.clear();
-    // The log's clock as it stands now, by that holder.
+    // Offset from the log's clock, as that replica knows it, to this relay's clock.
     clock_shift_ = host_.store.clock().now() - packet.log_time;
   }
   const MessageId end = import_of(claimed_log_)->to;
@@ -338,7 +337,7 @@
     o->remember_until += clock_shift_;
     if (!host_.store.remembers(o->id)) host_.store.put(std::move(record));
   } else if (const auto* const f = std::get_if<store::record::Fact>(&record)) {
-    // It had begun to take over others itself: who has these is to be asked, then.
+    // The claimed log had begun takeovers itself. Their outcome has to be asked for later.
     if (f->key.compare(0, kImportKeyPrefix.size(), kImportKeyPrefix) != 0) return;
     if (auto import = read_import(f->value)) chained_imports_.push_back({std::move(*import), 0, 0});
   }
