--- a/fuzz/packet_checks.hpp
+++ b/fuzz/packet_checks.hpp
@@ -1,4 +1,4 @@
-// What must hold of any bytes that a member sends: for the fuzz target and the tests.
+// Checks of the packet decoder on arbitrary bytes, for the fuzz target and the tests.
 #pragma once
 
 #include <cstdlib>
@@ -8,7 +8,8 @@
 
 namespace heronvane::copies {
 
-// True: the frame was read; then what is written again says the same.
+// Returns whether the frame was decoded. Aborts if a decoded packet changes when it is encoded and decoded
+// again.
 inline bool check_packet(const std::string& frame) {
   if (frame.size() < kFrameHeaderBytes) return false;
   const auto l = read_frame_lengths(frame);
--- a/fuzz/packet_fuzz.cpp
+++ b/fuzz/packet_fuzz.cpp
@@ -1,4 +1,4 @@
-// Any bytes as a frame of a member.
+// Decodes arbitrary bytes as a frame from a member.
 #include <cstddef>
 #include <cstdint>
 
--- a/relay/copies/copies_status.cpp
+++ b/relay/copies/copies_status.cpp
@@ -1,4 +1,4 @@
-// What copies tell of themselves, as JSON.
+// Status of log replication as JSON.
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
 
@@ -23,7 +23,7 @@
   number("epoch", leader_ ? leader_->epoch().number : highest_used_epoch_);
   number("last", last_), number("stands", leader_ ? leader_->durable() : 0);
   number("waiting", uncommitted_.size());
-  // A holder that has all; fewer than were asked for is told.
+  // Counts connected replicas that have every committed entry; the status reports when there are too few.
   std::size_t whole_copies = 0;
   json.Key("holders"), json.StartArray();
   const auto replicas = leader_ ? leader_->replicas() : config_.replicas;
--- a/relay/copies/packet.cpp
+++ b/relay/copies/packet.cpp
@@ -17,7 +17,7 @@
   using std::runtime_error::runtime_error;
 };
 
-// ---- Writing. Each value is an array of fixed shape. ----
+// ---- Encoding. Each value is a JSON array of fixed shape. ----
 void put(Json& json, std::uint64_t v) { json.Uint64(v); }
 void put(Json& json, const std::string& text) {
   json.String(text.data(), static_cast<rapidjson::SizeType>(text.size()));
@@ -45,7 +45,7 @@
   json.EndArray();
 }
 
-// Lengths of entries and their epochs; the bytes are the body.
+// Of entries only the epochs and lengths are written here. Their bytes are the body of the frame.
 struct MessageWriter {
   Json& json;
   void tag(const char* name) const { json.String(name); }
@@ -104,7 +104,7 @@
   return out;
 }
 
-// ---- Reading. ----
+// ---- Decoding. ----
 class ArrayReader {
  public:
   explicit ArrayReader(const Value& v) : array_(v) {
