--- a/relay/answer.cpp
+++ b/relay/answer.cpp
@@ -13,19 +13,19 @@
 
 namespace {
 
-constexpr int kMostAhead = 16;                        // 1xx answers before the one that counts
-constexpr Microseconds kLongestWait = 3'600'000'000;  // that a mad answer can tell
+constexpr int kMaxInformationalAnswers = 16;            // 1xx answers before the final one
+constexpr Microseconds kMaxRetryAfter = 3'600'000'000;  // limits absurd X-Come-Back-Ms values
 
 std::optional<double> finite_number(beast::string_view text) {
-  double v = 0;
-  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), v);
-  if (error != std::errc() || end != text.data() + text.size() || !std::isfinite(v)) return std::nullopt;
-  return v;
+  double value = 0;
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+  if (error != std::errc() || end != text.data() + text.size() || !std::isfinite(value)) return std::nullopt;
+  return value;
 }
 
 }  // namespace
 
-std::optional<bool> first_line_ok(const std::string& text) {
+std::optional<bool> status_line_says_ok(const std::string& text) {
   const std::string start = "HTTP/1.";
   const auto compared = std::min(text.size(), start.size());
   if (text.compare(0, compared, start, 0, compared) != 0) return false;
@@ -35,60 +35,62 @@
 
 void AnswerReader::start() {
   parser_.emplace();
-  parser_->header_limit(kMostHeader);
-  parser_->body_limit(kMostBody);
-  // Head and body by turns: read in one go, Beast 1.74 forgets that the length is over the limit and reserves
-  // it.
+  parser_->header_limit(kMaxHeaderBytes);
+  parser_->body_limit(kMaxBodyBytes);
+  // Parse the header and the body in separate steps: in eager mode, Beast 1.74 ignores that the
+  // Content-Length exceeds the limit and reserves that much memory.
   parser_->eager(false);
-  ok_.reset();
-  begun_ = framed_ = false;
+  status_ok_.reset();
+  begun_ = framing_checked_ = false;
 }
 
 AnswerReader::State AnswerReader::put(const char* bytes, std::size_t size) {
-  pending_.append(bytes, size);
-  while (!pending_.empty()) {
+  unparsed_.append(bytes, size);
+  while (!unparsed_.empty()) {
     begun_ = true;
-    // Nothing is taken before the first line is whole, so it stands at the front until it is known.
-    if (!ok_) ok_ = first_line_ok(pending_);
-    beast::error_code bad;
-    const std::size_t taken = parser_->put(boost::asio::buffer(pending_), bad);
-    pending_.erase(0, taken);
-    if (parser_->is_header_done() && !framed_) {
-      framed_ = true;
-      if (!framing_certain(parser_->get(), parser_->get().version())) return State::broken;
+    // The parser consumes nothing before the status line is complete, so `unparsed_` starts with it until
+    // then.
+    if (!status_ok_) status_ok_ = status_line_says_ok(unparsed_);
+    beast::error_code error;
+    const std::size_t consumed = parser_->put(boost::asio::buffer(unparsed_), error);
+    unparsed_.erase(0, consumed);
+    if (parser_->is_header_done() && !framing_checked_) {
+      framing_checked_ = true;
+      if (!has_unambiguous_framing(parser_->get(), parser_->get().version())) return State::broken;
     }
-    if (bad == http::error::need_more) return pending_.size() > kMostHeader ? State::broken : State::more;
-    if (bad) return State::broken;
+    if (error == http::error::need_more)
+      return unparsed_.size() > kMaxHeaderBytes ? State::broken : State::more;
+    if (error) return State::broken;
     if (!parser_->is_done()) {
-      if (taken == 0) return State::more;
+      if (consumed == 0) return State::more;
       continue;
     }
     const unsigned code = status();
     if (code < 100 || code > 199) {
-      whole_ = true, left_over_ = !pending_.empty();
+      whole_ = true, has_extra_bytes_ = !unparsed_.empty();
       return State::whole;
     }
-    // An answer ahead. A switch of protocols was never asked for.
-    if (code == 101 || ++ahead_ > kMostAhead) return State::broken;
+    // An informational answer. 101 is invalid, since no protocol upgrade was requested.
+    if (code == 101 || ++informational_answers_ > kMaxInformationalAnswers) return State::broken;
     start();
   }
   return State::more;
 }
 
 AnswerReader::State AnswerReader::end() {
-  beast::error_code bad;
+  beast::error_code error;
   if (!parser_->is_header_done()) return State::broken;
-  parser_->put_eof(bad);
-  return !bad && parser_->is_done() ? State::whole : State::broken;
+  parser_->put_eof(error);
+  return !error && parser_->is_done() ? State::whole : State::broken;
 }
 
-Microseconds AnswerReader::told_wait() const {
-  const auto ms = finite_number(parser_->get()["X-Come-Back-Ms"]);
-  if (!ms || *ms <= 0) return 0;
-  return static_cast<Microseconds>(std::min(*ms * 1000, static_cast<double>(kLongestWait)));
+Microseconds AnswerReader::retry_after() const {
+  const auto milliseconds = finite_number(parser_->get()["X-Come-Back-Ms"]);
+  if (!milliseconds || *milliseconds <= 0) return 0;
+  return static_cast<Microseconds>(std::min(*milliseconds * 1000, static_cast<double>(kMaxRetryAfter)));
 }
 
-// "x0=0.4,x1=25"
+// Parses "x0=0.4,x1=25".
 heronvane::dispatch::LoadReport AnswerReader::report() const {
   heronvane::dispatch::LoadReport report;
   const auto text = parser_->get()["X-Load"];
@@ -96,10 +98,10 @@
     const auto end = std::min(text.find(',', at), text.size());
     const auto field = text.substr(at, end - at);
     const auto equals = field.find('=');
-    const auto v =
+    const auto value =
         equals == beast::string_view::npos ? std::nullopt : finite_number(field.substr(equals + 1));
-    if (v && *v >= 0 && field.substr(0, equals) == "x0") report.limit_remaining = *v;
-    if (v && *v >= 0 && field.substr(0, equals) == "x1") report.limit_rate = *v;
+    if (value && *value >= 0 && field.substr(0, equals) == "x0") report.limit_remaining = *value;
+    if (value && *value >= 0 && field.substr(0, equals) == "x1") report.limit_rate = *value;
     at = end + 1;
   }
   return report;
--- a/relay/answer.hpp
+++ b/relay/answer.hpp
@@ -1,5 +1,5 @@
-// One answer of an endpoint, piece by piece as it comes; the one place that tells a broken stream. No input
-// or output here.
+// An incremental parser for one HTTP answer of an endpoint. It alone decides whether an answer is broken.
+// Performs no I/O.
 #pragma once
 
 #include <boost/beast/http/parser.hpp>
@@ -12,43 +12,44 @@
 
 namespace heronvane {
 
-// Whether an answer that begins so says 200, as its first line alone tells; nothing while too little has
-// come.
-std::optional<bool> first_line_ok(const std::string& text);
+// Whether the status line at the start of `text` says 200; nothing while `text` is too short to tell.
+std::optional<bool> status_line_says_ok(const std::string& text);
 
 class AnswerReader {
  public:
   enum class State {
-    more,   // it goes on
-    whole,  // it has come
-    broken  // it can't be read, or is larger than any answer may be
+    more,   // incomplete
+    whole,  // complete
+    broken  // malformed or over the size limits
   };
   AnswerReader() { start(); }
 
+  // Parses the next `size` bytes.
   State put(const char* bytes, std::size_t size);
-  State end();  // the connection has ended
+  State end();  // the endpoint has closed the connection
 
-  // Part of the answer has come. Answers ahead of it (1xx) don't count.
+  // Whether part of the final answer has arrived. Informational answers (1xx) don't count.
   bool begun() const { return begun_; }
-  bool says_ok() const { return ok_.value_or(false); }
-  // The next answer on the connection is the next call's: this one is whole and nothing came behind it.
-  bool reusable() const { return whole_ && !left_over_ && parser_->keep_alive(); }
+  bool says_ok() const { return status_ok_.value_or(false); }
+  // Whether the connection can be reused: the answer is complete, nothing follows it, and it allows
+  // keep-alive.
+  bool reusable() const { return whole_ && !has_extra_bytes_ && parser_->keep_alive(); }
 
   bool has_head() const { return parser_->is_header_done(); }
   unsigned status() const { return parser_->get().result_int(); }
   bool line_busy() const { return parser_->get()["X-Line-Busy"] == "1"; }
   const std::string& body() const { return parser_->get().body(); }
-  Microseconds told_wait() const;  // 0: none
-  heronvane::dispatch::LoadReport report() const;
+  Microseconds retry_after() const;                // from X-Come-Back-Ms; 0 if absent or malformed
+  heronvane::dispatch::LoadReport report() const;  // from X-Load
 
  private:
   using Parser = boost::beast::http::response_parser<boost::beast::http::string_body>;
   void start();
   std::optional<Parser> parser_;
-  std::string pending_;  // not parsed yet
-  std::optional<bool> ok_;
-  int ahead_ = 0;  // 1xx answers
-  bool begun_ = false, framed_ = false, whole_ = false, left_over_ = false;
+  std::string unparsed_;  // received, not parsed yet
+  std::optional<bool> status_ok_;
+  int informational_answers_ = 0;  // 1xx answers so far
+  bool begun_ = false, framing_checked_ = false, whole_ = false, has_extra_bytes_ = false;
 };
 
 }  // namespace heronvane
--- a/relay/calls.cpp
+++ b/relay/calls.cpp
@@ -26,18 +26,18 @@
 
 namespace {
 
-// An answer that has begun comes whole within this, or is taken as broken. Guards against slots held until
-// the time-out by heads and bodies that never end.
-constexpr Microseconds kAnswerTime = 400'000;
-// What an endpoint sent besides its answer comes right behind it; a connection rests so long before it is
-// used again, so that it does not pass for the answer to the next call.
-constexpr Microseconds kRest = 5'000;
-// Part of the endpoint's idle time after which a kept connection is closed: the rest covers the way of the
-// answer that started its clock and of the request that would use it.
-constexpr double kKeptPart = 0.9;
+// Time for the rest of an answer once its first byte has arrived; a later one counts as broken. Otherwise
+// heads and bodies that never end would occupy call slots until the message timeout.
+constexpr Microseconds kAnswerTimeout = 400'000;
+// Time between an answer and the reuse of its connection. Stray bytes that an endpoint sends after its answer
+// arrive within it and are detected; otherwise they would be read as the answer to the next call.
+constexpr Microseconds kReuseDelay = 5'000;
+// Fraction of the endpoint's idle timeout after which an idle connection is closed. The rest covers the
+// transit of the answer that started the endpoint's timer and of the next request.
+constexpr double kMaxIdleFraction = 0.9;
 constexpr Microseconds kNever = 3'600'000'000;
 
-std::chrono::microseconds span(Microseconds t) { return std::chrono::microseconds(t); }
+std::chrono::microseconds to_duration(Microseconds duration) { return std::chrono::microseconds(duration); }
 
 std::string base64(const std::string& bytes) {
   std::string text(beast::detail::base64::encoded_size(bytes.size()), '\0');
@@ -47,19 +47,19 @@
 
 std::string bundle_body(const std::vector<Outgoing>& messages) {
   rapidjson::StringBuffer buffer;
-  rapidjson::Writer<rapidjson::StringBuffer> w(buffer);
-  const auto text = [&w](const char* key, const std::string& v) {
-    w.Key(key), w.String(v.data(), static_cast<rapidjson::SizeType>(v.size()));
+  rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
+  const auto write_field = [&writer](const char* key, const std::string& value) {
+    writer.Key(key), writer.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
   };
-  w.StartArray();
-  for (const auto& m : messages) {
-    w.StartObject();
-    text("id", m.wire_id);
-    if (!m.idempotency_key.empty()) text("key", m.idempotency_key);
-    text("body", base64(m.body));
-    w.EndObject();
+  writer.StartArray();
+  for (const auto& message : messages) {
+    writer.StartObject();
+    write_field("id", message.wire_id);
+    if (!message.idempotency_key.empty()) write_field("key", message.idempotency_key);
+    write_field("body", base64(message.body));
+    writer.EndObject();
   }
-  w.EndArray();
+  writer.EndArray();
   return {buffer.GetString(), buffer.GetSize()};
 }
 
@@ -72,42 +72,44 @@
 };
 
 struct Calls::Call {
-  Call(net::io_context& io, EndpointId e, std::vector<Outgoing> m)
-      : endpoint(std::move(e)),
-        messages(std::move(m)),
-        over(messages.size(), false),
+  Call(net::io_context& io, EndpointId endpoint_id, std::vector<Outgoing> outgoing)
+      : endpoint(std::move(endpoint_id)),
+        messages(std::move(outgoing)),
+        ended(messages.size(), false),
         cancelled(messages.size(), false),
         timer(io),
-        read_pause(io) {
-    left = messages.size();
+        read_retry_timer(io) {
+    unended = messages.size();
   }
   enum class Stage { connecting, writing, waiting, done };
 
   EndpointId endpoint;
   std::vector<Outgoing> messages;
-  std::vector<bool> over;       // its outcome was told
-  std::vector<bool> cancelled;  // its outcome is to be told as that
-  std::size_t left = 0;
+  std::vector<bool> ended;      // by message: its outcome was reported
+  std::vector<bool> cancelled;  // by message: its outcome is `cancelled` if it has no other
+  std::size_t unended = 0;      // messages
   Stage stage = Stage::connecting;
-  Microseconds sent = steady_now();
+  Microseconds started_at = steady_now();
   std::shared_ptr<Connection> connection;
   Timer timer;
-  Timer read_pause;  // while the system has no memory for a read
+  Timer read_retry_timer;  // while the system has no memory for a read
   http::request<http::string_body> request;
   AnswerReader answer;
-  Microseconds answer_due = 0;  // for the rest of an answer that has begun; 0: none has
-  bool sound = false;           // the connection may be used again
-  Microseconds told_wait = 0;
+  Microseconds answer_deadline = 0;  // for the rest of the answer; 0 before its first byte
+  bool reusable = false;             // the connection, after this call
+  Microseconds retry_after = 0;
   heronvane::dispatch::LoadReport report;
 
-  // One message is delivered by the answer's first line, several by the whole of it.
+  // A single message is delivered once the status line says 200; a bundle needs the whole answer.
   bool delivered() const { return messages.size() == 1 && answer.says_ok(); }
-  Microseconds connect_due(const CallLimits& limits) const { return sent + limits.connect_timeout; }
-  // Until when somebody waits for its answer.
+  Microseconds connect_deadline(const CallLimits& limits) const {
+    return started_at + limits.connect_timeout;
+  }
+  // The latest timeout of the messages that have not ended.
   Microseconds last_timeout() const {
     Microseconds last = 0;
     for (std::size_t i = 0; i < messages.size(); i++)
-      if (!over[i]) last = std::max(last, sent + messages[i].timeout);
+      if (!ended[i]) last = std::max(last, started_at + messages[i].timeout);
     return last;
   }
 };
@@ -118,110 +120,113 @@
       limits_(limits),
       ended_(std::move(ended)),
       may_begin_(std::move(may_begin)),
-      odd_(io, "odd answers"),
-      sweep_timer_(io) {}
+      unexpected_answers_(io, "unexpected answers"),
+      expiry_timer_(io) {}
 Calls::~Calls() = default;
 
 void Calls::set_address(const EndpointId& endpoint, const tcp::endpoint& address) {
-  const auto [place, fresh] = places_.try_emplace(endpoint, address);
-  if (place->second == address) return;
-  place->second = address;
-  connections_.moved += kept_.drop_all(endpoint);
+  const auto [entry, inserted] = addresses_.try_emplace(endpoint, address);
+  if (entry->second == address) return;
+  entry->second = address;
+  counters_.address_changed += idle_pool_.drop_all(endpoint);
 }
 
 void Calls::remove_endpoint(const EndpointId& endpoint) {
-  connections_.moved += kept_.drop_all(endpoint);
-  places_.erase(endpoint);
+  counters_.address_changed += idle_pool_.drop_all(endpoint);
+  addresses_.erase(endpoint);
 }
 
 void Calls::send(const EndpointId& endpoint, std::vector<Outgoing> messages) {
   const auto call = std::make_shared<Call>(io_, endpoint, std::move(messages));
-  const bool room = in_flight_ < limits_.max_in_flight && places_.count(endpoint) > 0;
-  if (room) {
+  const bool has_capacity = in_flight_ < limits_.max_in_flight && addresses_.count(endpoint) > 0;
+  if (has_capacity) {
     in_flight_++;
-    calls_[endpoint].push_back(call);
-    for (const auto& m : call->messages) by_message_[m.id] = call;
+    calls_by_endpoint_[endpoint].push_back(call);
+    for (const auto& message : call->messages) calls_by_message_[message.id] = call;
   }
-  net::post(io_, [this, call, room] {
+  net::post(io_, [this, call, has_capacity] {
     if (call->stage == Call::Stage::done) return;
-    if (!room) return end_all(call, Outcome::not_sent);
+    if (!has_capacity) return end_all_messages(call, Outcome::not_sent);
     begin(call);
   });
 }
 
 void Calls::begin(const std::shared_ptr<Call>& call) {
-  const auto found = places_.find(call->endpoint);
-  if (found == places_.end()) return end_all(call, Outcome::not_sent);
-  const Microseconds rested = steady_now() - kRest;
-  while (const auto connection = kept_.take(call->endpoint, rested)) {
-    error_code bad;
-    connection->socket.cancel(bad);
+  const auto found = addresses_.find(call->endpoint);
+  if (found == addresses_.end()) return end_all_messages(call, Outcome::not_sent);
+  const Microseconds last_used_before = steady_now() - kReuseDelay;
+  while (const auto connection = idle_pool_.take(call->endpoint, last_used_before)) {
+    error_code error;
+    connection->socket.cancel(error);
     char byte = 0;
-    // Guards against writing to a kept connection that the endpoint has closed: that would be a reset.
-    connection->socket.receive(net::buffer(&byte, 1), tcp::socket::message_peek, bad);
-    if (bad != net::error::would_block) {
-      connections_.closed_there++;
+    // A request written to a connection that the endpoint has closed would end as a reset.
+    connection->socket.receive(net::buffer(&byte, 1), tcp::socket::message_peek, error);
+    if (error != net::error::would_block) {
+      counters_.closed_by_endpoint++;
       continue;
     }
     call->connection = connection;
-    arm(call);
+    set_timer(call);
     return write(call);
   }
-  const Microseconds since = kept_.longest_idle_since(call->endpoint);
-  const bool room = in_flight_ + kept_.size() < limits_.max_connections;
-  if (since >= 0 && (limits_.wait_for_reuse || !room)) return begin_at(call, since + kRest);
+  const Microseconds since = idle_pool_.longest_idle_since(call->endpoint);
+  const bool has_capacity = in_flight_ + idle_pool_.size() < limits_.max_connections;
+  if (since >= 0 && (limits_.wait_for_reuse || !has_capacity)) return begin_at(call, since + kReuseDelay);
   connect(call, found->second);
 }
 
 void Calls::begin_at(const std::shared_ptr<Call>& call, Microseconds when) {
-  call->timer.set(span(std::max<Microseconds>(when - steady_now(), 0)), [this, call] { begin(call); });
+  call->timer.set(to_duration(std::max<Microseconds>(when - steady_now(), 0)), [this, call] { begin(call); });
 }
 
 void Calls::connect(const std::shared_ptr<Call>& call, const tcp::endpoint& address) {
-  // Calls out come first: kept connections make room for theirs.
-  while (in_flight_ + kept_.size() > limits_.max_connections && kept_.drop_longest_idle())
-    connections_.evicted++;
-  connections_.opened++;
+  // Idle connections are closed to stay within the limit; calls in flight take precedence.
+  while (in_flight_ + idle_pool_.size() > limits_.max_connections && idle_pool_.drop_longest_idle())
+    counters_.evicted++;
+  counters_.opened++;
   call->connection = std::make_shared<Connection>(io_);
   call->connection->address = address;
-  arm(call);
-  call->connection->socket.async_connect(call->connection->address, [this, call](error_code bad) {
+  set_timer(call);
+  call->connection->socket.async_connect(call->connection->address, [this, call](error_code error) {
     if (call->stage == Call::Stage::done) return;
-    if (bad) return end_all(call, Outcome::connect_failed);
-    call->connection->socket.set_option(tcp::no_delay(true), bad);
-    call->connection->socket.non_blocking(true, bad);
+    if (error) return end_all_messages(call, Outcome::connect_failed);
+    call->connection->socket.set_option(tcp::no_delay(true), error);
+    call->connection->socket.non_blocking(true, error);
     write(call);
   });
 }
 
 void Calls::write(const std::shared_ptr<Call>& call) {
-  // What hears of this may have ended the call already.
-  if (!may_begin_()) return call->stage == Call::Stage::done ? void() : end_all(call, Outcome::not_sent);
-  // Guards against an effect twice: the connection may have come up late, and the destination have forgotten
-  // a key.
+  // may_begin_() may have ended the call itself.
+  if (!may_begin_())
+    return call->stage == Call::Stage::done ? void() : end_all_messages(call, Outcome::not_sent);
+  // The connection may have been established so late that the destination has forgotten the idempotency key;
+  // the message could then take effect twice.
   const Microseconds now = steady_now();
   for (std::size_t i = 0; i < call->messages.size(); i++) {
-    const Outgoing& m = call->messages[i];
-    if (!call->over[i] && m.begin_by > 0 && now > m.begin_by) end(call, i, Outcome::not_sent);
-    // Its time was up in the same moment, or this process stood still.
-    if (!call->over[i] && now >= call->sent + m.timeout) end(call, i, Outcome::connect_failed);
+    const Outgoing& message = call->messages[i];
+    if (!call->ended[i] && message.begin_by > 0 && now > message.begin_by)
+      end_message(call, i, Outcome::not_sent);
+    // The timeout may pass before its timer runs, for instance while this process is suspended.
+    if (!call->ended[i] && now >= call->started_at + message.timeout)
+      end_message(call, i, Outcome::connect_failed);
   }
   if (call->stage == Call::Stage::done) return;
-  // Those that ended while the connection came up stay out of the call.
-  std::vector<Outgoing> live;
-  Microseconds longest = 0;
+  // Messages that ended while connecting are left out of the request.
+  std::vector<Outgoing> unended;
+  Microseconds longest_time_left = 0;
   for (std::size_t i = 0; i < call->messages.size(); i++) {
-    if (call->over[i]) continue;
-    // Its time runs since it was sent, also while its connection came up.
-    longest = std::max(longest, call->sent + call->messages[i].timeout - now);
-    live.push_back(std::move(call->messages[i]));
+    if (call->ended[i]) continue;
+    // The timeout counts from send(), so it includes the time taken to connect.
+    longest_time_left = std::max(longest_time_left, call->started_at + call->messages[i].timeout - now);
+    unended.push_back(std::move(call->messages[i]));
   }
-  // No message of a call outlives its first: an endpoint may take the first one's time for that of
-  // the call, and what it answers later for no answer.
-  std::stable_sort(live.begin(), live.end(),
+  // The message with the longest timeout goes first: an endpoint may take the first one's timeout as that of
+  // the whole call and treat its own later answer as lost.
+  std::stable_sort(unended.begin(), unended.end(),
                    [](const Outgoing& a, const Outgoing& b) { return a.timeout > b.timeout; });
-  call->messages = std::move(live);
-  call->over.assign(call->messages.size(), false);
+  call->messages = std::move(unended);
+  call->ended.assign(call->messages.size(), false);
   call->cancelled.assign(call->messages.size(), false);
   const bool single = call->messages.size() == 1;
   auto& request = call->request;
@@ -229,7 +234,7 @@
   request.version(11);
   request.target(single ? "/events" : "/events/bundle");
   request.set(http::field::host, "origin.svc");
-  request.set("X-Deadline", std::to_string(longest) + "u");
+  request.set("X-Deadline", std::to_string(longest_time_left) + "u");
   if (single) {
     request.set("X-Request-Id", call->messages[0].wire_id);
     if (!call->messages[0].idempotency_key.empty())
@@ -238,16 +243,16 @@
   } else {
     request.set(http::field::content_type, "application/json");
     request.body() = bundle_body(call->messages);
-    for (auto& m : call->messages) m.body.clear();
+    for (auto& message : call->messages) message.body.clear();
   }
   request.prepare_payload();
   call->stage = Call::Stage::writing;
   HERONVANE_POINT("call.first-byte");
   write_all(call->connection->socket, wire_text(request),
-            [this, call, kept = call->connection](error_code bad) {
+            [this, call, connection = call->connection](error_code error) {
               if (call->stage == Call::Stage::done) return;
-              // The last byte was not written, so the call has not begun there.
-              if (bad) return end_all(call, Outcome::connect_failed);
+              // The request is incomplete, so the endpoint can't have processed it.
+              if (error) return end_all_messages(call, Outcome::connect_failed);
               HERONVANE_POINT("call.written");
               call->stage = Call::Stage::waiting;
               read(call);
@@ -255,94 +260,96 @@
 }
 
 void Calls::read(const std::shared_ptr<Call>& call) {
-  call->connection->socket.async_wait(tcp::socket::wait_read, [this, call](error_code bad) {
+  call->connection->socket.async_wait(tcp::socket::wait_read, [this, call](error_code error) {
     if (call->stage == Call::Stage::done) return;
-    if (bad) return broken(call);
-    const Taken taken = take(call);
-    if (taken == Taken::waiting) read(call);
-    if (taken == Taken::shortage) call->read_pause.set(kShortageRetryDelay, [this, call] { read(call); });
+    if (error) return handle_broken_answer(call);
+    const ReadResult result = read_available(call);
+    if (result == ReadResult::waiting) read(call);
+    if (result == ReadResult::shortage)
+      call->read_retry_timer.set(kShortageRetryDelay, [this, call] { read(call); });
   });
 }
 
-// Reads what has come of the answer; that may end the call.
-Calls::Taken Calls::take(const std::shared_ptr<Call>& call) {
+// Reads the part of the answer that has arrived, without waiting. May end the call.
+Calls::ReadResult Calls::read_available(const std::shared_ptr<Call>& call) {
   using State = AnswerReader::State;
-  error_code bad;
-  const std::size_t size = call->connection->socket.read_some(net::buffer(chunk_), bad);
-  if (would_block(bad)) return Taken::waiting;
-  if (is_memory_shortage(bad)) return Taken::shortage;
-  const State state = bad == net::error::eof ? call->answer.end()
-                      : bad                  ? State::broken
-                                             : call->answer.put(chunk_.data(), size);
-  if (state == State::whole) return answered(call), Taken::ended;
-  if (state == State::broken) return broken(call), Taken::ended;
+  error_code error;
+  const std::size_t size = call->connection->socket.read_some(net::buffer(read_buffer_), error);
+  if (would_block(error)) return ReadResult::waiting;
+  if (is_memory_shortage(error)) return ReadResult::shortage;
+  const State state = error == net::error::eof ? call->answer.end()
+                      : error                  ? State::broken
+                                               : call->answer.put(read_buffer_.data(), size);
+  if (state == State::whole) return handle_answer(call), ReadResult::ended;
+  if (state == State::broken) return handle_broken_answer(call), ReadResult::ended;
   const bool begun = call->answer.begun();
-  if (begun != (call->answer_due > 0)) {
-    call->answer_due = begun ? steady_now() + kAnswerTime : 0;
-    arm(call);
+  if (begun != (call->answer_deadline > 0)) {
+    call->answer_deadline = begun ? steady_now() + kAnswerTimeout : 0;
+    set_timer(call);
   }
-  return Taken::waiting;
+  return ReadResult::waiting;
 }
 
-// The stream can't be trusted any more: what was sent may have run, whatever the first line said but 200.
-void Calls::broken(const std::shared_ptr<Call>& call) {
-  if (call->answer.has_head()) call->told_wait = call->answer.told_wait();
-  odd_.add("answer broken");
-  end_all(call, Outcome::reset);
+// The rest of the stream can't be interpreted. Unless the status line says 200, whatever it says, the request
+// may have been processed.
+void Calls::handle_broken_answer(const std::shared_ptr<Call>& call) {
+  if (call->answer.has_head()) call->retry_after = call->answer.retry_after();
+  unexpected_answers_.add("malformed or incomplete answer");
+  end_all_messages(call, Outcome::reset);
 }
 
-void Calls::answered(const std::shared_ptr<Call>& call) {
+void Calls::handle_answer(const std::shared_ptr<Call>& call) {
   const AnswerReader& answer = call->answer;
-  call->told_wait = answer.told_wait();
+  call->retry_after = answer.retry_after();
   if (limits_.read_load_reports) call->report = answer.report();
-  call->sound = answer.reusable();
+  call->reusable = answer.reusable();
   const auto connection = call->connection;
   const unsigned status = answer.status();
   switch (status) {
     case 200:
-      call->messages.size() > 1 ? answered_bundle(call) : end_all(call, Outcome::served, true);
+      call->messages.size() > 1 ? handle_bundle_answer(call) : end_all_messages(call, Outcome::served, true);
       break;
     case 429:
-      end_all(call, Outcome::rejected);
+      end_all_messages(call, Outcome::rejected);
       break;
     case 503:
-      end_all(call, answer.line_busy() ? Outcome::not_sent : Outcome::rejected);
+      end_all_messages(call, answer.line_busy() ? Outcome::not_sent : Outcome::rejected);
       break;
     case 504:
-      end_all(call, Outcome::not_sent);
+      end_all_messages(call, Outcome::not_sent);
       break;
     case 410:
-      end_all(call, Outcome::not_sent, true);
+      end_all_messages(call, Outcome::not_sent, true);
       break;
     case 400:
     case 413:
-      odd_.add("request turned down");
-      end_all(call, Outcome::not_sent);
+      unexpected_answers_.add("request rejected with 400 or 413");
+      end_all_messages(call, Outcome::not_sent);
       break;
     case 500:
-      end_all(call, Outcome::error);
+      end_all_messages(call, Outcome::error);
       break;
     default:
-      odd_.add("unknown status");
-      call->sound = false;
-      end_all(call, Outcome::error);
+      unexpected_answers_.add("unknown status code");
+      call->reusable = false;
+      end_all_messages(call, Outcome::error);
   }
-  if (call->sound) keep(call->endpoint, connection);
+  if (call->reusable) keep_connection(call->endpoint, connection);
 }
 
-void Calls::answered_bundle(const std::shared_ptr<Call>& call) {
+void Calls::handle_bundle_answer(const std::shared_ptr<Call>& call) {
   HERONVANE_POINT("outcome.bundle");
-  rapidjson::Document v;
+  rapidjson::Document document;
   const std::string& body = call->answer.body();
-  // Not by recursion, which thousands of open brackets would take past the stack's end.
-  v.Parse<rapidjson::kParseIterativeFlag>(body.data(), body.size());
-  if (v.HasParseError() || !v.IsArray()) {
-    odd_.add("bundle's answer can't be read");
-    call->sound = false;
-    return end_all(call, Outcome::reset);
+  // The recursive parser would overflow the stack on thousands of nested brackets.
+  document.Parse<rapidjson::kParseIterativeFlag>(body.data(), body.size());
+  if (document.HasParseError() || !document.IsArray()) {
+    unexpected_answers_.add("bundle answer is not a JSON array");
+    call->reusable = false;
+    return end_all_messages(call, Outcome::reset);
   }
   std::map<std::string, std::string> states;
-  for (const auto& entry : v.GetArray()) {
+  for (const auto& entry : document.GetArray()) {
     if (!entry.IsObject()) continue;
     const auto id = entry.FindMember("id"), state = entry.FindMember("state");
     if (id == entry.MemberEnd() || state == entry.MemberEnd()) continue;
@@ -352,180 +359,187 @@
   for (std::size_t i = 0; i < call->messages.size(); i++) {
     const std::string& state = states[call->messages[i].wire_id];
     if (state == "done")
-      end(call, i, Outcome::served, true);
+      end_message(call, i, Outcome::served, true);
     else if (state == "busy")
-      end(call, i, Outcome::rejected);
+      end_message(call, i, Outcome::rejected);
     else if (state == "void")
-      end(call, i, Outcome::not_sent, true);
+      end_message(call, i, Outcome::not_sent, true);
     else if (state == "used_up")
-      end(call, i, Outcome::not_sent);
-    else  // "failed", or not named: it may have run
-      end(call, i, Outcome::error);
+      end_message(call, i, Outcome::not_sent);
+    else  // "failed", missing or unknown: it may have been processed
+      end_message(call, i, Outcome::error);
   }
 }
 
-// Waits for what comes first: the connection's time, or that of one of the messages.
-void Calls::arm(const std::shared_ptr<Call>& call) {
+// Sets the timer to the earliest of the connect deadline, the answer deadline and the messages' give-up
+// times.
+void Calls::set_timer(const std::shared_ptr<Call>& call) {
   if (call->stage == Call::Stage::done) return;
   Microseconds due = steady_now() + kNever;
   for (std::size_t i = 0; i < call->messages.size(); i++)
-    if (!call->over[i]) due = std::min(due, given_up_at(*call, i));
-  if (call->stage == Call::Stage::connecting) due = std::min(due, call->connect_due(limits_));
-  if (call->answer_due > 0) due = std::min(due, call->answer_due);
-  call->timer.set(span(std::max<Microseconds>(due - steady_now(), 0)), [this, call] {
-    // An answer that is here counts, though it is read only now: its time was up in the same moment, or this
-    // process stood still.
-    if (call->stage == Call::Stage::waiting && take(call) == Taken::ended) return;
+    if (!call->ended[i]) due = std::min(due, give_up_time(*call, i));
+  if (call->stage == Call::Stage::connecting) due = std::min(due, call->connect_deadline(limits_));
+  if (call->answer_deadline > 0) due = std::min(due, call->answer_deadline);
+  call->timer.set(to_duration(std::max<Microseconds>(due - steady_now(), 0)), [this, call] {
+    // An answer that has arrived counts even if this timer runs before it is read, for instance after this
+    // process was suspended.
+    if (call->stage == Call::Stage::waiting && read_available(call) == ReadResult::ended) return;
     const Microseconds now = steady_now();
     const bool connecting = call->stage == Call::Stage::connecting;
-    if (connecting && now >= call->connect_due(limits_)) return end_all(call, Outcome::connect_failed);
-    if (call->answer_due > 0 && now >= call->answer_due) return broken(call);
-    give_up_due(call);
-    arm(call);
+    if (connecting && now >= call->connect_deadline(limits_))
+      return end_all_messages(call, Outcome::connect_failed);
+    if (call->answer_deadline > 0 && now >= call->answer_deadline) return handle_broken_answer(call);
+    give_up_expired(call);
+    set_timer(call);
   });
 }
 
-// A retry beside a call that is out would be a second copy: a message waits for the end of its call, or for
-// its deadline, behind which it is not sent again.
-Microseconds Calls::given_up_at(const Call& call, std::size_t part) const {
-  const Outgoing& message = call.messages[part];
+// Without hedging, a retry must not overlap the call in flight: a message is given up only when its call ends
+// or at its deadline, after which it is not retried.
+Microseconds Calls::give_up_time(const Call& call, std::size_t index) const {
+  const Outgoing& message = call.messages[index];
   const bool nothing_sent = call.stage == Call::Stage::connecting;
-  if (limits_.hedging || nothing_sent) return call.sent + message.timeout;
-  return std::min(call.sent + std::max(message.time_left, message.timeout), call.last_timeout());
+  if (limits_.hedging || nothing_sent) return call.started_at + message.timeout;
+  return std::min(call.started_at + std::max(message.time_left, message.timeout), call.last_timeout());
 }
 
-void Calls::give_up_due(const std::shared_ptr<Call>& call) {
+void Calls::give_up_expired(const std::shared_ptr<Call>& call) {
   const Microseconds now = steady_now();
   for (std::size_t i = 0; i < call->messages.size(); i++) {
-    if (call->over[i] || now < given_up_at(*call, i)) continue;
-    // Once its first byte is on the way, a call that is given up may have run.
+    if (call->ended[i] || now < give_up_time(*call, i)) continue;
+    // From its first byte on, a call that is given up may have been processed.
     const bool connecting = call->stage == Call::Stage::connecting;
-    const Outcome begun = call->cancelled[i] ? Outcome::cancelled : Outcome::timeout;
-    end(call, i, connecting ? Outcome::connect_failed : begun);
+    const Outcome written_outcome = call->cancelled[i] ? Outcome::cancelled : Outcome::timeout;
+    end_message(call, i, connecting ? Outcome::connect_failed : written_outcome);
   }
 }
 
-void Calls::end(const std::shared_ptr<Call>& call, std::size_t part, Outcome outcome, bool closed) {
-  if (call->over[part]) return;
-  call->over[part] = true;
-  const auto mine = by_message_.find(call->messages[part].id);
-  if (mine != by_message_.end() && mine->second == call) by_message_.erase(mine);
+void Calls::end_message(const std::shared_ptr<Call>& call, std::size_t index, Outcome outcome,
+                        bool request_completed) {
+  if (call->ended[index]) return;
+  call->ended[index] = true;
+  const auto found = calls_by_message_.find(call->messages[index].id);
+  if (found != calls_by_message_.end() && found->second == call) calls_by_message_.erase(found);
   const bool given_up =
       outcome == Outcome::reset || outcome == Outcome::timeout || outcome == Outcome::cancelled;
-  if (given_up && call->delivered()) outcome = Outcome::served, closed = true;
-  heronvane::dispatch::event::AttemptEnded e;
-  e.id = call->messages[part].id;
-  e.attempt = call->messages[part].attempt;
-  e.endpoint = call->endpoint;
-  e.outcome = outcome;
-  e.latency = steady_now() - call->sent;
-  e.request_completed = closed;
-  e.retry_after = call->told_wait;
-  e.load_report = call->report;
-  if (--call->left == 0) {
+  if (given_up && call->delivered()) outcome = Outcome::served, request_completed = true;
+  heronvane::dispatch::event::AttemptEnded attempt_end;
+  attempt_end.id = call->messages[index].id;
+  attempt_end.attempt = call->messages[index].attempt;
+  attempt_end.endpoint = call->endpoint;
+  attempt_end.outcome = outcome;
+  attempt_end.latency = steady_now() - call->started_at;
+  attempt_end.request_completed = request_completed;
+  attempt_end.retry_after = call->retry_after;
+  attempt_end.load_report = call->report;
+  if (--call->unended == 0) {
     call->stage = Call::Stage::done;
     call->timer.cancel();
-    call->read_pause.cancel();
+    call->read_retry_timer.cancel();
     remove_call(call);
-    // Given up or broken: no answer may come on this connection any more.
+    // Given up or broken: a late answer on this connection would be read as that of the next call.
     error_code ignored;
-    if (call->connection && !call->sound) {
-      connections_.unsound += call->connection->socket.is_open();
+    if (call->connection && !call->reusable) {
+      counters_.not_reusable += call->connection->socket.is_open();
       call->connection->socket.close(ignored);
     }
     call->connection.reset();
   }
-  ended_(e);
+  ended_(attempt_end);
 }
 
-void Calls::end_all(const std::shared_ptr<Call>& call, Outcome outcome, bool closed) {
-  for (std::size_t i = 0; i < call->messages.size(); i++) end(call, i, outcome, closed);
+void Calls::end_all_messages(const std::shared_ptr<Call>& call, Outcome outcome, bool request_completed) {
+  for (std::size_t i = 0; i < call->messages.size(); i++) end_message(call, i, outcome, request_completed);
 }
 
 void Calls::remove_call(const std::shared_ptr<Call>& call) {
-  const auto of = calls_.find(call->endpoint);
-  if (of == calls_.end()) return;
-  const auto at = std::find(of->second.begin(), of->second.end(), call);
-  if (at == of->second.end()) return;  // there was no room for it
+  const auto entry = calls_by_endpoint_.find(call->endpoint);
+  if (entry == calls_by_endpoint_.end()) return;
+  const auto position = std::find(entry->second.begin(), entry->second.end(), call);
+  if (position == entry->second.end()) return;  // send() had no capacity for it
   in_flight_--;
-  *at = std::move(of->second.back());
-  of->second.pop_back();
-  if (of->second.empty()) calls_.erase(of);
+  *position = std::move(entry->second.back());
+  entry->second.pop_back();
+  if (entry->second.empty()) calls_by_endpoint_.erase(entry);
 }
 
 void Calls::cancel(MessageId id, int attempt) {
-  const auto found = by_message_.find(id);
-  if (found == by_message_.end()) return;
+  const auto found = calls_by_message_.find(id);
+  if (found == calls_by_message_.end()) return;
   const auto call = found->second;
-  // As when its time is up: an answer that is here counts.
-  if (call->stage == Call::Stage::waiting && take(call) == Taken::ended) return;
+  // As at a timeout, an answer that has arrived counts.
+  if (call->stage == Call::Stage::waiting && read_available(call) == ReadResult::ended) return;
   for (std::size_t i = 0; i < call->messages.size(); i++) {
     Outgoing& message = call->messages[i];
-    if (call->over[i] || message.id != id || message.attempt != attempt) continue;
+    if (call->ended[i] || message.id != id || message.attempt != attempt) continue;
     call->cancelled[i] = true;
-    message.timeout = std::min(message.timeout, steady_now() - call->sent);
+    message.timeout = std::min(message.timeout, steady_now() - call->started_at);
   }
-  give_up_due(call);
-  // Before its first byte the timer may stand for the call's beginning.
-  if (call->stage != Call::Stage::connecting) arm(call);
+  give_up_expired(call);
+  // While connecting, the timer may be that of begin_at(), which must not be replaced.
+  if (call->stage != Call::Stage::connecting) set_timer(call);
 }
 
 void Calls::abort_unsent(const EndpointId& endpoint) {
-  const auto of = calls_.find(endpoint);
-  if (of == calls_.end()) return;
-  for (const auto& call : std::vector<std::shared_ptr<Call>>(of->second))
-    if (call->stage == Call::Stage::connecting) end_all(call, Outcome::not_sent);
+  const auto entry = calls_by_endpoint_.find(endpoint);
+  if (entry == calls_by_endpoint_.end()) return;
+  for (const auto& call : std::vector<std::shared_ptr<Call>>(entry->second))
+    if (call->stage == Call::Stage::connecting) end_all_messages(call, Outcome::not_sent);
 }
 
 void Calls::read_pending_answers() {
-  std::vector<std::shared_ptr<Call>> all;
-  for (const auto& [endpoint, calls] : calls_) all.insert(all.end(), calls.begin(), calls.end());
-  for (const auto& call : all)
-    if (call->stage == Call::Stage::waiting) take(call);
+  std::vector<std::shared_ptr<Call>> all_calls;
+  for (const auto& [endpoint, calls] : calls_by_endpoint_)
+    all_calls.insert(all_calls.end(), calls.begin(), calls.end());
+  for (const auto& call : all_calls)
+    if (call->stage == Call::Stage::waiting) read_available(call);
 }
 
 void Calls::abort_all_unsent() {
-  std::vector<EndpointId> all;
-  for (const auto& [endpoint, calls] : calls_) all.push_back(endpoint);
-  for (const auto& endpoint : all) abort_unsent(endpoint);
+  std::vector<EndpointId> all_endpoints;
+  for (const auto& [endpoint, calls] : calls_by_endpoint_) all_endpoints.push_back(endpoint);
+  for (const auto& endpoint : all_endpoints) abort_unsent(endpoint);
 }
 
-void Calls::keep(const EndpointId& endpoint, const std::shared_ptr<Connection>& connection) {
-  const auto found = places_.find(endpoint);
-  if (found == places_.end() || connection->address != found->second) return;
-  if (in_flight_ + kept_.size() >= limits_.max_connections) {
-    connections_.not_kept++;
+void Calls::keep_connection(const EndpointId& endpoint, const std::shared_ptr<Connection>& connection) {
+  const auto found = addresses_.find(endpoint);
+  if (found == addresses_.end() || connection->address != found->second) return;
+  if (in_flight_ + idle_pool_.size() >= limits_.max_connections) {
+    counters_.not_kept++;
     return;
   }
-  const bool first = kept_.empty();
-  kept_.put(endpoint, connection, steady_now());
-  if (first) sweep();
-  watch_idle(connection, endpoint);
+  const bool was_empty = idle_pool_.empty();
+  idle_pool_.put(endpoint, connection, steady_now());
+  if (was_empty) close_expired();
+  watch_idle_connection(connection, endpoint);
 }
 
-// A kept connection that becomes readable was closed by the endpoint, or holds what nobody asked for.
-void Calls::watch_idle(const std::shared_ptr<Connection>& connection, const EndpointId& endpoint) {
+// An idle connection that becomes readable was closed by the endpoint or holds unexpected data.
+void Calls::watch_idle_connection(const std::shared_ptr<Connection>& connection, const EndpointId& endpoint) {
   connection->socket.async_wait(tcp::socket::wait_read,
-                                [this, weak = std::weak_ptr(connection), endpoint](error_code bad) {
+                                [this, weak = std::weak_ptr(connection), endpoint](error_code error) {
                                   const auto readable = weak.lock();
-                                  if (!bad && readable) drop(endpoint, readable.get());
+                                  if (!error && readable) drop_closed_connection(endpoint, readable.get());
                                 });
 }
 
-void Calls::drop(const EndpointId& endpoint, const Connection* connection) {
-  connections_.closed_there++;
-  kept_.drop(endpoint, connection);
+void Calls::drop_closed_connection(const EndpointId& endpoint, const Connection* connection) {
+  counters_.closed_by_endpoint++;
+  idle_pool_.drop(endpoint, connection);
 }
 
-void Calls::close_idle(const EndpointId& endpoint) { connections_.dropped += kept_.drop_all(endpoint); }
+void Calls::close_idle(const EndpointId& endpoint) {
+  counters_.closed_on_request += idle_pool_.drop_all(endpoint);
+}
 
-// Closes kept connections before their end comes; sleeps until the next is due.
-void Calls::sweep() {
-  const Microseconds now = steady_now(), most = static_cast<Microseconds>(
-                                             kKeptPart * static_cast<double>(limits_.endpoint_idle_timeout));
-  connections_.aged += kept_.drop_idle_since(now - most);
-  if (kept_.empty()) return;
-  sweep_timer_.set(span(kept_.oldest() + most - now), [this] { sweep(); });
+// Closes idle connections before the endpoint does; sets a timer for the next one.
+void Calls::close_expired() {
+  const Microseconds now = steady_now(),
+                     max_idle = static_cast<Microseconds>(kMaxIdleFraction *
+                                                          static_cast<double>(limits_.endpoint_idle_timeout));
+  counters_.expired += idle_pool_.drop_idle_since(now - max_idle);
+  if (idle_pool_.empty()) return;
+  expiry_timer_.set(to_duration(idle_pool_.oldest() + max_idle - now), [this] { close_expired(); });
 }
 
 }  // namespace heronvane
--- a/relay/calls.hpp
+++ b/relay/calls.hpp
@@ -1,8 +1,9 @@
-// Calls to endpoints: connections, bundles, outcomes.
+// Sends HTTP calls to endpoints, one message or a bundle each, and reports the outcome of every message.
 //
-// A connection carries one call at a time; kept ones are used freshest first and closed before the endpoint
-// would. Each message in a call has its own time-out; the call ends with the last of them. Where no second
-// copies are allowed, a message whose time is up stays in its call until that ends, or until its deadline.
+// A connection carries one call at a time. Idle connections are kept for reuse, the most recently used first,
+// and closed before the endpoint's own idle timeout. Each message has its own timeout; a call ends when all
+// its messages have ended. Without hedging, a message whose timeout has passed stays in its call until the
+// call ends or the message's deadline passes.
 #pragma once
 
 #include <array>
@@ -26,65 +27,72 @@
 using heronvane::dispatch::MessageId;
 using heronvane::dispatch::Outcome;
 
+// A message to be sent in a call.
 struct Outgoing {
   MessageId id = 0;
   int attempt = 0;
-  Microseconds timeout = 0;
-  Microseconds time_left = 0;  // until its deadline, from the sending on; `timeout` where that is longer
+  Microseconds timeout = 0;    // of the attempt, from send() on
+  Microseconds time_left = 0;  // until its deadline, from send() on; ignored if shorter than `timeout`
   std::string wire_id, body;
-  std::string idempotency_key;  // empty: none
-  Microseconds begin_by = 0;    // its call may begin until then, as steady_now() tells it; 0: whenever
+  std::string idempotency_key;  // empty if the client gave none
+  Microseconds begin_by = 0;    // latest steady_now() at which the call may be written; 0: no limit
 };
 
+// Limits and options of all calls of a process.
 struct CallLimits {
-  std::size_t max_in_flight = 1;  // calls out at once
+  std::size_t max_in_flight = 1;  // calls in flight
   Microseconds connect_timeout = 0;
-  Microseconds endpoint_idle_timeout = 0;  // endpoints close connections that were idle for so long
-  std::size_t max_connections = 1;         // of calls out and kept ones together
-  bool read_load_reports = false;          // answers may hold load reports
-  bool hedging = false;                    // a message may be sent again while a call with it is out
-  bool wait_for_reuse = true;  // a call waits for a kept connection that rests, in place of opening one
+  Microseconds endpoint_idle_timeout = 0;  // after which endpoints close idle connections
+  std::size_t max_connections = 1;         // in flight and idle together
+  bool read_load_reports = false;          // from the answers' X-Load header
+  bool hedging = false;        // a message may be retried while an earlier call with it is in flight
+  bool wait_for_reuse = true;  // wait for a connection in its reuse delay rather than open a new one
 };
 
+// Owned by the executor; used on the event loop's thread only, where the callbacks run, too.
 class Calls {
  public:
   using AttemptEndedCallback = std::function<void(const heronvane::dispatch::event::AttemptEnded&)>;
 
-  // Asked right before a call begins; where it says no the call ends as not sent.
+  // Called right before a request is written; if it returns false, the call ends as not sent. It may itself
+  // abort calls.
   using MayBeginCallback = std::function<bool()>;
 
   Calls(boost::asio::io_context& io, const CallLimits& limits, AttemptEndedCallback ended,
         MayBeginCallback may_begin);
   ~Calls();
 
-  // Where an endpoint is found; kept connections to another address are closed.
+  // Sets the address of an endpoint. If it changed, idle connections to the old one are closed.
   void set_address(const EndpointId& endpoint, const boost::asio::ip::tcp::endpoint& address);
-  void remove_endpoint(const EndpointId& endpoint);  // it is gone
-  // One call; `ended` hears of each message once, never from inside send().
+  void remove_endpoint(const EndpointId& endpoint);
+  // Starts one call with all `messages`. The AttemptEndedCallback runs once for each of them, never from
+  // inside send(). They end as not sent where the limit of calls in flight is reached or the endpoint has no
+  // address.
   void send(const EndpointId& endpoint, std::vector<Outgoing> messages);
+  // Ends an attempt. Without hedging, a message of a bundle that was written already ends with the bundle.
   void cancel(MessageId id, int attempt);
-  void close_idle(const EndpointId& endpoint);
-  // Ends, as not sent, the calls to an endpoint of which no byte has gone out.
+  void close_idle(const EndpointId& endpoint);  // its idle connections
+  // Ends, as not sent, the calls to an endpoint that have not been written yet.
   void abort_unsent(const EndpointId& endpoint);
   void abort_all_unsent();
-  // Reads the answers that are here, as the loop would in its next turn.
+  // Reads the answers that have arrived without waiting for the event loop's next iteration.
   void read_pending_answers();
 
   std::size_t in_flight() const { return in_flight_; }
-  std::size_t kept() const { return kept_.size(); }
+  std::size_t idle_connections() const { return idle_pool_.size(); }
 
-  // Since the start: how many connections were opened, and where those went that could have been used again.
-  struct Connections {
+  // Counts since the start: connections opened, and why connections were closed rather than reused.
+  struct ConnectionCounters {
     std::uint64_t opened = 0;
-    std::uint64_t closed_there = 0;  // kept ones that the endpoint closed, or sent something on
-    std::uint64_t aged = 0;          // closed for their age, before the endpoint would
-    std::uint64_t evicted = 0;       // for want of room, for a call that needed one
-    std::uint64_t not_kept = 0;      // for want of room, after their call
-    std::uint64_t dropped = 0;       // as the module asked
-    std::uint64_t moved = 0;         // their endpoint is gone, or elsewhere
-    std::uint64_t unsound = 0;  // not to be used again: answers that end a connection, spoilt ones, time-outs
+    std::uint64_t closed_by_endpoint = 0;  // idle, closed by the endpoint or with unexpected data
+    std::uint64_t expired = 0;             // idle, closed before the endpoint's idle timeout
+    std::uint64_t evicted = 0;             // idle, closed at the connection limit for a call's connection
+    std::uint64_t not_kept = 0;            // closed after their call at the connection limit
+    std::uint64_t closed_on_request = 0;   // by close_idle()
+    std::uint64_t address_changed = 0;     // the endpoint was removed or moved to another address
+    std::uint64_t not_reusable = 0;        // after a timeout, a broken answer or one that ends the connection
   };
-  const Connections& connections() const { return connections_; }
+  const ConnectionCounters& connections() const { return counters_; }
 
  private:
   struct Connection;
@@ -95,36 +103,37 @@
   void connect(const std::shared_ptr<Call>& call, const boost::asio::ip::tcp::endpoint& address);
   void write(const std::shared_ptr<Call>& call);
   void read(const std::shared_ptr<Call>& call);
-  enum class Taken { ended, waiting, shortage };
-  Taken take(const std::shared_ptr<Call>& call);
-  void answered(const std::shared_ptr<Call>& call);
-  void broken(const std::shared_ptr<Call>& call);
-  void answered_bundle(const std::shared_ptr<Call>& call);
-  void arm(const std::shared_ptr<Call>& call);
-  // When a message that is not over is given up.
-  Microseconds given_up_at(const Call& call, std::size_t part) const;
-  void give_up_due(const std::shared_ptr<Call>& call);
-  void end(const std::shared_ptr<Call>& call, std::size_t part, Outcome outcome, bool closed = false);
-  void end_all(const std::shared_ptr<Call>& call, Outcome outcome, bool closed = false);
-  void keep(const EndpointId& endpoint, const std::shared_ptr<Connection>& connection);
-  void watch_idle(const std::shared_ptr<Connection>& connection, const EndpointId& endpoint);
-  void drop(const EndpointId& endpoint, const Connection* connection);
-  void sweep();
+  enum class ReadResult { ended, waiting, shortage };
+  ReadResult read_available(const std::shared_ptr<Call>& call);
+  void handle_answer(const std::shared_ptr<Call>& call);
+  void handle_broken_answer(const std::shared_ptr<Call>& call);
+  void handle_bundle_answer(const std::shared_ptr<Call>& call);
+  void set_timer(const std::shared_ptr<Call>& call);
+  // When to give up a message that has not ended.
+  Microseconds give_up_time(const Call& call, std::size_t index) const;
+  void give_up_expired(const std::shared_ptr<Call>& call);
+  void end_message(const std::shared_ptr<Call>& call, std::size_t index, Outcome outcome,
+                   bool request_completed = false);
+  void end_all_messages(const std::shared_ptr<Call>& call, Outcome outcome, bool request_completed = false);
+  void keep_connection(const EndpointId& endpoint, const std::shared_ptr<Connection>& connection);
+  void watch_idle_connection(const std::shared_ptr<Connection>& connection, const EndpointId& endpoint);
+  void drop_closed_connection(const EndpointId& endpoint, const Connection* connection);
+  void close_expired();
   void remove_call(const std::shared_ptr<Call>& call);
 
   boost::asio::io_context& io_;
   CallLimits limits_;
   AttemptEndedCallback ended_;
   MayBeginCallback may_begin_;
-  CounterLog odd_;
-  std::array<char, 16 * 1024> chunk_{};  // what was read last
-  Timer sweep_timer_;
-  std::unordered_map<EndpointId, boost::asio::ip::tcp::endpoint> places_;
-  std::unordered_map<EndpointId, std::vector<std::shared_ptr<Call>>> calls_;  // out, by endpoint
-  std::unordered_map<MessageId, std::shared_ptr<Call>> by_message_;  // their messages, until each is over
+  CounterLog unexpected_answers_;
+  std::array<char, 16 * 1024> read_buffer_{};  // used by one read at a time
+  Timer expiry_timer_;
+  std::unordered_map<EndpointId, boost::asio::ip::tcp::endpoint> addresses_;
+  std::unordered_map<EndpointId, std::vector<std::shared_ptr<Call>>> calls_by_endpoint_;  // in flight
+  std::unordered_map<MessageId, std::shared_ptr<Call>> calls_by_message_;  // until the message ends
   std::size_t in_flight_ = 0;
-  IdleConnectionPool<Connection> kept_;
-  Connections connections_;
+  IdleConnectionPool<Connection> idle_pool_;
+  ConnectionCounters counters_;
 };
 
 }  // namespace heronvane
--- a/relay/endpoint_list.hpp
+++ b/relay/endpoint_list.hpp
@@ -1,4 +1,4 @@
-// The endpoint list in discovery's form, as the configuration and the control plane give it.
+// Reads the endpoint list in discovery's JSON form, which the configuration uses, too.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -11,25 +11,25 @@
 
 namespace heronvane {
 
-// An entry of the list, and where it is found.
+// An entry of the list, and the endpoint's address.
 struct ListedEndpoint {
   heronvane::dispatch::Endpoint endpoint;
   boost::asio::ip::tcp::endpoint address;
 };
 
-// A snapshot of the endpoint list or an update to it. A long one comes in parts, and other lists may come
-// between them.
+// A snapshot of the endpoint list or an update to it. A long one is delivered in parts, and other lists may
+// be delivered between them.
 struct EndpointList {
-  std::int64_t index = 0;  // grows with each change at one discovery
-  bool snapshot = false;   // all endpoints; else those that changed
+  std::int64_t index = 0;  // increases with each change; comparable within one discovery only
+  bool snapshot = false;   // true: all endpoints; false: those that changed
   std::vector<ListedEndpoint> endpoints;
   std::uint64_t serial = 0;  // the same for all parts of a list, and above that of earlier lists
   bool first_part = true;
   bool last_part = true;
 };
 
-// Reads a list that stands at `path` of its document, as one part. Zones and kinds are numbered by `names`.
-// Throws WireError.
+// Reads a list as one part. Zones and kinds are numbered by `names`. Throws WireError; `path` is the list's
+// path in its document, for error messages.
 EndpointList read_endpoint_list(const heronvane::dispatch::adapter::Value& object, const std::string& path,
                                 const heronvane::dispatch::adapter::NameTables& names);
 
--- a/relay/endpoint_view.cpp
+++ b/relay/endpoint_view.cpp
@@ -44,7 +44,8 @@
       hooks_.located);
   list_received_ = list_received_ || list.last_part;
   for (const auto& id : changes.inactive) hooks_.inactive(id);
-  // One complete list later, rather than all changes, while the module can't be asked.
+  // While the journal can't be written, the module is not called; resynchronize() passes on one full list
+  // later.
   if (committer_.is_writable()) {
     notify(changes.endpoints);
   } else {
@@ -52,16 +53,16 @@
   }
 }
 
-// In parts: a module that is told of thousands at once would hold up clients.
+// Passes on the changes in parts: processing thousands at once would hold up clients.
 void EndpointView::notify(const std::vector<Endpoint>& endpoints) {
-  constexpr std::size_t kMostEndpoints = 1'000;
-  const bool others_wait = !parts_.empty();
-  for (std::size_t at = 0; at == 0 || at < endpoints.size(); at += kMostEndpoints) {
-    const auto first = endpoints.begin() + static_cast<std::ptrdiff_t>(at);
-    const auto size = std::min(kMostEndpoints, endpoints.size() - at);
+  constexpr std::size_t kMaxEndpointsPerPart = 1'000;
+  const bool parts_pending = !parts_.empty();
+  for (std::size_t offset = 0; offset == 0 || offset < endpoints.size(); offset += kMaxEndpointsPerPart) {
+    const auto first = endpoints.begin() + static_cast<std::ptrdiff_t>(offset);
+    const auto size = std::min(kMaxEndpointsPerPart, endpoints.size() - offset);
     parts_.emplace_back(first, first + static_cast<std::ptrdiff_t>(size));
   }
-  if (!others_wait) notify_next_part();
+  if (!parts_pending) notify_next_part();
 }
 
 void EndpointView::notify_next_part() {
@@ -92,16 +93,16 @@
 }
 
 void EndpointView::store_learned_state() {
-  constexpr std::size_t kMostStates = 64;  // the rest follow with the next cycle
-  // The rest of the share is for endpoints that drain or are gone: these bind.
+  constexpr std::size_t kMaxStatesPerCycle = 64;  // the rest follow with the next cycle
+  // The other half is reserved for the list of draining and removed endpoints, which must not be lost.
   constexpr unsigned kFactsPercent = 50;
   if (!config_.own.store.keep_health && !config_.own.store.keep_waits) return;
   store::Store& store = committer_.store();
   const Microseconds now = store.clock().now();
-  for (const auto& state : cycle_.take_changed_state(kMostStates)) {
+  for (const auto& state : cycle_.take_changed_state(kMaxStatesPerCycle)) {
     const std::string key = learned_state_key(state.endpoint);
     const std::string value = state.blank() ? std::string() : encode(LearnedStateRecord{state, now});
-    // Better nothing than a state that does not hold any more.
+    // If the new state can't be stored, remove the outdated one.
     if (!store.keep(key, value, kFactsPercent)) store.keep(key, {});
   }
 }
--- a/relay/endpoint_view.hpp
+++ b/relay/endpoint_view.hpp
@@ -1,5 +1,5 @@
-// What the relay knows of endpoints: the list as discovery and the configuration tell it, and what the
-// decision module learned in earlier incarnations. Tells the module of changes.
+// The relay's view of endpoints: the list from discovery and the configuration, and the state that the
+// decision module learned in earlier incarnations. Passes changes on to the module.
 #pragma once
 
 #include <deque>
@@ -16,36 +16,36 @@
 
 namespace heronvane {
 
-// Owned by the relay, outlived by it, by `config`, `committer` and `cycle`; called on the event loop's thread
-// only, and calls back there.
+// Owned by the relay. `config`, `committer` and `cycle` must outlive it. Used on the event loop's thread
+// only, where the hooks run, too.
 class EndpointView {
  public:
   struct Hooks {
-    // Where an endpoint of a list is found.
+    // An endpoint of a list was added or its address may have changed.
     Directory::Named located;
-    // An endpoint drains or is gone: nothing that has not begun is sent there.
+    // An endpoint drains or is gone: no new call may begin there.
     std::function<void(const EndpointId&)> inactive;
   };
 
-  // Takes back what earlier incarnations stored of the list and of endpoints.
+  // Reads what earlier incarnations stored about the list and about endpoints.
   EndpointView(const Config& config, Committer& committer, DecisionCycle& cycle, Hooks hooks);
 
-  // Takes the configuration's list, as far as later lists do not say otherwise, as the module's first event.
+  // Passes the configuration's list to the module as its first event, except where stored later lists differ.
   void start();
-  // Gives the module what was learned earlier of the endpoints that are listed now.
+  // Passes the stored learned state of the endpoints listed now to the module.
   void restore_learned_state();
 
-  // A list or changes of one, as told by discovery at that address.
+  // Applies a list or an update from the discovery at that address.
   void apply(EndpointList list, const std::string& discovery);
-  // Tells the module the next part of a list that is told in parts.
+  // Passes the next part of a list to the module, if any is pending.
   void notify_next_part();
-  // Tells the module the whole list, where it changed while the module could not be asked.
+  // Passes the full list to the module if it changed while the module could not be called.
   void resynchronize();
-  // Stores what the module has learned since.
+  // Stores what the module learned since the last call, for a limited number of endpoints at a time.
   void store_learned_state();
 
   const Directory& directory() const { return directory_; }
-  // Whether discovery has told a complete list to this process.
+  // Whether discovery has delivered a complete list to this process.
   bool list_received() const { return list_received_; }
 
  private:
@@ -58,10 +58,10 @@
   const Hooks hooks_;
   Directory directory_;
   UnavailableEndpoints unavailable_endpoints_;
-  RestoredStates stored_states_;  // by earlier incarnations, not given back to the module yet
-  std::deque<std::vector<heronvane::dispatch::Endpoint>> parts_;  // of lists, not told to the module yet
+  RestoredStates stored_states_;  // of earlier incarnations, not passed to the module yet
+  std::deque<std::vector<heronvane::dispatch::Endpoint>> parts_;  // of lists, not passed to the module yet
   bool list_received_ = false;
-  bool resync_due_ = false;  // the list changed while the module could not be asked
+  bool resync_due_ = false;  // the list changed while the module could not be called
 };
 
 }  // namespace heronvane
--- a/relay/frontends/admin_request.cpp
+++ b/relay/frontends/admin_request.cpp
@@ -13,21 +13,21 @@
 
 const std::string kMessages = "/v1/messages/", kTakeOver = "/v1/takeover/";
 
-void field(Writer& w, const char* key, const std::string& v) {
-  w.Key(key), w.String(v.data(), static_cast<rapidjson::SizeType>(v.size()));
+void field(Writer& writer, const char* key, const std::string& value) {
+  writer.Key(key), writer.String(value.data(), static_cast<rapidjson::SizeType>(value.size()));
 }
 
 std::string error_json(const std::string& code, const std::string& message, const std::string& hint,
                        std::optional<Fence> fence) {
   rapidjson::StringBuffer buffer;
-  Writer w(buffer);
-  w.StartObject();
-  w.Key("error");
-  w.StartObject();
-  field(w, "code", code), field(w, "message", message), field(w, "hint", hint);
-  if (fence) w.Key("fence"), w.Int64(*fence);
-  w.EndObject();
-  w.EndObject();
+  Writer writer(buffer);
+  writer.StartObject();
+  writer.Key("error");
+  writer.StartObject();
+  field(writer, "code", code), field(writer, "message", message), field(writer, "hint", hint);
+  if (fence) writer.Key("fence"), writer.Int64(*fence);
+  writer.EndObject();
+  writer.EndObject();
   return {buffer.GetString(), buffer.GetSize()};
 }
 
@@ -38,7 +38,7 @@
   return -1;
 }
 
-// "%2F" and the like; nothing where that is broken, or holds what no id may.
+// Decodes percent-encoding; nothing if that is malformed, or the result is empty or not visible ASCII.
 std::optional<std::string> decoded(const std::string& text) {
   std::string out;
   for (std::size_t i = 0; i < text.size(); i++) {
@@ -57,25 +57,26 @@
 template <class Fenced>
 AdminRequest fenced(const std::string& method, const std::string& body) {
   if (method != "POST")
-    return admin_error(405, "bad_request", method + ": this is asked by POST", "use POST");
-  const char* const hint = "the body is {\"fence\":N}, N the operation's id";
-  rapidjson::Document v;
-  // Not by recursion, which thousands of open brackets would take past the stack's end.
-  v.Parse<rapidjson::kParseIterativeFlag>(body.data(), body.size());
-  if (v.HasParseError())
+    return admin_error(405, "bad_request", method + ": the method must be POST", "use POST");
+  const char* const hint = "the body is {\"fence\":N} with the operation's id as N";
+  rapidjson::Document document;
+  // The recursive parser would overflow the stack on thousands of nested brackets.
+  document.Parse<rapidjson::kParseIterativeFlag>(body.data(), body.size());
+  if (document.HasParseError())
     return admin_error(400, "bad_request",
-                       "the body is no JSON, at byte " + std::to_string(v.GetErrorOffset()), hint);
-  if (!v.IsObject()) return admin_error(400, "bad_request", "the body is no object", hint);
-  const auto it = v.FindMember("fence");
-  if (it == v.MemberEnd() || !it->value.IsInt64() || it->value.GetInt64() < 0 ||
-      it->value.GetInt64() > kMostFence)
+                       "the body is not valid JSON, at byte " + std::to_string(document.GetErrorOffset()),
+                       hint);
+  if (!document.IsObject()) return admin_error(400, "bad_request", "the body is not a JSON object", hint);
+  const auto fence = document.FindMember("fence");
+  if (fence == document.MemberEnd() || !fence->value.IsInt64() || fence->value.GetInt64() < 0 ||
+      fence->value.GetInt64() > kMostFence)
     return admin_error(400, "bad_request",
                        "fence: must be a whole number from 0 to " + std::to_string(kMostFence), hint);
-  return Fenced{it->value.GetInt64()};
+  return Fenced{fence->value.GetInt64()};
 }
 
 AdminRequest only_get(const std::string& method, AdminRequest request) {
-  if (method != "GET") return admin_error(405, "bad_request", method + ": this is asked by GET", "use GET");
+  if (method != "GET") return admin_error(405, "bad_request", method + ": the method must be GET", "use GET");
   return request;
 }
 
@@ -85,11 +86,11 @@
                         const std::string& hint) {
   return {status, error_json(code, message, hint, std::nullopt)};
 }
-AdminAnswer admin_fenced(Fence asked, Fence highest) {
+AdminAnswer admin_fenced(Fence fence, Fence highest) {
   return {409, error_json("fenced",
-                          "fence " + std::to_string(asked) + " is lower than " + std::to_string(highest) +
+                          "fence " + std::to_string(fence) + " is lower than " + std::to_string(highest) +
                               ", the highest seen",
-                          "a later operation has this relay: look at it first", highest)};
+                          "a later operation controls this relay: check that operation first", highest)};
 }
 
 AdminRequest read_admin_request(const std::string& method, const std::string& target,
@@ -102,17 +103,17 @@
   if (path.compare(0, kMessages.size(), kMessages) == 0) {
     auto id = decoded(path.substr(kMessages.size()));
     if (!id)
-      return admin_error(400, "bad_request", "the message's id can't be read",
-                         "visible ASCII, others than letters and digits as %XX");
+      return admin_error(400, "bad_request", "malformed message id",
+                         "visible ASCII; %XX for all but letters and digits");
     return only_get(method, admin::GetMessage{std::move(*id)});
   }
   if (path.compare(0, kTakeOver.size(), kTakeOver) == 0) {
     auto name = decoded(path.substr(kTakeOver.size()));
     if (!name)
-      return admin_error(400, "bad_request", "the relay's name can't be read",
-                         "visible ASCII, others than letters and digits as %XX");
+      return admin_error(400, "bad_request", "malformed relay name",
+                         "visible ASCII; %XX for all but letters and digits");
     if (method != "POST")
-      return admin_error(405, "bad_request", method + ": this is asked by POST", "use POST");
+      return admin_error(405, "bad_request", method + ": the method must be POST", "use POST");
     return admin::TakeOver{std::move(*name)};
   }
   return admin_error(
--- a/relay/frontends/admin_request.hpp
+++ b/relay/frontends/admin_request.hpp
@@ -1,5 +1,4 @@
-// What a request to the admin socket asks for, and the form of its answers (docs/design/fleet.md). No input
-// or output here.
+// Parses requests to the admin socket and formats its answers (docs/design/fleet.md). Performs no I/O.
 #pragma once
 
 #include <string>
@@ -12,7 +11,7 @@
 namespace admin {
 struct GetStatus {};
 struct GetMessage {
-  std::string id;  // the client's
+  std::string id;  // as the client gave it
 };
 struct Drain {
   Fence fence = 0;
@@ -24,7 +23,7 @@
   Fence fence = 0;
 };
 struct TakeOver {
-  std::string name;  // of the relay whose log it is
+  std::string name;  // of the relay whose log is taken over
 };
 }  // namespace admin
 
@@ -33,7 +32,7 @@
   std::string body;  // JSON
 };
 
-// What is asked, or the answer where that makes no sense.
+// The request, or the error answer to an invalid one.
 using AdminRequest = std::variant<admin::GetStatus, admin::GetMessage, admin::Drain, admin::Undrain,
                                   admin::RaiseFence, admin::TakeOver, AdminAnswer>;
 AdminRequest read_admin_request(const std::string& method, const std::string& target,
@@ -42,7 +41,7 @@
 // {"error":{"code":..,"message":..,"hint":..}}
 AdminAnswer admin_error(unsigned status, const std::string& code, const std::string& message,
                         const std::string& hint);
-// Under a lower fence than the highest seen.
-AdminAnswer admin_fenced(Fence asked, Fence highest);
+// The answer to a request whose fence is lower than the highest one seen.
+AdminAnswer admin_fenced(Fence fence, Fence highest);
 
 }  // namespace heronvane
--- a/relay/frontends/admin_server.cpp
+++ b/relay/frontends/admin_server.cpp
@@ -27,39 +27,40 @@
 
 namespace {
 
-constexpr std::size_t kMostSessions = 8;
-constexpr auto kRequestTime = std::chrono::seconds(5);  // for a request to come whole, and an answer to go
-constexpr auto kIdleTime = std::chrono::seconds(60);
-constexpr auto kAcceptPause = std::chrono::milliseconds(50);
-// After a request that took so long, none is answered for so many times that: a tenth of the loop at most.
-constexpr Microseconds kRestTimes = 9;
-constexpr std::size_t kMostPath = sizeof(sockaddr_un::sun_path) - 1;
+constexpr std::size_t kMaxSessions = 8;
+constexpr auto kRequestTimeout = std::chrono::seconds(5);  // for reading a request, and for writing an answer
+constexpr auto kIdleTimeout = std::chrono::seconds(60);
+constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(50);
+// After each request, the next one waits for this multiple of the time that it took, so that admin requests
+// take at most a tenth of the event loop's time.
+constexpr Microseconds kPauseFactor = 9;
+constexpr std::size_t kMaxPathBytes = sizeof(sockaddr_un::sun_path) - 1;
 
-// What is made meanwhile is for its owner alone.
-class OwnerOnly {
+// While it exists, new files and sockets are accessible to their owner only.
+class OwnerOnlyUmask {
  public:
-  OwnerOnly() : before_(::umask(0177)) {}
-  ~OwnerOnly() { ::umask(before_); }
-  OwnerOnly(const OwnerOnly&) = delete;
-  OwnerOnly& operator=(const OwnerOnly&) = delete;
+  OwnerOnlyUmask() : previous_(::umask(0177)) {}
+  ~OwnerOnlyUmask() { ::umask(previous_); }
+  OwnerOnlyUmask(const OwnerOnlyUmask&) = delete;
+  OwnerOnlyUmask& operator=(const OwnerOnlyUmask&) = delete;
 
  private:
-  mode_t before_;
+  mode_t previous_;
 };
 
-local::acceptor listening(net::io_context& io, const std::string& path) {
-  if (path.size() > kMostPath)
+local::acceptor listen_at(net::io_context& io, const std::string& path) {
+  if (path.size() > kMaxPathBytes)
     throw std::runtime_error("admin socket: " + path + " is " + std::to_string(path.size()) +
-                             " bytes long, and the path of a Unix socket has " + std::to_string(kMostPath) +
-                             " at most: take a state folder with a shorter path");
-  struct stat there {};
-  if (::lstat(path.c_str(), &there) == 0) {
-    if (!S_ISSOCK(there.st_mode))
+                             " bytes long, and a Unix socket path has " + std::to_string(kMaxPathBytes) +
+                             " at most: use a state folder with a shorter path");
+  struct stat status {};
+  if (::lstat(path.c_str(), &status) == 0) {
+    if (!S_ISSOCK(status.st_mode))
       throw std::runtime_error("admin socket: " + path + " is there and is no socket: move it away");
     ::unlink(path.c_str());
   }
   try {
-    const OwnerOnly owner_only;
+    const OwnerOnlyUmask owner_only_umask;
     return local::acceptor(io, local::endpoint(path));
   } catch (const boost::system::system_error& e) {
     throw startup::StartError(startup::Step::listener, startup::persistence_of(e.code()),
@@ -68,7 +69,7 @@
 }
 
 template <class Socket>
-bool of_this_user(Socket& socket) {
+bool is_permitted_user(Socket& socket) {
   ucred peer{};
   socklen_t size = sizeof peer;
   if (::getsockopt(socket.native_handle(), SOL_SOCKET, SO_PEERCRED, &peer, &size) != 0) return false;
@@ -80,29 +81,30 @@
 class AdminServer::Session : public std::enable_shared_from_this<Session> {
  public:
   Session(AdminServer& admin, Socket socket)
-      : admin_(admin), socket_(std::move(socket)), timer_(admin.io_), turn_(admin.io_) {}
+      : admin_(admin), socket_(std::move(socket)), timer_(admin.io_), turn_timer_(admin.io_) {}
 
   bool idle() const { return stage_ == Stage::idle; }
-  // Between requests, and none has just come.
-  bool spare() const {
+  // Whether it is between requests and none has just arrived.
+  bool may_be_evicted() const {
     error_code bad;
     return idle() && socket_.available(bad) == 0;
   }
-  Microseconds since() const { return since_; }
+  Microseconds idle_since() const { return idle_since_; }
 
   void start() {
-    since_ = steady_now();
-    if (of_this_user(socket_)) return next();
-    admin_.tally_.add("another user");
-    turn_down(admin_error(403, "forbidden", "another user's relay", "ask as the relay's user, or as root"));
+    idle_since_ = steady_now();
+    if (is_permitted_user(socket_)) return wait_for_next_request();
+    admin_.rejections_.add("another user");
+    reject(admin_error(403, "forbidden", "the relay runs as another user",
+                       "ask as the relay's user or as root"));
   }
-  void refuse() { turn_down(admin_error(503, "busy", "all connections are in use", "come back later")); }
+  void reject_busy() { reject(admin_error(503, "busy", "all connections are in use", "retry later")); }
 
   void close() {
     if (closed_) return;
     closed_ = true;
     error_code ignored;
-    timer_.cancel(), turn_.cancel();
+    timer_.cancel(), turn_timer_.cancel();
     socket_.close(ignored);
     admin_.sessions_.erase(shared_from_this());
   }
@@ -115,13 +117,13 @@
     timer_.set(time, [self = shared_from_this()] { self->close(); });
   }
 
-  void next() {
+  void wait_for_next_request() {
     stage_ = Stage::idle;
-    since_ = steady_now();
+    idle_since_ = steady_now();
     parser_.reset();
     if (buffer_.size() > 0) return read();
-    buffer_ = Buffer(kMostHeader + kMostBody);  // an idle connection holds no memory
-    limit(kIdleTime);
+    buffer_ = Buffer(kMaxHeaderBytes + kMaxBodyBytes);  // an idle connection holds no memory
+    limit(kIdleTimeout);
     socket_.async_wait(Socket::wait_read, [self = shared_from_this()](error_code bad) {
       if (self->closed_) return;
       if (bad) return self->close();
@@ -131,145 +133,151 @@
 
   void read() {
     stage_ = Stage::reading;
-    limit(kRequestTime);
+    limit(kRequestTimeout);
     parser_.emplace();
-    parser_->header_limit(kMostHeader);
-    parser_->body_limit(kMostBody);
+    parser_->header_limit(kMaxHeaderBytes);
+    parser_->body_limit(kMaxBodyBytes);
     http::async_read_header(
         socket_, buffer_, *parser_, [self = shared_from_this()](error_code bad, std::size_t) {
           if (self->closed_) return;
-          if (bad) return self->unreadable(bad);
-          const auto& head = self->parser_->get();
-          if (!framing_certain(head, head.version()))
-            return self->turn_down(
-                admin_error(400, "bad_request", "framing in doubt", "one Content-Length, or chunked"));
+          if (bad) return self->handle_read_error(bad);
+          const auto& header = self->parser_->get();
+          if (!has_unambiguous_framing(header, header.version()))
+            return self->reject(admin_error(400, "bad_request", "ambiguous message framing",
+                                            "use one Content-Length or chunked"));
           self->read_body();
         });
   }
   void read_body() {
     http::async_read(socket_, buffer_, *parser_, [self = shared_from_this()](error_code bad, std::size_t) {
       if (self->closed_) return;
-      if (bad) return self->unreadable(bad);
-      self->handle();
+      if (bad) return self->handle_read_error(bad);
+      self->handle_request();
     });
   }
 
-  void unreadable(error_code bad) {
-    const bool left = bad == http::error::end_of_stream || bad == http::error::partial_message ||
-                      bad.category() == net::error::get_system_category() ||
-                      bad.category() == net::error::get_misc_category();
-    if (left) return close();
-    admin_.tally_.add("can't be read");
-    turn_down(
-        bad == http::error::body_limit
-            ? admin_error(413, "too_large", "the body is too large", "64 KiB at most")
-            : admin_error(400, "bad_request", "no HTTP: " + bad.message(), "HTTP/1.1, 16 KiB of headers"));
+  void handle_read_error(error_code bad) {
+    const bool disconnected = bad == http::error::end_of_stream || bad == http::error::partial_message ||
+                              bad.category() == net::error::get_system_category() ||
+                              bad.category() == net::error::get_misc_category();
+    if (disconnected) return close();
+    admin_.rejections_.add("malformed or too large request");
+    reject(bad == http::error::body_limit
+               ? admin_error(413, "too_large", "the body is too large", "64 KiB at most")
+               : admin_error(400, "bad_request", "malformed HTTP request: " + bad.message(),
+                             "HTTP/1.1 with at most 16 KiB of headers"));
   }
-  void turn_down(AdminAnswer a) {
+  void reject(AdminAnswer answer) {
     close_after_ = true;
-    answer(std::move(a));
+    send_answer(std::move(answer));
   }
 
-  // Guards against crowds of requests that hold up the relay's clients.
-  void handle() {
+  // Delays the request as kPauseFactor requires, so that many admin requests can't hold up the relay's
+  // clients.
+  void handle_request() {
     stage_ = Stage::answering;
     timer_.cancel();
     const Microseconds now = steady_now();
-    if (now < admin_.turn_at_) {
-      return turn_.set(std::chrono::microseconds(admin_.turn_at_ - now),
-                       [self = shared_from_this()] { self->handle(); });
+    if (now < admin_.next_request_at_) {
+      return turn_timer_.set(std::chrono::microseconds(admin_.next_request_at_ - now),
+                             [self = shared_from_this()] { self->handle_request(); });
     }
     const auto& request = parser_->get();
     close_after_ = !request.keep_alive();
-    const auto asked = read_admin_request(std::string(request.method_string()), std::string(request.target()),
-                                          request.body());
-    admin_.handler_(asked, [self = shared_from_this()](AdminAnswer a) { self->answer(std::move(a)); });
+    const auto admin_request = read_admin_request(std::string(request.method_string()),
+                                                  std::string(request.target()), request.body());
+    admin_.handler_(admin_request, [self = shared_from_this()](AdminAnswer answer) {
+      self->send_answer(std::move(answer));
+    });
     const Microseconds done = steady_now();
-    admin_.turn_at_ = done + kRestTimes * (done - now);
+    admin_.next_request_at_ = done + kPauseFactor * (done - now);
   }
 
-  void answer(AdminAnswer a) {
+  void send_answer(AdminAnswer answer) {
     if (closed_) return;
     stage_ = Stage::answering;
     response_ = {};
     response_.version(11);
-    response_.result(a.status);
+    response_.result(answer.status);
     response_.set("X-Heronvane-Api", "1");
     response_.set(http::field::content_type, "application/json");
-    if (a.status == 405) response_.set(http::field::allow, "GET, POST");
-    response_.body() = std::move(a.body);
+    if (answer.status == 405) response_.set(http::field::allow, "GET, POST");
+    response_.body() = std::move(answer.body);
     response_.keep_alive(!close_after_);
     response_.prepare_payload();
-    limit(kRequestTime);
+    limit(kRequestTimeout);
     http::async_write(socket_, response_, [self = shared_from_this()](error_code bad, std::size_t) {
       if (self->closed_) return;
       if (bad || self->close_after_) return self->close();
-      self->next();
+      self->wait_for_next_request();
     });
   }
 
   using Buffer = beast::flat_buffer;
   AdminServer& admin_;
   Socket socket_;
-  Timer timer_, turn_;
-  Buffer buffer_{kMostHeader + kMostBody};
+  Timer timer_, turn_timer_;
+  Buffer buffer_{kMaxHeaderBytes + kMaxBodyBytes};
   std::optional<http::request_parser<http::string_body>> parser_;
   http::response<http::string_body> response_;
   Stage stage_ = Stage::idle;
-  Microseconds since_ = 0;  // of being idle
+  Microseconds idle_since_ = 0;
   bool closed_ = false, close_after_ = false;
 };
 
 AdminServer::AdminServer(net::io_context& io, const std::string& path, Handler handler)
     : io_(io),
       path_(path),
-      acceptor_(listening(io, path)),
-      pause_(io),
+      acceptor_(listen_at(io, path)),
+      accept_retry_timer_(io),
       handler_(std::move(handler)),
-      tally_(io, "admin requests turned down") {
+      rejections_(io, "admin requests rejected") {
   error_code ignored;
   acceptor_.set_option(net::socket_base::enable_connection_aborted(true), ignored);
 }
 AdminServer::~AdminServer() { ::unlink(path_.c_str()); }
 
 bool AdminServer::busy() const {
-  return std::any_of(sessions_.begin(), sessions_.end(), [](const auto& s) { return !s->idle(); });
+  return std::any_of(sessions_.begin(), sessions_.end(),
+                     [](const auto& session) { return !session->idle(); });
 }
 
 void AdminServer::accept() {
   acceptor_.async_accept([this](error_code bad, Socket socket) {
     if (bad == net::error::operation_aborted) return;
     if (bad) {
-      // Guards against spinning while no descriptor is free.
+      // The delay avoids spinning while no descriptor is free.
       log("admin socket: accept: " + bad.message());
-      pause_.expires_after(kAcceptPause);
-      return pause_.async_wait([this](error_code stopped) {
+      accept_retry_timer_.expires_after(kAcceptRetryDelay);
+      return accept_retry_timer_.async_wait([this](error_code stopped) {
         if (!stopped) accept();
       });
     }
-    const bool room = make_room();
-    // One that is told so while all are in use; else crowds would hold descriptors.
-    if (sessions_.size() > kMostSessions) return accept();
+    const bool has_capacity = evict_session();
+    // At the limit, one more connection is accepted and answered with 503; others are closed, so that they
+    // don't hold descriptors.
+    if (sessions_.size() > kMaxSessions) return accept();
     const auto session = std::make_shared<Session>(*this, std::move(socket));
     sessions_.insert(session);
-    if (room) {
+    if (has_capacity) {
       session->start();
     } else {
-      tally_.add("no room for its connection");
-      session->refuse();
+      rejections_.add("connection limit reached");
+      session->reject_busy();
     }
     accept();
   });
 }
 
-// One that stands between requests may go, the longest idle first.
-bool AdminServer::make_room() {
-  if (sessions_.size() < kMostSessions) return true;
-  std::shared_ptr<Session> longest;
-  for (const auto& s : sessions_)
-    if (s->spare() && (!longest || s->since() < longest->since())) longest = s;
-  if (longest) longest->close();
-  return longest != nullptr;
+// Closes the longest idle session at the limit; false if none can be closed.
+bool AdminServer::evict_session() {
+  if (sessions_.size() < kMaxSessions) return true;
+  std::shared_ptr<Session> longest_idle;
+  for (const auto& session : sessions_)
+    if (session->may_be_evicted() && (!longest_idle || session->idle_since() < longest_idle->idle_since()))
+      longest_idle = session;
+  if (longest_idle) longest_idle->close();
+  return longest_idle != nullptr;
 }
 
 }  // namespace heronvane
--- a/relay/frontends/admin_server.hpp
+++ b/relay/frontends/admin_server.hpp
@@ -1,7 +1,8 @@
-// The admin socket: HTTP/1.1 with JSON on a Unix socket, for the operator's own programs on this machine.
+// The server of the admin socket: HTTP/1.1 with JSON on a Unix socket, for the operator's programs on this
+// machine.
 //
-// It shares the relay's thread, so it may never hold clients up: few connections, bounded sizes and times,
-// and all its requests together take no more than a part of the loop's time.
+// It shares the event loop with the clients' server and must not delay it: connections, sizes and times are
+// limited, and admin requests take at most a tenth of the loop's time.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -22,11 +23,12 @@
 class AdminServer : public Frontend {
  public:
   using Reply = std::function<void(AdminAnswer)>;
-  // Answers by the reply, once, then or later.
+  // Calls the reply once, at once or later.
   using Handler = std::function<void(const AdminRequest&, Reply)>;
 
-  // Listens at `path`, a socket of mode 0600, and removes it at the end. One that an earlier life left there
-  // is removed: the caller owns the folder. Throws std::runtime_error where it can't be had.
+  // Listens on a socket of mode 0600 at `path` and removes it on destruction. A socket left there by an
+  // earlier process is removed first: the caller owns the folder. Throws std::runtime_error if `path` is
+  // unusable, startup::StartError if listening fails.
   AdminServer(boost::asio::io_context& io, const std::string& path, Handler handler);
   ~AdminServer() override;
   void start() override { accept(); }
@@ -37,15 +39,15 @@
   class Session;
   using Socket = boost::asio::local::stream_protocol::socket;
   void accept();
-  bool make_room();
+  bool evict_session();
 
   boost::asio::io_context& io_;
   std::string path_;
   boost::asio::local::stream_protocol::acceptor acceptor_;
-  boost::asio::steady_timer pause_;
+  boost::asio::steady_timer accept_retry_timer_;
   Handler handler_;
-  CounterLog tally_;
-  Microseconds turn_at_ = 0;  // the next request is answered no sooner
+  CounterLog rejections_;
+  Microseconds next_request_at_ = 0;  // the next request is handled no sooner
   std::set<std::shared_ptr<Session>> sessions_;
 };
 
--- a/relay/frontends/frontend.hpp
+++ b/relay/frontends/frontend.hpp
@@ -1,4 +1,4 @@
-// A way into the relay besides the clients' one.
+// A server of the relay other than the one for clients, such as the admin socket.
 #pragma once
 
 namespace heronvane {
@@ -6,7 +6,7 @@
 class Frontend {
  public:
   virtual ~Frontend() = default;
-  // Listens from its making on; begins to answer now, once what it asks stands.
+  // Starts to accept. It listens from construction on, but what its requests need may not exist yet.
   virtual void start() = 0;
   // Whether a request is being read or answered.
   virtual bool busy() const = 0;
--- a/relay/intake.cpp
+++ b/relay/intake.cpp
@@ -25,40 +25,41 @@
 
 namespace {
 
-// From a client's connecting until its first request has come, and from the first byte of a later one. Guards
-// against half requests and silent crowds, which would hold descriptors.
-constexpr auto kRequestTime = std::chrono::milliseconds(2500);
-constexpr auto kAnswerTime = std::chrono::seconds(2);  // for an answer to go
-constexpr auto kIdleTime = std::chrono::seconds(60);   // between requests, while there is room
-constexpr Microseconds kIdleLeast = 2'000'000;         // and while it is short
-// What a client sends after the last answer is read away for so long, and so much of it.
-constexpr auto kLingerTime = std::chrono::seconds(1);
-constexpr std::size_t kLingerBytes = 1 << 20;
-constexpr auto kLastRequest =
-    std::chrono::milliseconds(200);  // for the first request, once no more are wanted
-// Until it is accepted again after a failure. Short, since clients wait in the queue; long enough that an
-// error which stays costs next to nothing.
-constexpr auto kAcceptPause = std::chrono::milliseconds(5);
-constexpr std::size_t kAcceptFailures = 16;  // that are borne while what waits is accepted at the end
-// Where three quarters of the connections are in use, room is short.
-constexpr std::size_t kShortOf = 4, kShort = 3;
-constexpr std::size_t kRoomTries = 4;                 // connections looked at to make room for one
-constexpr Microseconds kUnusedFirst = 3'600'000'000;  // ranks those without a whole request before the rest
-constexpr Microseconds kNever = std::numeric_limits<Microseconds>::max();
-constexpr Microseconds kComeBack = 500'000;  // what was turned away for want of room may come again
-constexpr auto kLastLook = std::chrono::milliseconds(20);  // until a read that is late is ended again
-
-// What an accept that failed tells of, in one of a few texts.
-const char* failure_text(error_code bad) {
-  if (bad == net::error::no_descriptors || bad == boost::system::errc::too_many_files_open_in_system)
+// From the connection's start until its first request is complete, and from the first byte of each later one.
+// Otherwise incomplete requests and silent clients would hold descriptors.
+constexpr auto kRequestTimeout = std::chrono::milliseconds(2500);
+constexpr auto kAnswerTimeout = std::chrono::seconds(2);  // for writing an answer
+constexpr auto kIdleTimeout = std::chrono::seconds(60);   // between requests
+constexpr Microseconds kMinIdleTime = 2'000'000;  // before an idle connection may be closed for another one
+// Limits of a lingering close, in which input after the last answer is read and discarded.
+constexpr auto kLingerTimeout = std::chrono::seconds(1);
+constexpr std::size_t kMaxLingerBytes = 1 << 20;
+constexpr auto kLastRequestTimeout = std::chrono::milliseconds(200);  // for a first request after shut_down()
+// Between a failed accept and the next. Short, since clients wait in the queue; long enough that a persistent
+// error costs little processor time.
+constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(5);
+constexpr std::size_t kMaxAcceptFailures = 16;  // in accept_queued()
+// From three quarters of the connection limit on, idle connections are closed for new ones.
+constexpr std::size_t kNearlyFullDenominator = 4, kNearlyFullNumerator = 3;
+constexpr std::size_t kMaxEvictionTries = 4;  // per new connection
+// Ranks connections that never sent a complete request before all others.
+constexpr Microseconds kUnusedRankOffset = 3'600'000'000;
+constexpr Microseconds kNotEvictable = std::numeric_limits<Microseconds>::max();
+constexpr Microseconds kRetryAfter = 500'000;  // told to clients that are rejected for lack of memory
+// Between attempts to cancel a read that timed out.
+constexpr auto kCancelRetryDelay = std::chrono::milliseconds(20);
+
+// The cause of a failed accept, as one of a few texts that are counted.
+const char* failure_text(error_code error) {
+  if (error == net::error::no_descriptors || error == boost::system::errc::too_many_files_open_in_system)
     return "no descriptor";
-  if (bad == net::error::no_buffer_space || bad == net::error::no_memory) return "no memory";
-  return "the connection was lost before";
+  if (error == net::error::no_buffer_space || error == net::error::no_memory) return "no memory";
+  return "the connection was lost before it was accepted";
 }
 
-std::string seconds_text(Microseconds t) {
+std::string seconds_text(Microseconds time) {
   char text[32];
-  std::snprintf(text, sizeof text, "%.3f", static_cast<double>(t) * 1e-6);
+  std::snprintf(text, sizeof text, "%.3f", static_cast<double>(time) * 1e-6);
   return text;
 }
 
@@ -67,136 +68,139 @@
 class Intake::Session : public std::enable_shared_from_this<Session> {
  public:
   Session(Intake& intake, tcp::socket socket)
-      : intake_(intake), socket_(std::move(socket)), timer_(intake.io_), read_pause_(intake.io_) {}
+      : intake_(intake), socket_(std::move(socket)), timer_(intake.io_), read_retry_timer_(intake.io_) {}
 
   bool idle() const { return stage_ == Stage::idle; }
-  // Since when it could be closed for want of room, the earlier the sooner: those that were turned down
-  // first, then those that never brought a whole request, then idle ones. kNever: its message would be lost.
-  Microseconds spare_since() const {
-    if (stage_ == Stage::lingering) return -kNever;
-    if (stage_ == Stage::answering) return kNever;
-    return used_ ? since_ : since_ - kUnusedFirst;
+  // The order in which connections are closed for new ones, the lowest first: connections in a lingering
+  // close, then those that never sent a complete request, then idle ones, the longest idle first.
+  // kNotEvictable: its message would be lost.
+  Microseconds eviction_rank() const {
+    if (stage_ == Stage::lingering) return -kNotEvictable;
+    if (stage_ == Stage::answering) return kNotEvictable;
+    return had_request_ ? stage_since_ : stage_since_ - kUnusedRankOffset;
+  }
+  // Whether it has been idle long enough to be closed for a new connection near the limit.
+  bool may_be_evicted(Microseconds now) const {
+    return idle() && had_request_ && now >= stage_since_ + kMinIdleTime;
   }
-  // Idle for so long that it may be closed when room is short.
-  bool stale(Microseconds now) const { return idle() && used_ && now >= since_ + kIdleLeast; }
 
   void start() {
-    since_ = steady_now();
-    limit(kRequestTime);
-    wait();
+    stage_since_ = steady_now();
+    set_deadline(kRequestTimeout);
+    wait_for_request();
   }
-  // Ends it if it rests; a request that has begun is answered first, and the first one of a new connection
-  // may be on its way.
+  // Closes the connection if it is between requests. A request that has begun is answered first, and a new
+  // connection is left open, since its first request may be on its way.
   void close_if_idle() {
-    if (idle() && used_ && !has_bytes()) end_between_requests();
+    if (idle() && had_request_ && !has_unread_bytes()) close_between_requests();
   }
-  // As close_if_resting(), and a first request has little time left to come.
+  // As close_if_idle(); a new connection has kLastRequestTimeout left for its first request.
   void shut_down() {
     close_if_idle();
-    if (idle()) limit(kLastRequest);
+    if (idle()) set_deadline(kLastRequestTimeout);
   }
-  // Makes room for another connection, which can't wait; false if a request has just come.
-  bool make_room() {
-    if (has_bytes() && stage_ != Stage::lingering) return false;
+  // Closes the connection at once in favour of a new one; false if a request has just arrived.
+  bool try_evict() {
+    if (has_unread_bytes() && stage_ != Stage::lingering) return false;
     close();
     return true;
   }
 
-  // At once: what was written and has not arrived may be lost where the client sends on. For connections of
-  // which nothing is owed; all others part().
+  // Closes at once. Data written but not delivered yet may be lost if the client is still sending, so this is
+  // only for connections that owe no answer; the others end by a lingering close.
   void close() {
     if (closed_) return;
     closed_ = true;
     error_code ignored;
     timer_.cancel();
-    read_pause_.cancel();
+    read_retry_timer_.cancel();
     socket_.close(ignored);
-    release();
+    release_body_memory();
     intake_.sessions_.erase(shared_from_this());
   }
 
  private:
   enum class Stage { idle, reading, answering, lingering };
 
-  bool has_bytes() const {
-    error_code bad;
-    return socket_.available(bad) > 0;
+  bool has_unread_bytes() const {
+    error_code error;
+    return socket_.available(error) > 0;
   }
   template <class Duration>
-  void limit(Duration time) {
-    timer_.set(time, [self = shared_from_this()] { self->out_of_time(); });
+  void set_deadline(Duration time) {
+    timer_.set(time, [self = shared_from_this()] { self->handle_timeout(); });
   }
-  void out_of_time() {
+  void handle_timeout() {
     switch (stage_) {
       case Stage::idle:
-        // A request that comes in this moment is read; it has its own time.
-        return has_bytes() ? limit(kRequestTime) : end_between_requests();
+        // A request that has just arrived is read, with a timeout of its own.
+        return has_unread_bytes() ? set_deadline(kRequestTimeout) : close_between_requests();
       case Stage::reading: {
-        // Ends the read that is under way, by its own handler: what is whole by then is handled all the same.
+        // Cancels the read rather than closing: if the request is complete by then, its handler serves it.
         error_code ignored;
-        late_ = true;
-        limit(kLastLook);
+        timed_out_ = true;
+        set_deadline(kCancelRetryDelay);
         socket_.cancel(ignored);
         return;
       }
-      case Stage::answering:  // the client does not read
+      case Stage::answering:  // the client does not read the answer
       case Stage::lingering:
         return close();
     }
   }
 
-  void next() {
-    used_ = true, late_ = false;
-    since_ = steady_now();
+  void wait_for_next_request() {
+    had_request_ = true, timed_out_ = false;
+    stage_since_ = steady_now();
     parser_.reset();
-    release();
+    release_body_memory();
     if (buffer_.size() > 0) {
-      limit(kRequestTime);
+      set_deadline(kRequestTimeout);
       return read_header();
     }
-    buffer_ = Buffer(kMostHeader + kMostBody);  // an idle connection holds no memory
-    limit(kIdleTime);
-    wait();
+    buffer_ = Buffer(kMaxHeaderBytes + kMaxBodyBytes);  // an idle connection holds no memory
+    set_deadline(kIdleTimeout);
+    wait_for_request();
     if (intake_.closing_idle_) close_if_idle();
   }
 
-  // Shuts the sending side. Nothing that comes from now on is a request.
-  void begin_lingering() {
-    release();
+  // Shuts down the sending side. Input from now on is not read as requests.
+  void begin_lingering_close() {
+    release_body_memory();
     parser_.reset();
     stage_ = Stage::lingering;
-    limit(kLingerTime);
+    set_deadline(kLingerTimeout);
     error_code ignored;
     socket_.cancel(ignored);
     socket_.shutdown(tcp::socket::shutdown_send, ignored);
   }
-  // A lingering close behind the last answer: what comes is read away until the client ends. Closing over
-  // unread bytes would reset the connection, and the answer with it.
-  void end_after_answer() {
-    begin_lingering();
-    read_away();
+  // A lingering close after the last answer: input is discarded until the client closes. Closing a socket
+  // with unread input resets the connection, and the client could lose the answer.
+  void close_after_answer() {
+    begin_lingering_close();
+    discard_input();
   }
-  // A lingering close of a connection on which nothing is owed: what comes is never read, so that the close
-  // resets the connection. A client whose request crossed the end learns by the reset that nobody has it.
-  void end_between_requests() {
-    begin_lingering();
-    socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code bad) {
+  // A lingering close of a connection that owes no answer: input is left unread, so that the close resets the
+  // connection. The reset tells a client whose request arrived too late that it was not accepted.
+  void close_between_requests() {
+    begin_lingering_close();
+    socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code error) {
       if (self->closed_) return;
-      if (bad || !self->has_bytes()) return self->close();
-      // Left where it is until the time for lingering is over.
-      self->intake_.tally_.add("their request crossed the end of its connection, unread");
+      if (error || !self->has_unread_bytes()) return self->close();
+      // The input stays unread until the linger timeout closes the socket.
+      self->intake_.rejections_.add("request arrived while its connection was being closed");
     });
   }
 
-  // The first request of a new connection is waited for while draining too: it may be on the way.
-  void wait() {
+  // Also waits for the first request of a new connection while draining: it may be on its way.
+  void wait_for_request() {
     stage_ = Stage::idle;
-    socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code bad) {
+    socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code error) {
       if (self->closed_ || self->stage_ != Stage::idle) return;
-      if (bad) return self->close();
-      // The first request's time has run since the connection came.
-      if (self->used_) self->limit(kRequestTime);
-      self->since_ = steady_now();
+      if (error) return self->close();
+      // The timeout of the first request has run since the connection was accepted.
+      if (self->had_request_) self->set_deadline(kRequestTimeout);
+      self->stage_since_ = steady_now();
       self->read_header();
     });
   }
@@ -204,130 +208,135 @@
   void read_header() {
     stage_ = Stage::reading;
     parser_.emplace();
-    parser_->header_limit(kMostHeader);
-    parser_->body_limit(kMostBody);
-    read_on_header();
+    parser_->header_limit(kMaxHeaderBytes);
+    parser_->body_limit(kMaxBodyBytes);
+    continue_header();
   }
-  void read_on_header() {
+  void continue_header() {
     http::async_read_header(socket_, buffer_, *parser_,
-                            [self = shared_from_this()](error_code bad, std::size_t) {
+                            [self = shared_from_this()](error_code error, std::size_t) {
                               if (self->closed_) return;
-                              if (bad) return self->unreadable(bad);
-                              const auto& head = self->parser_->get();
-                              if (!framing_certain(head, head.version()))
-                                return self->turn_down(400, "framing in doubt");
-                              if (!self->reserve()) return self->turn_down(503, "no memory for its body");
-                              if (beast::iequals(head[http::field::expect], "100-continue"))
-                                self->go_on();
+                              if (error) return self->handle_read_error(error);
+                              const auto& header = self->parser_->get();
+                              if (!has_unambiguous_framing(header, header.version()))
+                                return self->reject(400, "ambiguous message framing");
+                              if (!self->reserve_body_memory())
+                                return self->reject(503, "not enough memory for the request body");
+                              if (beast::iequals(header[http::field::expect], "100-continue"))
+                                self->send_continue();
                               else
                                 self->read_body();
                             });
   }
-  void go_on() {
-    const http::response<http::empty_body> go(http::status::continue_, 11);
-    write_all(socket_, wire_text(go), [self = shared_from_this()](error_code bad) {
+  void send_continue() {
+    const http::response<http::empty_body> response(http::status::continue_, 11);
+    write_all(socket_, wire_text(response), [self = shared_from_this()](error_code error) {
       if (self->closed_) return;
-      if (bad) return self->close();
+      if (error) return self->close();
       self->read_body();
     });
   }
   void read_body() {
-    http::async_read(socket_, buffer_, *parser_, [self = shared_from_this()](error_code bad, std::size_t) {
+    http::async_read(socket_, buffer_, *parser_, [self = shared_from_this()](error_code error, std::size_t) {
       if (self->closed_) return;
-      if (bad) return self->unreadable(bad);
-      self->handle();
+      if (error) return self->handle_read_error(error);
+      self->handle_request();
     });
   }
 
-  // All bodies that are being read together stay under a part of the memory. Guards against many clients that
-  // bring large bodies slowly.
-  bool reserve() {
+  // Reserves memory for the body; false if all bodies being read would exceed the limit. Guards against many
+  // clients that send large bodies slowly.
+  bool reserve_body_memory() {
     const auto length = parser_->content_length();
-    const std::size_t more = length ? static_cast<std::size_t>(*length) : parser_->chunked() ? kMostBody : 0;
-    if (intake_.body_bytes_ + more > intake_.limits_.body_bytes) return false;
-    intake_.body_bytes_ += more, reserved_ += more;
+    const std::size_t body_bytes = length               ? static_cast<std::size_t>(*length)
+                                   : parser_->chunked() ? kMaxBodyBytes
+                                                        : 0;
+    if (intake_.body_bytes_ + body_bytes > intake_.limits_.max_body_bytes) return false;
+    intake_.body_bytes_ += body_bytes, reserved_body_bytes_ += body_bytes;
     return true;
   }
-  void release() { intake_.body_bytes_ -= std::exchange(reserved_, 0); }
-
-  // Half a request, by a client that left, is nobody's; one that can't be read is answered.
-  void unreadable(error_code bad) {
-    if (late_ && bad == net::error::operation_aborted) return turn_down(400, "half a request");
-    if (is_memory_shortage(bad)) return read_on_later();
-    const bool left = bad == http::error::end_of_stream || bad == http::error::partial_message ||
-                      bad.category() == net::error::get_system_category() ||
-                      bad.category() == net::error::get_misc_category();
-    if (left) return close();
-    turn_down(bad == http::error::body_limit ? 413 : 400, "can't be read");
+  void release_body_memory() { intake_.body_bytes_ -= std::exchange(reserved_body_bytes_, 0); }
+
+  // An incomplete request of a client that disconnected is dropped; a malformed one is answered.
+  void handle_read_error(error_code error) {
+    if (timed_out_ && error == net::error::operation_aborted) return reject(400, "incomplete request");
+    if (is_memory_shortage(error)) return retry_read_later();
+    const bool disconnected = error == http::error::end_of_stream || error == http::error::partial_message ||
+                              error.category() == net::error::get_system_category() ||
+                              error.category() == net::error::get_misc_category();
+    if (disconnected) return close();
+    reject(error == http::error::body_limit ? 413 : 400, "malformed or too large request");
   }
-  // What came by then stands. The request's time runs on.
-  void read_on_later() {
-    retry_read(socket_, read_pause_, [self = shared_from_this()] {
+  // Goes on with the input read so far. The request's timeout keeps running.
+  void retry_read_later() {
+    retry_read(socket_, read_retry_timer_, [self = shared_from_this()] {
       if (self->closed_ || self->stage_ != Stage::reading) return;
-      if (self->late_) return self->turn_down(400, "half a request");
-      self->parser_->is_header_done() ? self->read_body() : self->read_on_header();
+      if (self->timed_out_) return self->reject(400, "incomplete request");
+      self->parser_->is_header_done() ? self->read_body() : self->continue_header();
     });
   }
-  // Nothing behind it is read as a request.
-  void turn_down(unsigned status, const char* why) {
-    intake_.tally_.add(why);
+  // Answers with an error and closes the connection: input after it is not read as a request.
+  void reject(unsigned status, const char* reason) {
+    intake_.rejections_.add(reason);
     stage_ = Stage::answering;
-    close_after_ = true;
-    answer({status, status == 503 ? kComeBack : 0}, why);
+    close_after_answer_ = true;
+    send_answer({status, status == 503 ? kRetryAfter : 0}, reason);
   }
 
-  void handle() {
+  void handle_request() {
     stage_ = Stage::answering;
     timer_.cancel();
     auto& request = parser_->get();
-    close_after_ = !request.keep_alive();
+    close_after_answer_ = !request.keep_alive();
     if (request.target() == "/_health") {
       if (request.method() != http::verb::get && request.method() != http::verb::head)
-        return turn_down(405, "unknown method");
-      return answer({intake_.is_ready_() ? 200u : 503u, 0});
+        return reject(405, "unknown method");
+      return send_answer({intake_.is_ready_() ? 200u : 503u, 0});
     }
-    Handed handed = read_message(request, intake_.settings_, intake_.names_);
-    if (handed.refused > 0) return turn_down(handed.refused, handed.why);
+    ParsedRequest parsed = read_message(request, intake_.settings_, intake_.names_);
+    if (parsed.error_status > 0) return reject(parsed.error_status, parsed.error_reason);
     intake_.handle_message_(
-        std::move(handed.message), handed.left, [self = shared_from_this()](const ClientReply& a) {
-          a.turned_down.empty() ? self->answer(a) : self->turn_down(a.status, a.turned_down.data());
+        std::move(parsed.message), parsed.time_left, [self = shared_from_this()](const ClientReply& reply) {
+          reply.turned_down.empty() ? self->send_answer(reply)
+                                    : self->reject(reply.status, reply.turned_down.data());
         });
   }
 
-  // `why`, where it was turned down, is for people who read the answer.
-  void answer(const ClientReply& a, const char* why = nullptr) {
+  // `reason` is the body of an error answer, or null.
+  void send_answer(const ClientReply& reply, const char* reason = nullptr) {
     if (closed_) return;
     response_ = {};
     response_.version(11);
-    response_.result(a.status);
-    if (a.retry_after > 0) response_.set(http::field::retry_after, seconds_text(a.retry_after));
-    if (a.status == 405) response_.set(http::field::allow, "POST");
-    // Guards against clients that ask once and keep their connection: they would hold what others need. Those
-    // whose next request has been read along have it answered first.
-    const bool next_was_read = buffer_.size() > 0;
-    if (!next_was_read) close_after_ = close_after_ || intake_.draining_ || intake_.short_of_room();
-    response_.keep_alive(!close_after_);
-    if (why != nullptr && parser_->get().method() != http::verb::head) {
+    response_.result(reply.status);
+    if (reply.retry_after > 0) response_.set(http::field::retry_after, seconds_text(reply.retry_after));
+    if (reply.status == 405) response_.set(http::field::allow, "POST");
+    // Near the connection limit, clients that keep their connection after an answer would block new ones. If
+    // the next request is in the buffer already, it is answered first.
+    const bool has_next_request = buffer_.size() > 0;
+    if (!has_next_request)
+      close_after_answer_ = close_after_answer_ || intake_.draining_ || intake_.is_nearly_full();
+    response_.keep_alive(!close_after_answer_);
+    if (reason != nullptr && parser_->get().method() != http::verb::head) {
       response_.set(http::field::content_type, "text/plain");
-      response_.body() = std::string(why) + "\n";
+      response_.body() = std::string(reason) + "\n";
     }
     response_.prepare_payload();
-    limit(kAnswerTime);
-    write_all(socket_, wire_text(response_), [self = shared_from_this()](error_code bad) {
+    set_deadline(kAnswerTimeout);
+    write_all(socket_, wire_text(response_), [self = shared_from_this()](error_code error) {
       if (self->closed_) return;
-      if (bad) return self->close();
-      self->close_after_ ? self->end_after_answer() : self->next();
+      if (error) return self->close();
+      self->close_after_answer_ ? self->close_after_answer() : self->wait_for_next_request();
     });
   }
 
-  void read_away() {
-    socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code bad) {
+  void discard_input() {
+    socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code error) {
       if (self->closed_) return;
-      char away[4096];
-      const std::size_t size = bad ? 0 : self->socket_.read_some(net::buffer(away), bad);
-      self->lingered_ += size;
-      if ((bad && !would_block(bad)) || self->lingered_ > kLingerBytes) return self->close();
-      self->read_away();
+      char discarded[4096];
+      const std::size_t size = error ? 0 : self->socket_.read_some(net::buffer(discarded), error);
+      self->discarded_bytes_ += size;
+      if ((error && !would_block(error)) || self->discarded_bytes_ > kMaxLingerBytes) return self->close();
+      self->discard_input();
     });
   }
 
@@ -335,16 +344,16 @@
   Intake& intake_;
   tcp::socket socket_;
   Timer timer_;
-  Timer read_pause_;  // while the system has no memory for a read
-  Buffer buffer_{kMostHeader + kMostBody};
+  Timer read_retry_timer_;  // while the system has no memory for a read
+  Buffer buffer_{kMaxHeaderBytes + kMaxBodyBytes};
   std::optional<http::request_parser<http::string_body>> parser_;
   http::response<http::string_body> response_;
   Stage stage_ = Stage::idle;
-  Microseconds since_ = 0;  // of being idle, or of reading
-  std::size_t reserved_ = 0, lingered_ = 0;
-  bool used_ = false;  // a whole request has come
-  bool closed_ = false, close_after_ = false;
-  bool late_ = false;  // the request that is being read has had its time
+  Microseconds stage_since_ = 0;  // when it became idle, or began to read
+  std::size_t reserved_body_bytes_ = 0, discarded_bytes_ = 0;
+  bool had_request_ = false;  // a complete request has arrived
+  bool closed_ = false, close_after_answer_ = false;
+  bool timed_out_ = false;  // the request being read exceeded its timeout
 };
 
 Intake::Intake(net::io_context& io, tcp::acceptor listener, const heronvane::dispatch::Settings& settings,
@@ -352,16 +361,16 @@
                MessageHandler handle_message, ReadyCallback is_ready)
     : io_(io),
       acceptor_(std::move(listener)),
-      pause_(io),
+      accept_retry_timer_(io),
       settings_(settings),
       names_(names),
       limits_(limits),
       handle_message_(std::move(handle_message)),
       is_ready_(std::move(is_ready)),
-      tally_(io, "clients turned down"),
+      rejections_(io, "clients rejected"),
       accept_failures_(io, "accept failed") {
-  // Else Asio keeps ECONNABORTED and EPROTO to itself, and looks at the queue again only once a further
-  // connection comes.
+  // By default Asio hides ECONNABORTED and EPROTO and checks the queue again only when another connection
+  // arrives.
   error_code ignored;
   acceptor_.set_option(net::socket_base::enable_connection_aborted(true), ignored);
   accept();
@@ -369,24 +378,24 @@
 Intake::~Intake() = default;
 
 void Intake::accept() {
-  acceptor_.async_accept([this](error_code bad, tcp::socket socket) {
-    if (bad == net::error::operation_aborted || (bad && shutting_down_)) return;
-    if (bad) {
-      // Of one connection or of all: what else waits in the queue is accepted without a further one.
-      accept_failures_.add(failure_text(bad));
-      return pause_.set(kAcceptPause, [this] { accept(); });
+  acceptor_.async_accept([this](error_code error, tcp::socket socket) {
+    if (error == net::error::operation_aborted || (error && shutting_down_)) return;
+    if (error) {
+      // The error may concern one connection only; others may be waiting in the queue.
+      accept_failures_.add(failure_text(error));
+      return accept_retry_timer_.set(kAcceptRetryDelay, [this] { accept(); });
     }
-    make_room();
-    if (sessions_.size() >= limits_.clients) {
-      tally_.add("no room for its connection");
+    evict_session();
+    if (sessions_.size() >= limits_.max_connections) {
+      rejections_.add("connection limit reached");
     } else {
-      begin(std::move(socket));
+      start_session(std::move(socket));
     }
     if (!shutting_down_) accept();
   });
 }
 
-void Intake::begin(tcp::socket socket) {
+void Intake::start_session(tcp::socket socket) {
   error_code ignored;
   socket.set_option(tcp::no_delay(true), ignored);
   socket.non_blocking(true, ignored);
@@ -396,60 +405,66 @@
   if (shutting_down_) session->shut_down();
 }
 
-bool Intake::short_of_room() const { return sessions_.size() * kShortOf >= limits_.clients * kShort; }
+bool Intake::is_nearly_full() const {
+  return sessions_.size() * kNearlyFullDenominator >= limits_.max_connections * kNearlyFullNumerator;
+}
 
-// One that stands between requests may be closed, one with a request would lose its message.
-void Intake::make_room() {
-  if (!short_of_room()) return;
+// Near the connection limit, closes a connection that has been idle for kMinIdleTime; at the limit, any that
+// owes no answer.
+void Intake::evict_session() {
+  if (!is_nearly_full()) return;
   const Microseconds now = steady_now();
-  std::vector<std::pair<Microseconds, std::shared_ptr<Session>>> spare;
+  std::vector<std::pair<Microseconds, std::shared_ptr<Session>>> candidates;
   for (const auto& session : sessions_) {
-    const Microseconds since = session->spare_since();
-    if (since < kNever && (session->stale(now) || sessions_.size() >= limits_.clients))
-      spare.emplace_back(since, session);
+    const Microseconds rank = session->eviction_rank();
+    if (rank < kNotEvictable && (session->may_be_evicted(now) || sessions_.size() >= limits_.max_connections))
+      candidates.emplace_back(rank, session);
   }
-  const auto most = std::min(spare.size(), kRoomTries);
-  std::partial_sort(spare.begin(), spare.begin() + static_cast<std::ptrdiff_t>(most), spare.end());
-  for (std::size_t i = 0; i < most; i++)
-    if (spare[i].second->make_room()) return;
+  const auto max_tries = std::min(candidates.size(), kMaxEvictionTries);
+  std::partial_sort(candidates.begin(), candidates.begin() + static_cast<std::ptrdiff_t>(max_tries),
+                    candidates.end());
+  for (std::size_t i = 0; i < max_tries; i++)
+    if (candidates[i].second->try_evict()) return;
 }
 
 void Intake::drain() { draining_ = true; }
 
 void Intake::close_idle() {
   if (std::exchange(closing_idle_, true)) return;
-  for (const auto& session : all_sessions()) session->close_if_idle();
+  for (const auto& session : copy_sessions()) session->close_if_idle();
 }
 
 void Intake::shut_down() {
   if (std::exchange(shutting_down_, true)) return;
-  pause_.cancel();
-  accept_waiting();
+  accept_retry_timer_.cancel();
+  accept_queued();
   error_code ignored;
   acceptor_.close(ignored);
-  for (const auto& session : all_sessions()) session->shut_down();
+  for (const auto& session : copy_sessions()) session->shut_down();
 }
 
-std::vector<std::shared_ptr<Intake::Session>> Intake::all_sessions() const {
+std::vector<std::shared_ptr<Intake::Session>> Intake::copy_sessions() const {
   return {sessions_.begin(), sessions_.end()};
 }
 
-// Those that wait to be accepted would be reset with what they wrote.
-void Intake::accept_waiting() {
-  error_code bad;
-  acceptor_.non_blocking(true, bad);
-  if (bad) return;
+// Accepts the connections in the listen queue: closing the acceptor would reset them, with any request they
+// sent.
+void Intake::accept_queued() {
+  error_code error;
+  acceptor_.non_blocking(true, error);
+  if (error) return;
   std::size_t failures = 0;
-  while (sessions_.size() < limits_.clients && failures < kAcceptFailures) {
+  while (sessions_.size() < limits_.max_connections && failures < kMaxAcceptFailures) {
     tcp::socket socket(io_);
-    acceptor_.accept(socket, bad);
-    if (bad == net::error::would_block || bad == net::error::try_again) return;
-    bad ? void(failures++) : begin(std::move(socket));
+    acceptor_.accept(socket, error);
+    if (error == net::error::would_block || error == net::error::try_again) return;
+    error ? void(failures++) : start_session(std::move(socket));
   }
 }
 
 bool Intake::busy() const {
-  return std::any_of(sessions_.begin(), sessions_.end(), [](const auto& s) { return !s->idle(); });
+  return std::any_of(sessions_.begin(), sessions_.end(),
+                     [](const auto& session) { return !session->idle(); });
 }
 
 }  // namespace heronvane
--- a/relay/intake.hpp
+++ b/relay/intake.hpp
@@ -1,4 +1,4 @@
-// Where clients hand in messages: an HTTP server that reads requests, asks for a decision on each, answers.
+// The HTTP server for clients: reads their messages, passes each one on, and writes the reply.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,51 +18,53 @@
 namespace heronvane {
 
 struct IntakeLimits {
-  std::size_t clients = 1;     // connections
-  std::size_t body_bytes = 0;  // of all bodies that are being read
+  std::size_t max_connections = 1;
+  std::size_t max_body_bytes = 0;  // of all request bodies being read
 };
 
+// Used on the event loop's thread only, where the callbacks run, too.
 class Intake {
  public:
-  // The message without its deadline, and the time that is left until then.
-  using MessageHandler = std::function<void(Message, Microseconds left, ReplyCallback)>;
+  // Takes a message without its deadline, and the time left until the deadline. Calls the reply once, at once
+  // or later.
+  using MessageHandler = std::function<void(Message, Microseconds time_left, ReplyCallback)>;
   using ReadyCallback = std::function<bool()>;
 
-  // Accepts on `listener` at once. Each message goes to `take`, which answers by the reply, once, then or
-  // later.
+  // Accepts on `listener` at once. `is_ready` decides the answer to GET /_health. `settings` and `names` must
+  // outlive the intake.
   Intake(boost::asio::io_context& io, boost::asio::ip::tcp::acceptor listener,
          const heronvane::dispatch::Settings& settings, const heronvane::dispatch::adapter::NameTables& names,
          const IntakeLimits& limits, MessageHandler handle_message, ReadyCallback is_ready);
   ~Intake();
 
-  // From now on each answer is the last one of its connection. Connections that rest stay open: a request may
-  // be on its way.
+  // From now on each answer is the last one of its connection. Idle connections stay open: a request may be
+  // on its way.
   void drain();
-  // After drain(): connections that rest are closed, from now on at once. A request that crosses the close is
-  // never read, and its connection is reset.
+  // After drain(): closes idle connections, now and whenever one becomes idle. A request that arrives during
+  // the close is not read, and its connection is reset.
   void close_idle();
-  // After close_resting(): no new connections from now on, and those that brought no request yet are closed,
-  // too. All are gone once clients() is 0, within kFinishMost.
+  // After close_idle(): accepts no more connections and closes those that have sent no request yet after a
+  // short wait. clients() becomes 0 within kMaxShutdownTime.
   void shut_down();
   static constexpr std::chrono::milliseconds kMaxShutdownTime{1200};
-  // Whether a request is being read or answered, or an answer may still be on its way.
+  // Whether a request is being read or answered, or a connection is in its lingering close.
   bool busy() const;
   std::size_t clients() const { return sessions_.size(); }  // connections
-  boost::asio::ip::tcp::endpoint local() const { return acceptor_.local_endpoint(); }
+  boost::asio::ip::tcp::endpoint local_endpoint() const { return acceptor_.local_endpoint(); }
 
  private:
   class Session;
   void accept();
-  void accept_waiting();
-  void begin(boost::asio::ip::tcp::socket socket);
-  void make_room();
-  bool short_of_room() const;
-  // A copy: sessions take themselves out of the set.
-  std::vector<std::shared_ptr<Session>> all_sessions() const;
+  void accept_queued();
+  void start_session(boost::asio::ip::tcp::socket socket);
+  void evict_session();
+  bool is_nearly_full() const;
+  // A copy to iterate over: sessions remove themselves from the set.
+  std::vector<std::shared_ptr<Session>> copy_sessions() const;
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  Timer pause_;
+  Timer accept_retry_timer_;
   const heronvane::dispatch::Settings& settings_;
   const heronvane::dispatch::adapter::NameTables& names_;
   IntakeLimits limits_;
@@ -72,7 +74,7 @@
   bool closing_idle_ = false;
   bool shutting_down_ = false;
   std::size_t body_bytes_ = 0;
-  CounterLog tally_, accept_failures_;
+  CounterLog rejections_, accept_failures_;
   std::set<std::shared_ptr<Session>> sessions_;
 };
 
--- a/relay/log.cpp
+++ b/relay/log.cpp
@@ -18,17 +18,17 @@
 
 namespace {
 
-constexpr std::size_t kMaxLineBytes = PIPE_BUF;  // a pipe takes so much whole or not at all
+constexpr std::size_t kMaxLineBytes = PIPE_BUF;  // writes to a pipe of up to this size are atomic
 constexpr auto kReportInterval = std::chrono::seconds(1);
 constexpr auto kCounterInterval = std::chrono::seconds(1);
 constexpr const char* kEllipsis = "...";
 constexpr Microseconds kSecond = 1'000'000;
-constexpr std::size_t kTimeBytes = 48;  // of a time as text, at most
+constexpr std::size_t kMaxTimeBytes = 48;  // of a time as text
 
 // "1700000000.000001 LINE\n"
 std::string with_time(const std::string& line) {
   const Microseconds now = wall_now();
-  std::array<char, kTimeBytes> time{};
+  std::array<char, kMaxTimeBytes> time{};
   std::snprintf(time.data(), time.size(), "%lld.%06lld ", static_cast<long long>(now / kSecond),
                 static_cast<long long>(now % kSecond));
   std::string text = time.data() + line;
@@ -36,17 +36,17 @@
   return text + "\n";
 }
 
-// Writes to standard error without ever waiting for its reader.
+// Writes to standard error without blocking.
 class NonBlockingStderr {
  public:
   NonBlockingStderr() {
-    struct stat about {};
-    if (::fstat(STDERR_FILENO, &about) != 0) return;
-    is_socket_ = S_ISSOCK(about.st_mode);
-    // Opened again, since a flag on the inherited descriptor would hold for all processes that share it.
-    // Where that fails poll() alone guards: a process that writes between it and the write may still block
-    // that write.
-    if (S_ISFIFO(about.st_mode)) own_fd_ = ::open("/proc/self/fd/2", O_WRONLY | O_NONBLOCK | O_CLOEXEC);
+    struct stat status {};
+    if (::fstat(STDERR_FILENO, &status) != 0) return;
+    is_socket_ = S_ISSOCK(status.st_mode);
+    // A pipe is opened again, since O_NONBLOCK on the inherited descriptor would apply to all processes that
+    // share it. If that fails, only poll() protects against blocking: a write still blocks if another process
+    // fills the pipe between the two.
+    if (S_ISFIFO(status.st_mode)) own_fd_ = ::open("/proc/self/fd/2", O_WRONLY | O_NONBLOCK | O_CLOEXEC);
   }
   NonBlockingStderr(const NonBlockingStderr&) = delete;
   NonBlockingStderr& operator=(const NonBlockingStderr&) = delete;
@@ -64,8 +64,7 @@
   }
 
  private:
-  // False where nothing of `text` was written. The rest of a line that was written in part goes before the
-  // next.
+  // False if nothing of `text` was written. The rest of a partly written line is written before the next one.
   bool write(const std::string& text) {
     if (!rest_.empty()) rest_.erase(0, write_some(rest_));
     if (!rest_.empty()) return false;
@@ -74,7 +73,7 @@
     return written > 0;
   }
 
-  // The bytes that were written; 0 where there is no room, and on errors.
+  // Returns the number of bytes written; 0 if the descriptor would block, and on errors.
   std::size_t write_some(const std::string& text) const {
     ssize_t size = 0;
     do {
@@ -84,23 +83,23 @@
     return size > 0 ? static_cast<std::size_t>(size) : 0;
   }
 
-  // As write(2), but 0 where the descriptor takes nothing now.
+  // As write(2), but returns 0 if the descriptor is not writable now.
   ssize_t write_if_ready(const std::string& text) const {
     pollfd out{own_fd_ >= 0 ? own_fd_ : STDERR_FILENO, POLLOUT, 0};
     if (::poll(&out, 1, 0) != 1 || (out.revents & POLLOUT) == 0) return 0;
     return ::write(out.fd, text.data(), text.size());
   }
 
-  int own_fd_ = -1;  // for a pipe; -1: standard error itself is written to
+  int own_fd_ = -1;  // for a pipe; -1: use standard error itself
   bool is_socket_ = false;
-  std::string rest_;      // of a line that was written in part
-  std::size_t lost_ = 0;  // lines, since the last report
+  std::string rest_;      // of a partly written line
+  std::size_t lost_ = 0;  // lines since the last report
 };
 
 // The process has one standard error.
 NonBlockingStderr& standard_error() {
-  static NonBlockingStderr the_one;
-  return the_one;
+  static NonBlockingStderr instance;
+  return instance;
 }
 
 }  // namespace
--- a/relay/log.hpp
+++ b/relay/log.hpp
@@ -1,6 +1,6 @@
-// Log lines on standard error: one for each notable event. Events that come in crowds are counted.
+// Log lines on standard error, one for each notable event. Frequent events are counted instead.
 //
-// All of it is used from one thread. SIGPIPE must be ignored.
+// Not thread-safe. SIGPIPE must be ignored.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -12,15 +12,15 @@
 
 namespace heronvane {
 
-// Opens /dev/null in place of standard streams that are closed. Called before anything else is opened: a
-// journal or a connection would get their numbers, and the log lines.
+// Opens /dev/null in place of closed standard streams. To be called before anything else is opened: a journal
+// or a connection could get the number of standard error, and log lines would be written to it.
 void open_standard_streams();
 
-// Writes a line behind the wall clock's time. Never blocks: a line that standard error does not take at once
-// is lost, and counted. A line longer than PIPE_BUF bytes is cut.
+// Writes a line, prefixed with the wall clock time. Never blocks: a line that standard error does not accept
+// at once is lost, and counted. A line longer than PIPE_BUF bytes is truncated.
 void log(const std::string& line);
 
-// Reports lost lines as soon as standard error takes a line again; looks each second while it lives. The loop
+// Logs the number of lost lines as soon as standard error accepts a line again; checks every second. `io`
 // must outlive it.
 class LostLineReporter {
  public:
@@ -32,13 +32,13 @@
   boost::asio::steady_timer timer_;
 };
 
-// Logs how often each event of a subject happened, at most one line a second. A line for each request of a
-// crowd would be a load of its own. The loop must outlive it.
+// Logs how often each event of a subject happened, in at most one line a second, since a line for each
+// request would add load under overload. `io` must outlive it.
 class CounterLog {
  public:
   CounterLog(boost::asio::io_context& io, std::string subject) : timer_(io), subject_(std::move(subject)) {}
 
-  // Counts an event. `reason` is one of a few texts.
+  // Counts an event. `reason` must be one of a small set of texts, each of which is counted.
   void add(const std::string& reason);
 
  private:
--- a/relay/platform.cpp
+++ b/relay/platform.cpp
@@ -29,146 +29,150 @@
 
 namespace {
 
-// An empty line comes every 2 s while nothing changes. A watch without one for half as long again is broken,
-// though its connection stands: what it misses binds 6 s after it fell silent, and opening it anew takes its
-// time, too.
-constexpr auto kBeat = std::chrono::milliseconds(2000), kSilent = 3 * kBeat / 2;
-// All relays' watches may fall silent in one moment: each is given up somewhere within this of kSilent.
-constexpr auto kSpread = std::chrono::milliseconds(250);
-constexpr auto kLook = std::chrono::milliseconds(100);  // for what had come by then to be read
-constexpr auto kConnectTime =
-    std::chrono::seconds(1);                         // discovery is near: one that takes longer is not there
-constexpr auto kListTime = std::chrono::seconds(6);  // for one whole list, from its asking or its first byte
-constexpr std::size_t kSlice = 32 * 1024;            // bytes of a list that are read in one go
-constexpr std::size_t kPart = 2'000;                 // entries of it that are told in one go
-constexpr auto kPostTime = std::chrono::seconds(1);
-// Between tries of notices. An end is owed 300 ms after its time at the latest: five tries fit into that.
-constexpr auto kFirstBackoff = std::chrono::milliseconds(25), kMostBackoff = std::chrono::milliseconds(100);
-constexpr unsigned kUnreadable = 400;
+// Discovery sends an empty line every 2 s while nothing changes. A watch without one for 3 s is considered
+// broken even if its connection stands: the relay must act on a change that it missed within 6 s of the watch
+// falling silent, and reopening takes time, too.
+constexpr auto kHeartbeatInterval = std::chrono::milliseconds(2000),
+               kHeartbeatTimeout = 3 * kHeartbeatInterval / 2;
+// All relays' watches may fall silent at once; each adds a random part of this to kHeartbeatTimeout.
+constexpr auto kTimeoutJitter = std::chrono::milliseconds(250);
+// After the heartbeat timeout, for reading what had arrived by then.
+constexpr auto kFinalReadDelay = std::chrono::milliseconds(100);
+constexpr auto kConnectTimeout = std::chrono::seconds(1);  // discovery is near: a slower one is down
+constexpr auto kListTimeout = std::chrono::seconds(6);  // for one full list, from its request or first byte
+constexpr std::size_t kParseSliceBytes = 32 * 1024;     // bytes of a list that are parsed at a time
+constexpr std::size_t kEntriesPerPart = 2'000;          // entries of a list that are passed on at a time
+constexpr auto kPostTimeout = std::chrono::seconds(1);
+// Between attempts to send notices. A notice is due within 300 ms, so that there is time for five attempts.
+constexpr auto kFirstBackoff = std::chrono::milliseconds(25), kMaxBackoff = std::chrono::milliseconds(100);
+constexpr unsigned kStatusMalformed = 400;
 
 }  // namespace
 
 struct Platform::Query {
-  Query(net::io_context& io, bool f, std::size_t most_list)
-      : follow(f), socket(io), timer(io), read_pause(io), buffer(most_list) {
-    // A watch goes on for ever. Beast 1.74 takes no limit for a limit of nothing where a length is announced.
-    f ? parser.body_limit(boost::none) : parser.body_limit(most_list);
+  Query(net::io_context& io, bool is_watch, std::size_t max_list_bytes)
+      : follow(is_watch), socket(io), timer(io), read_retry_timer(io), buffer(max_list_bytes) {
+    // A watch has no end, so its body has no limit. (With a Content-Length, Beast 1.74 treats boost::none as
+    // 0.)
+    is_watch ? parser.body_limit(boost::none) : parser.body_limit(max_list_bytes);
   }
-  bool follow, over = false;
+  bool follow, ended = false;
   tcp::socket socket;
   Timer timer;
-  Timer read_pause;  // while the system has no memory for a read, or nothing for a connection
+  Timer read_retry_timer;  // while the system lacks memory for a read, or resources to connect
   beast::flat_buffer buffer;
   http::request<http::empty_body> request;
   http::response_parser<http::string_body> parser;
-  std::string text;                  // of the list that was asked for once, as it comes
-  ObjectSplitter objects;            // of a watch, as they come
-  std::size_t heard = 0;             // line ends that were taken for signs of life
-  bool inside = false;               // an object has begun, and its time runs
-  bool answered = false;             // a watch that lived
-  bool looked = false;               // once for what had come when its time was up
-  std::optional<ListReader> reader;  // of the list that is being read
-  std::optional<EndpointList> list;  // that is being told
-  std::size_t told = 0;              // of its entries
+  std::string list_text;             // of a fetch, received so far
+  ObjectSplitter objects;            // of a watch
+  std::size_t heartbeats_seen = 0;   // line ends counted as heartbeats
+  bool in_object = false;            // the list timer runs for an incomplete object
+  bool had_data = false;             // a watch received an object or a heartbeat
+  bool final_read_pending = false;   // kFinalReadDelay runs after a heartbeat timeout
+  std::optional<ListReader> reader;  // of the list being parsed
+  std::optional<EndpointList> list;  // being passed on
+  std::size_t delivered = 0;         // entries of `list` passed on
 };
 
 struct Platform::Post {
-  explicit Post(net::io_context& io) : timer(io), read_pause(io) {}
+  explicit Post(net::io_context& io) : timer(io), read_retry_timer(io) {}
   std::shared_ptr<tcp::socket> socket;
   Timer timer;
-  Timer read_pause;  // while the system has no memory for a read
+  Timer read_retry_timer;  // while the system lacks memory for a read
   std::vector<MessageId> ids;
-  bool fresh = false, over = false;
+  bool new_connection = false, ended = false;
   http::request<http::string_body> request;
-  // Guards against lengths, heads and bodies that no memory holds: bounded as the endpoints' answers are.
+  // Bounds the size of the header and the body, as for endpoints' answers.
   AnswerReader answer;
   std::array<char, 4096> chunk;
-  unsigned status = 0;  // of the whole answer; 0: none came
+  unsigned status = 0;  // 0 until the answer is complete
 };
 
 Platform::Platform(net::io_context& io, const tcp::endpoint& address,
                    const heronvane::dispatch::adapter::NameTables& names, std::int64_t index,
-                   std::size_t most_list, Listed listed, Failed failed, Noticed noticed)
+                   std::size_t max_list_bytes, ListCallback on_list, FailureCallback on_failure,
+                   NoticesTakenCallback on_notices_taken)
     : io_(io),
       address_(address),
       names_(names),
       index_(index),
-      most_list_(most_list),
-      listed_(std::move(listed)),
-      failed_(std::move(failed)),
-      noticed_(std::move(noticed)),
-      again_(io),
+      max_list_bytes_(max_list_bytes),
+      on_list_(std::move(on_list)),
+      on_failure_(std::move(on_failure)),
+      on_notices_taken_(std::move(on_notices_taken)),
+      retry_timer_(io),
       backoff_(kFirstBackoff),
       random_(std::random_device{}()) {}
 Platform::~Platform() = default;
 
 // ---- The list. ----
-void Platform::watch() { following_ = true, ask(true); }
-void Platform::fetch() { ask(false); }
+void Platform::watch() { following_ = true, start_query(true); }
+void Platform::fetch() { start_query(false); }
 void Platform::refresh(std::function<void()> done) {
-  refreshed_ = std::move(done);
-  drop(fetch_);
+  on_refreshed_ = std::move(done);
+  cancel_query(fetch_);
   fetch();
 }
-void Platform::refreshed() {
-  if (const auto done = std::exchange(refreshed_, nullptr)) done();
+void Platform::finish_refresh() {
+  if (const auto done = std::exchange(on_refreshed_, nullptr)) done();
 }
-void Platform::unwatch() { following_ = false, drop(watch_); }
+void Platform::unwatch() { following_ = false, cancel_query(watch_); }
 
-void Platform::drop(std::shared_ptr<Query>& query) {
+void Platform::cancel_query(std::shared_ptr<Query>& query) {
   if (!query) return;
-  query->over = true;
+  query->ended = true;
   error_code ignored;
   query->socket.close(ignored);
   query->timer.cancel();
-  query->read_pause.cancel();
+  query->read_retry_timer.cancel();
   query.reset();
 }
 
 void Platform::set_address(const tcp::endpoint& address) {
   if (address == address_) return;
   address_ = address;
-  index_ = 0;  // the new one may count anew: it is asked for all
-  whole_due_ = true;
+  index_ = 0;  // indexes of another discovery are not comparable: ask for the full list
+  full_list_due_ = true;
   const bool fetching = fetch_ != nullptr;
-  drop(fetch_);
+  cancel_query(fetch_);
   if (fetching) fetch();
-  // Also where the module pauses after a failure: that was the old one's.
+  // At once, even if the decision module is in a backoff after a failure of the old address.
   if (following_) watch();
-  kept_.reset();
+  idle_socket_.reset();
   if (post_) {
-    post_->over = true;
+    post_->ended = true;
     post_->timer.cancel();
-    post_->read_pause.cancel();
+    post_->read_retry_timer.cancel();
     error_code ignored;
     post_->socket->close(ignored);
     post_.reset();
   }
-  again_.cancel();
-  waiting_ = false;
+  retry_timer_.cancel();
+  retry_pending_ = false;
   backoff_ = kFirstBackoff;
-  if (!owed_.empty()) post();
+  if (!pending_notices_.empty()) post_notices();
 }
 
-void Platform::ask(bool follow) {
-  if (follow) drop(watch_);
+void Platform::start_query(bool follow) {
+  if (follow) cancel_query(watch_);
   if (!follow && fetch_) return;
-  const auto query = std::make_shared<Query>(io_, follow, most_list_);
+  const auto query = std::make_shared<Query>(io_, follow, max_list_bytes_);
   (follow ? watch_ : fetch_) = query;
-  query->timer.set(kConnectTime, [this, query] { end(query, "no connection"); });
+  query->timer.set(kConnectTimeout, [this, query] { end_query(query, "connect timed out"); });
   connect(query);
 }
 
 void Platform::connect(const std::shared_ptr<Query>& query) {
-  query->socket.async_connect(address_, [this, query](error_code bad) {
-    if (query->over) return;
-    // No failure of discovery, whose pauses would grow: tried again until the time to connect is over.
-    if (is_local_shortage(bad)) {
+  query->socket.async_connect(address_, [this, query](error_code error) {
+    if (query->ended) return;
+    // A local shortage is not a failure of discovery, which would increase the module's backoff: the connect
+    // is retried until the connect timeout.
+    if (is_local_shortage(error)) {
       error_code ignored;
       query->socket.close(ignored);
-      return query->read_pause.set(kConnectRetryDelay, [this, query] { connect(query); });
+      return query->read_retry_timer.set(kConnectRetryDelay, [this, query] { connect(query); });
     }
-    if (bad) return end(query, bad.message());
+    if (error) return end_query(query, error.message());
     send_request(query);
   });
 }
@@ -177,191 +181,194 @@
   error_code ignored;
   query->socket.set_option(tcp::no_delay(true), ignored);
   query->socket.non_blocking(true, ignored);
-  query->follow ? guard(query) : list_time(query);
+  query->follow ? reset_watch_timer(query) : start_list_timer(query);
   query->request.method(http::verb::get);
   query->request.version(11);
   query->request.target(query->follow ? "/catalog/members?follow=1&since=" + std::to_string(index_)
                                       : std::string("/catalog/members"));
   query->request.set(http::field::host, "discovery.svc");
-  write_all(query->socket, wire_text(query->request), [this, query](error_code failed) {
-    if (query->over) return;
-    if (failed) return end(query, failed.message());
+  write_all(query->socket, wire_text(query->request), [this, query](error_code error) {
+    if (query->ended) return;
+    if (error) return end_query(query, error.message());
     read(query);
   });
 }
 
-// Until the next sign of life of a watch.
-void Platform::guard(const std::shared_ptr<Query>& query) {
-  query->looked = false;
-  std::uniform_int_distribution<int> spread(0, static_cast<int>(kSpread.count()));
-  query->timer.set(kSilent + std::chrono::milliseconds(spread(random_)), [this, query] { silent(query); });
+// Restarts the heartbeat timeout of a watch.
+void Platform::reset_watch_timer(const std::shared_ptr<Query>& query) {
+  query->final_read_pending = false;
+  std::uniform_int_distribution<int> spread(0, static_cast<int>(kTimeoutJitter.count()));
+  query->timer.set(kHeartbeatTimeout + std::chrono::milliseconds(spread(random_)),
+                   [this, query] { handle_silence(query); });
 }
 
-void Platform::list_time(const std::shared_ptr<Query>& query) {
-  query->timer.set(kListTime, [this, query] { end(query, "not whole in time"); });
+void Platform::start_list_timer(const std::shared_ptr<Query>& query) {
+  query->timer.set(kListTimeout, [this, query] { end_query(query, "list incomplete at its timeout"); });
 }
 
-// Opened anew at once: the module would pause first, and what is missed binds meanwhile.
-void Platform::silent(const std::shared_ptr<Query>& query) {
-  // It is not the watch that is slow: what it told is still being read.
-  if (query->reader || query->list) return guard(query);
-  // What was written is told, though it comes to be read in the very moment, or after this process stood
-  // still; it may also be on its way yet.
-  if (!std::exchange(query->looked, true)) return query->timer.set(kLook, [this, query] { silent(query); });
-  if (query->answered && watch_ == query) {
-    log("discovery: watch: silent for too long, opened anew");
-    if (whole_due_) index_ = 0;  // it asks for all again
-    return ask(true);
+// Reopens a silent watch at once. Reported as a failure, it would wait for the module's backoff, and changes
+// could be missed for too long.
+void Platform::handle_silence(const std::shared_ptr<Query>& query) {
+  // Not silent: the relay is still parsing or passing on a list.
+  if (query->reader || query->list) return reset_watch_timer(query);
+  // Data may have arrived that is not read yet, for instance after this process was suspended.
+  if (!std::exchange(query->final_read_pending, true))
+    return query->timer.set(kFinalReadDelay, [this, query] { handle_silence(query); });
+  if (query->had_data && watch_ == query) {
+    log("discovery: watch: silent for too long, reopened");
+    if (full_list_due_) index_ = 0;  // ask for the full list again
+    return start_query(true);
   }
-  end(query, "silent for too long");
+  end_query(query, "silent for too long");
 }
 
 void Platform::read(const std::shared_ptr<Query>& query) {
   http::async_read_some(
-      query->socket, query->buffer, query->parser, [this, query](error_code bad, std::size_t) {
-        if (query->over) return;
-        if (is_memory_shortage(bad))
-          return retry_read(query->socket, query->read_pause,
-                            [this, query] { query->over ? void() : read(query); });
-        if (bad) return end(query, bad.message());
+      query->socket, query->buffer, query->parser, [this, query](error_code error, std::size_t) {
+        if (query->ended) return;
+        if (is_memory_shortage(error))
+          return retry_read(query->socket, query->read_retry_timer,
+                            [this, query] { query->ended ? void() : read(query); });
+        if (error) return end_query(query, error.message());
         if (query->parser.is_header_done()) {
           if (query->parser.get().result() != http::status::ok)
-            return end(query, "answered " + std::to_string(query->parser.get().result_int()));
+            return end_query(query, "answered " + std::to_string(query->parser.get().result_int()));
           auto& body = query->parser.get().body();
-          query->follow ? query->objects.put(body) : void(query->text += body);
+          query->follow ? query->objects.put(body) : void(query->list_text += body);
           body.clear();
-          if (query->text.size() > most_list_ || query->objects.size() > most_list_)
-            return end(query, "a list too long");
-          if (query->follow) return objects(query);
+          if (query->list_text.size() > max_list_bytes_ || query->objects.size() > max_list_bytes_)
+            return end_query(query, "list exceeds the size limit");
+          if (query->follow) return read_watch_objects(query);
         }
         if (!query->parser.is_done()) return read(query);
-        if (query->follow) return end(query, "ended");
+        if (query->follow) return end_query(query, "ended");
         query->timer.cancel();
-        query->reader.emplace(std::move(query->text), names_);
-        whole(query);
+        query->reader.emplace(std::move(query->list_text), names_);
+        read_full_list(query);
       });
 }
 
-// Reads and tells on in the list; true once all of it is told. Throws WireError.
-bool Platform::slice(Query& query) {
+// Parses or passes on the next slice of the list; true once all of it is passed on. Throws WireError.
+bool Platform::read_slice(Query& query) {
   if (query.reader) {
-    if (!query.reader->step(kSlice)) return false;
-    query.list = query.reader->take(), query.told = 0;
+    if (!query.reader->step(kParseSliceBytes)) return false;
+    query.list = query.reader->take(), query.delivered = 0;
     query.list->serial = ++serial_;
     query.reader.reset();
   }
-  return hand_over(query);
+  return deliver_part(query);
 }
 
-// Takes the whole objects that have come, then reads on. A long one is read in slices, so that clients don't
-// wait.
-void Platform::objects(const std::shared_ptr<Query>& query) {
+// Handles the complete objects received, then reads on. A long list is handled in slices, between which the
+// event loop serves clients.
+void Platform::read_watch_objects(const std::shared_ptr<Query>& query) {
   try {
-    while (!query->over) {
+    while (!query->ended) {
       if (!query->reader && !query->list) {
-        auto one = query->objects.next();
-        if (!one) break;
-        query->answered = true, query->inside = false;
-        guard(query);
-        query->reader.emplace(std::move(*one), names_);
+        auto object = query->objects.next();
+        if (!object) break;
+        query->had_data = true, query->in_object = false;
+        reset_watch_timer(query);
+        query->reader.emplace(std::move(*object), names_);
       }
-      if (!slice(*query)) return net::post(io_, [this, query] { objects(query); });
+      if (!read_slice(*query)) return net::post(io_, [this, query] { read_watch_objects(query); });
     }
   } catch (const heronvane::dispatch::adapter::WireError& e) {
     log(std::string("discovery: ") + e.what());
-    return end(query, "an entry that can't be read");
+    return end_query(query, "malformed entry");
   }
-  if (query->over) return;
+  if (query->ended) return;
   if (query->objects.inside()) {
-    // Its bytes are no sign of life for ever.
-    if (!std::exchange(query->inside, true)) list_time(query);
-  } else if (const auto ends = query->objects.line_ends(); ends != std::exchange(query->heard, ends)) {
-    query->answered = true;
-    guard(query);
+    // An incomplete object does not count as a heartbeat; it has kListTimeout to end.
+    if (!std::exchange(query->in_object, true)) start_list_timer(query);
+  } else if (const auto line_ends = query->objects.line_ends();
+             line_ends != std::exchange(query->heartbeats_seen, line_ends)) {
+    query->had_data = true;
+    reset_watch_timer(query);
   }
-  query->parser.is_done() ? end(query, "ended") : read(query);
+  query->parser.is_done() ? end_query(query, "ended") : read(query);
 }
 
-// Reads the list that was asked for once.
-void Platform::whole(const std::shared_ptr<Query>& query) {
-  if (query->over) return;
+// Parses the list of a fetch and passes it on.
+void Platform::read_full_list(const std::shared_ptr<Query>& query) {
+  if (query->ended) return;
   bool readable = true;
   try {
-    if (!slice(*query)) return net::post(io_, [this, query] { whole(query); });
+    if (!read_slice(*query)) return net::post(io_, [this, query] { read_full_list(query); });
   } catch (const heronvane::dispatch::adapter::WireError& e) {
     log(std::string("discovery: ") + e.what());
     readable = false;
   }
-  if (query->over) return;
-  query->over = true;
+  if (query->ended) return;
+  query->ended = true;
   fetch_.reset();
   if (!readable) {
-    log("discovery: list: can't be read");
-    failed_();
+    log("discovery: list: malformed");
+    on_failure_();
   }
-  if (whole_due_ && readable) fetch();
-  refreshed();
+  if (full_list_due_ && readable) fetch();
+  finish_refresh();
 }
 
-// The next part of the list; true with the last one.
-bool Platform::hand_over(Query& query) {
+// Passes on the next part of the list; true with the last one.
+bool Platform::deliver_part(Query& query) {
   EndpointList& list = *query.list;
-  // One that was overtaken by the watch is asked for again.
-  const bool overtaken = !query.follow && watch_ && list.index < index_;
-  const std::size_t left = list.endpoints.size() - query.told,
-                    count = overtaken ? left : std::min(left, kPart);
-  if (!overtaken) {
+  // A fetched list older than what the watch delivered is dropped.
+  const bool superseded = !query.follow && watch_ && list.index < index_;
+  const std::size_t left = list.endpoints.size() - query.delivered,
+                    count = superseded ? left : std::min(left, kEntriesPerPart);
+  if (!superseded) {
     EndpointList part;
     part.index = list.index, part.snapshot = list.snapshot, part.serial = list.serial;
-    part.first_part = query.told == 0, part.last_part = count == left;
-    const auto from = list.endpoints.begin() + static_cast<std::ptrdiff_t>(query.told);
+    part.first_part = query.delivered == 0, part.last_part = count == left;
+    const auto from = list.endpoints.begin() + static_cast<std::ptrdiff_t>(query.delivered);
     part.endpoints.assign(std::make_move_iterator(from),
                           std::make_move_iterator(from + static_cast<std::ptrdiff_t>(count)));
-    // Only now: what is broken off is asked for anew.
+    // Only with the last part, so that an interrupted list is requested again.
     if (part.last_part) index_ = list.index;
-    listed_(std::move(part));
+    on_list_(std::move(part));
   }
-  query.told += count;
+  query.delivered += count;
   if (count < left) return false;
-  // What a whole list says after a move is all there is; changes alone leave in what went before them.
-  whole_due_ = whole_due_ && (!list.snapshot || overtaken);
+  // After a change of address a full list is due: updates alone would not remove endpoints that are gone.
+  full_list_due_ = full_list_due_ && (!list.snapshot || superseded);
   query.list.reset();
-  if (whole_due_ && query.follow) fetch();
+  if (full_list_due_ && query.follow) fetch();
   return true;
 }
 
-void Platform::end(const std::shared_ptr<Query>& query, const std::string& why) {
-  log(std::string("discovery: ") + (query->follow ? "watch: " : "list: ") + why);
-  query->over = true;
+void Platform::end_query(const std::shared_ptr<Query>& query, const std::string& reason) {
+  log(std::string("discovery: ") + (query->follow ? "watch: " : "list: ") + reason);
+  query->ended = true;
   query->timer.cancel();
-  query->read_pause.cancel();
+  query->read_retry_timer.cancel();
   error_code ignored;
   query->socket.close(ignored);
   if (watch_ == query) watch_.reset();
   if (fetch_ == query) fetch_.reset();
-  if (whole_due_) index_ = 0;  // the next watch asks for all again
-  failed_();
-  if (!query->follow) refreshed();
+  if (full_list_due_) index_ = 0;  // the next watch asks for the full list
+  on_failure_();
+  if (!query->follow) finish_refresh();
 }
 
 // ---- Notices. ----
 void Platform::send_notice(MessageId id, const std::string& wire_id, const Ending& ending) {
   rapidjson::StringBuffer buffer;
-  rapidjson::Writer<rapidjson::StringBuffer> w(buffer);
-  w.StartObject();
-  w.Key("id"), w.String(wire_id.data(), static_cast<rapidjson::SizeType>(wire_id.size()));
-  w.Key("status"), w.String(ending.deferred ? "deferred" : "undeliverable");
-  if (ending.deferred && ending.again > 0) w.Key("again_ms"), w.Int64((ending.again + 999) / 1000);
-  w.EndObject();
-  owed_[id] = std::string(buffer.GetString(), buffer.GetSize()) + "\n";
-  if (!post_ && !waiting_) post();
+  rapidjson::Writer<rapidjson::StringBuffer> writer(buffer);
+  writer.StartObject();
+  writer.Key("id"), writer.String(wire_id.data(), static_cast<rapidjson::SizeType>(wire_id.size()));
+  writer.Key("status"), writer.String(ending.deferred ? "deferred" : "undeliverable");
+  if (ending.deferred && ending.again > 0) writer.Key("again_ms"), writer.Int64((ending.again + 999) / 1000);
+  writer.EndObject();
+  pending_notices_[id] = std::string(buffer.GetString(), buffer.GetSize()) + "\n";
+  if (!post_ && !retry_pending_) post_notices();
 }
 
-void Platform::post() {
+void Platform::post_notices() {
   const auto post = post_ = std::make_shared<Post>(io_);
   auto& request = post->request;
-  for (const auto& [id, text] : owed_) {
-    if (post->ids.size() >= most_lines_) break;
+  for (const auto& [id, text] : pending_notices_) {
+    if (post->ids.size() >= max_notices_) break;
     post->ids.push_back(id);
     request.body() += text;
   }
@@ -371,91 +378,93 @@
   request.set(http::field::host, "discovery.svc");
   request.set(http::field::content_type, "application/x-ndjson");
   request.prepare_payload();
-  post->timer.set(kPostTime, [this, post] { posted(post, "no answer"); });
-  const auto talk = [this, post](error_code bad) {
-    if (post->over) return;
-    if (bad) return posted(post, bad.message());
+  post->timer.set(kPostTimeout, [this, post] { finish_post(post, "no answer"); });
+  const auto on_connected = [this, post](error_code error) {
+    if (post->ended) return;
+    if (error) return finish_post(post, error.message());
     error_code ignored;
     post->socket->set_option(tcp::no_delay(true), ignored);
     post->socket->non_blocking(true, ignored);
     HERONVANE_POINT("notice.before");
-    write_all(*post->socket, wire_text(post->request), [this, post, kept = post->socket](error_code unsent) {
-      if (post->over) return;
-      if (unsent) return posted(post, unsent.message());
-      read(post);
-    });
+    write_all(*post->socket, wire_text(post->request),
+              [this, post, socket = post->socket](error_code write_error) {
+                if (post->ended) return;
+                if (write_error) return finish_post(post, write_error.message());
+                read(post);
+              });
   };
-  if (const auto socket = std::exchange(kept_, nullptr)) {
-    // What lies in it now is no answer to what is not asked yet: it would tell that these notices were taken.
-    error_code bad;
-    if (socket->available(bad) == 0 && !bad) {
+  if (const auto socket = std::exchange(idle_socket_, nullptr)) {
+    // Data that arrived before the request would be read as its answer and could confirm these notices by
+    // mistake.
+    error_code error;
+    if (socket->available(error) == 0 && !error) {
       post->socket = socket;
-      return talk({});
+      return on_connected({});
     }
-    socket->close(bad);
+    socket->close(error);
   }
-  post->fresh = true;
+  post->new_connection = true;
   post->socket = std::make_shared<tcp::socket>(io_);
-  post->socket->async_connect(address_, talk);
+  post->socket->async_connect(address_, on_connected);
 }
 
 void Platform::read(const std::shared_ptr<Post>& post) {
-  post->socket->async_read_some(net::buffer(post->chunk), [this, post](error_code bad, std::size_t size) {
-    if (post->over) return;
+  post->socket->async_read_some(net::buffer(post->chunk), [this, post](error_code error, std::size_t size) {
+    if (post->ended) return;
     using State = AnswerReader::State;
-    if (is_memory_shortage(bad))
-      return retry_read(*post->socket, post->read_pause,
-                        [this, post, kept = post->socket] { post->over ? void() : read(post); });
-    if (bad && bad != net::error::eof) return posted(post, bad.message());
-    const State state = bad ? post->answer.end() : post->answer.put(post->chunk.data(), size);
+    if (is_memory_shortage(error))
+      return retry_read(*post->socket, post->read_retry_timer,
+                        [this, post, socket = post->socket] { post->ended ? void() : read(post); });
+    if (error && error != net::error::eof) return finish_post(post, error.message());
+    const State state = error ? post->answer.end() : post->answer.put(post->chunk.data(), size);
     if (state == State::more) return read(post);
-    if (state == State::broken) return posted(post, bad ? bad.message() : "an answer that can't be read");
+    if (state == State::broken) return finish_post(post, error ? error.message() : "malformed answer");
     post->status = post->answer.status();
     HERONVANE_POINT("notice.answered");
-    posted(post, post->status == 204 ? "" : "answered " + std::to_string(post->status));
+    finish_post(post, post->status == 204 ? "" : "answered " + std::to_string(post->status));
   });
 }
 
-void Platform::told(const std::vector<MessageId>& ids) {
-  for (const MessageId id : ids) owed_.erase(id);
-  if (owed_.empty()) most_lines_ = kMostLines;
-  noticed_(ids);
-  if (!owed_.empty() && !post_) post();
+void Platform::handle_notices_taken(const std::vector<MessageId>& ids) {
+  for (const MessageId id : ids) pending_notices_.erase(id);
+  if (pending_notices_.empty()) max_notices_ = kMaxNoticesPerPost;
+  on_notices_taken_(ids);
+  if (!pending_notices_.empty() && !post_) post_notices();
 }
 
-void Platform::posted(const std::shared_ptr<Post>& post, const std::string& problem) {
-  post->over = true;
+void Platform::finish_post(const std::shared_ptr<Post>& post, const std::string& error_text) {
+  post->ended = true;
   post->timer.cancel();
-  post->read_pause.cancel();
+  post->read_retry_timer.cancel();
   post_.reset();
-  if (problem.empty()) {
+  if (error_text.empty()) {
     backoff_ = kFirstBackoff;
-    if (post->answer.reusable()) kept_ = post->socket;
-    return told(post->ids);
+    if (post->answer.reusable()) idle_socket_ = post->socket;
+    return handle_notices_taken(post->ids);
   }
   error_code ignored;
   post->socket->close(ignored);
-  if (post->status == kUnreadable) {
-    // Guards against one notice that the platform can't read, sent for ever with all that it holds up: they
-    // go one by one until it is found, and it goes.
+  if (post->status == kStatusMalformed) {
+    // One malformed notice must not block the others for ever: they are sent one at a time until the
+    // malformed one is found and dropped.
     if (post->ids.size() > 1) {
-      most_lines_ = 1;
-      return this->post();
+      max_notices_ = 1;
+      return this->post_notices();
     }
-    log("notices: the platform can't read " + owed_[post->ids[0]]);
-    most_lines_ = kMostLines;
-    return told(post->ids);
+    log("notices: dropped, the platform answered 400 to " + pending_notices_[post->ids[0]]);
+    max_notices_ = kMaxNoticesPerPost;
+    return handle_notices_taken(post->ids);
   }
-  // A notice for a message that is over does no harm, so it goes again; at once where only a kept
-  // connection had ended.
-  if (!post->fresh) return this->post();
-  log("notices: " + problem);
-  waiting_ = true;
-  again_.set(backoff_, [this] {
-    waiting_ = false;
-    if (!owed_.empty() && !post_) this->post();
+  // Notices are idempotent, so they are sent again: at once if an idle connection may have been closed before
+  // the request arrived.
+  if (!post->new_connection) return this->post_notices();
+  log("notices: " + error_text);
+  retry_pending_ = true;
+  retry_timer_.set(backoff_, [this] {
+    retry_pending_ = false;
+    if (!pending_notices_.empty() && !post_) this->post_notices();
   });
-  backoff_ = std::min(2 * backoff_, kMostBackoff);
+  backoff_ = std::min(2 * backoff_, kMaxBackoff);
 }
 
 }  // namespace heronvane
--- a/relay/request.hpp
+++ b/relay/request.hpp
@@ -1,4 +1,4 @@
-// What a client's request says and whether it can be used. Beast has parsed it; no input or output here.
+// Reads a message from a client's HTTP request, which Beast has parsed, and validates it. Performs no I/O.
 #pragma once
 
 #include <boost/beast/http/message.hpp>
@@ -12,15 +12,15 @@
 
 using Request = boost::beast::http::request<boost::beast::http::string_body>;
 
-// The message that a request hands in, with its body moved into it, without a deadline: that is `left` from
-// now. Else the status that turns it down and why.
-struct Handed {
-  Message message;
-  Microseconds left = 0;
-  unsigned refused = 0;
-  const char* why = "";
+// The message of a request, or why the request is rejected.
+struct ParsedRequest {
+  Message message;             // without its deadline
+  Microseconds time_left = 0;  // until the deadline
+  unsigned error_status = 0;   // HTTP status of the rejection; 0: accepted
+  const char* error_reason = "";
 };
-Handed read_message(Request& request, const heronvane::dispatch::Settings& settings,
-                    const heronvane::dispatch::adapter::NameTables& names);
+// Moves the body out of `request`.
+ParsedRequest read_message(Request& request, const heronvane::dispatch::Settings& settings,
+                           const heronvane::dispatch::adapter::NameTables& names);
 
 }  // namespace heronvane
--- a/tests/accept_test.cpp
+++ b/tests/accept_test.cpp
@@ -1,5 +1,5 @@
-// Connections that can't be accepted, by the relay's intake over loopback sockets: whatever accept() says, a
-// client that waits is answered without a further connection.
+// Failing socket calls of the relay. Whatever error accept() returns, a waiting client is answered without
+// the need for another connection.
 #include <iterator>
 
 #include "relay_harness.hpp"
@@ -11,16 +11,16 @@
 
 class AcceptTest : public RelayTest {
  protected:
-  // Starts a relay of which one accept fails with `error`, once set_faults(true) was
-  // called. `call` as in lab/faults/interpose.cpp.
+  // Starts a relay in which one `call` fails with `error` after set_faults(true). `call` as in
+  // lab/faults/interpose.cpp.
   void start_failing(const std::string &call, const std::string &error) {
     if (child > 0) kill_relay();
     set_faults(false);
     faults = switched(call, error, "times = 1\n");
     start();
   }
-  // The faults that were injected, a line each.
-  std::string given() const {
+  // The injected faults, one per line.
+  std::string injected_faults() const {
     std::ifstream in(folder + "/given");
     return {std::istreambuf_iterator<char>(in), {}};
   }
@@ -30,17 +30,17 @@
   }
 };
 
-TEST_F(AcceptTest, AClientBehindALostConnectionIsAnswered) {
+TEST_F(AcceptTest, AClientQueuedAfterALostConnectionIsAnswered) {
   for (const char *error : {"ECONNABORTED", "EPROTO", "ENETDOWN", "EHOSTUNREACH", "EPERM"}) {
     SCOPED_TRACE(error);
     start_failing("accepted", error);
-    send_signal(child, SIGSTOP);  // both wait in the queue when it looks
+    send_signal(child, SIGSTOP);  // so that it finds both connections in the listen queue
     set_faults(true);
-    const auto lost = connect(), behind = connect();
-    ASSERT_TRUE(lost && behind);
-    behind->write(kHealthRequest);
+    const auto lost = connect(), queued = connect();
+    ASSERT_TRUE(lost && queued);
+    queued->write(kHealthRequest);
     send_signal(child, SIGCONT);
-    expect_answered(behind);
+    expect_answered(queued);
     if (HasFailure()) return;
   }
 }
@@ -59,8 +59,8 @@
   }
 }
 
-// An error that stays is tried at a bounded rate, and told in a few lines.
-TEST_F(AcceptTest, AnErrorThatStaysCostsLittle) {
+// A persistent error is retried at a bounded rate and logged in a few lines.
+TEST_F(AcceptTest, APersistentErrorIsRetriedAtABoundedRate) {
   faults = "report = \"" + folder + "/given\"\n" + switched("accept", "ENFILE");
   start();
   set_faults(true);
@@ -70,22 +70,22 @@
   const auto begun = std::chrono::steady_clock::now();
   const auto span = std::chrono::seconds(2);
   wait_for([&] { return std::chrono::steady_clock::now() - begun > span; },
-           "the error has stayed for a while");
+           "the error has lasted for a while");
   set_faults(false);
   expect_answered(client);
   const auto lasted = std::chrono::duration<double>(std::chrono::steady_clock::now() - begun).count();
   std::ifstream in(folder + "/given");
   const auto tries = std::count(std::istreambuf_iterator<char>(in), {}, '\n');
   EXPECT_GT(tries, 10);
-  EXPECT_LT(static_cast<double>(tries), lasted * 220) << "more than one each 5 ms";
+  EXPECT_LT(static_cast<double>(tries), lasted * 220) << "more than one per 5 ms";
   const std::string log = logged();
   EXPECT_NE(log.find("accept failed: no descriptor ("), std::string::npos) << log;
   EXPECT_LT(std::count(log.begin(), log.end(), '\n'), 12) << log;
 }
 
 // ---- Answers. ----
-// A client whose answer the system has no buffer for is owed it all the same: its message was taken on.
-TEST_F(AcceptTest, AnAnswerOutlivesAShortageOfBuffers) {
+// If the system has no buffer for an answer, it is sent later: the message was accepted.
+TEST_F(AcceptTest, AnAnswerIsSentDespiteABufferShortage) {
   for (const char *error : {"ENOBUFS", "ENOMEM"}) {
     SCOPED_TRACE(error);
     start_failing("send", error);
@@ -100,8 +100,8 @@
   }
 }
 
-// Reads and writes that a signal interrupts, or for which there is no memory, say nothing of the connection.
-TEST_F(AcceptTest, ReadsAndWritesThatFailForAMomentLoseNothing) {
+// Reads and writes that are interrupted by a signal or lack memory do not mean that the connection is broken.
+TEST_F(AcceptTest, TransientReadAndWriteErrorsLoseNothing) {
   for (const char *error : {"EINTR", "ENOMEM", "ENOBUFS"}) {
     SCOPED_TRACE(error);
     endpoint.got.clear();
@@ -117,16 +117,16 @@
     wait_for([&] { return endpoint.got.size() >= 6; }, "the last call");
     send_signal(child, SIGTERM);
     EXPECT_EQ(wait_exit(), 0);
-    EXPECT_EQ(endpoint.got.size(), 6u) << "one was made twice";
-    EXPECT_EQ(finals, "") << "an answer was taken for a broken stream";
+    EXPECT_EQ(endpoint.got.size(), 6u) << "a call was made twice";
+    EXPECT_EQ(finals, "") << "an answer was treated as broken";
     EXPECT_NE(logged().find("stopped: 0 messages left"), std::string::npos) << logged();
     if (HasFailure()) return;
     std::filesystem::remove(folder + "/log");
   }
 }
 
-// An answer that goes byte by byte is whole.
-TEST_F(AcceptTest, AnAnswerInSmallWritesIsWhole) {
+// Answers written and read one byte at a time are complete.
+TEST_F(AcceptTest, AnAnswerWrittenBytewiseIsComplete) {
   faults = "[[short]]\ncall = \"send\"\nbytes = 1\n[[short]]\ncall = \"recv\"\nbytes = 1\n";
   start();
   EXPECT_EQ(hand_in("m1", "load-status"), 202u);
@@ -135,9 +135,9 @@
   EXPECT_EQ(endpoint.got[0].request.body(), "hello");
 }
 
-// Guards against a want of descriptors that counts as a failure of discovery: pauses that grow would leave
-// the relay without a watch long after it has descriptors again.
-TEST_F(AcceptTest, AWatchIsOpenedAsSoonAsThereIsADescriptorForIt) {
+// Guards against a lack of descriptors that counts as a failure of discovery: the increasing backoff would
+// leave the relay without a watch long after descriptors are free again.
+TEST_F(AcceptTest, AWatchIsOpenedAsSoonAsADescriptorIsFree) {
   for (const char *error : {"EMFILE", "ENFILE", "ENOBUFS", "ENOMEM"}) {
     SCOPED_TRACE(error);
     if (child > 0) kill_relay();
@@ -149,14 +149,15 @@
     wait_for([&] { return watches.size() == 1; }, "the watch");
     set_faults(true);
     watches[0]->close();
-    wait_for([&] { return given().find("socket") != std::string::npos; }, "no socket for the next one");
+    wait_for([&] { return injected_faults().find("socket") != std::string::npos; },
+             "no socket for the next one");
     const auto since = std::chrono::steady_clock::now();
     const auto passed = [&] { return std::chrono::steady_clock::now() - since; };
     wait_for([&] { return passed() >= std::chrono::milliseconds(300); }, "the shortage lasts a while");
     set_faults(false);
     wait_for([&] { return watches.size() == 2; }, "the next watch");
     EXPECT_LT(passed(), std::chrono::milliseconds(600))
-        << "the first pause behind a failure is 0.75 s at least";
+        << "the first backoff after a failure is at least 0.75 s";
     if (HasFailure()) return;
   }
 }
--- a/tests/answer_test.cpp
+++ b/tests/answer_test.cpp
@@ -1,4 +1,5 @@
-// Answers of endpoints, by table: which are whole, which are broken, and what their first line still proves.
+// Table-driven tests of endpoints' answers: which are complete or broken, and what their status line still
+// proves.
 #include "answer.hpp"
 
 #include <gtest/gtest.h>
@@ -8,7 +9,7 @@
 
 using State = AnswerReader::State;
 
-// The answer cut into pieces of every size, which must make no difference.
+// Feeds the answer in pieces of several sizes, which must make no difference.
 void expect(const std::string& text, State state, bool ok, bool reusable = false) {
   for (std::size_t piece : {text.size(), std::size_t{1}, std::size_t{7}}) {
     AnswerReader reader;
@@ -29,22 +30,23 @@
   expect("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nhi", State::whole, true, false);
 }
 
-// 1xx answers come ahead of the one that counts; without end they are no answer.
-TEST(AnswerTest, AnswersAhead) {
-  const std::string ahead = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n";
-  expect(ahead + "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", State::whole, true, true);
-  expect(ahead + "HTTP/1.1 429 X\r\nContent-Length: 0\r\n\r\n", State::whole, false, true);
-  expect(ahead, State::more, false);
+// 1xx answers precede the final one; an unlimited number of them is an error.
+TEST(AnswerTest, InformationalAnswers) {
+  const std::string informational = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n";
+  expect(informational + "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", State::whole, true, true);
+  expect(informational + "HTTP/1.1 429 X\r\nContent-Length: 0\r\n\r\n", State::whole, false, true);
+  expect(informational, State::more, false);
   expect("HTTP/1.1 101 Switch\r\n\r\n", State::broken, false);
   std::string endless;
-  for (int i = 0; i < 40; i++) endless += ahead;
+  for (int i = 0; i < 40; i++) endless += informational;
   expect(endless, State::broken, false);
   AnswerReader reader;
-  EXPECT_EQ(reader.put(ahead.data(), ahead.size()), State::more);
+  EXPECT_EQ(reader.put(informational.data(), informational.size()), State::more);
   EXPECT_FALSE(reader.begun());
 }
 
-// A 200 line before noise still delivers; any other line before noise proves nothing.
+// A 200 status line followed by garbage still delivers; any other status line followed by garbage proves
+// nothing.
 TEST(AnswerTest, BrokenAnswers) {
   const std::string ok = "HTTP/1.1 200 OK\r\n", full = "HTTP/1.1 429 X\r\nX-Come-Back-Ms: 500\r\n";
   for (const std::string& rest :
@@ -62,7 +64,7 @@
   expect("HTTP/9.9 200 OK\r\n\r\n", State::broken, false);
 }
 
-TEST(AnswerTest, AnswersWithoutEnd) {
+TEST(AnswerTest, IncompleteAnswers) {
   expect("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhi", State::more, true);
   expect("HTTP/1.1 200 OK\r\nX-A: b\r\n", State::more, true);
   expect("HTTP/1.1 429 X\r\nContent-Length: 10\r\n\r\nhi", State::more, false);
@@ -70,26 +72,26 @@
   const std::string half = "HTTP/1.1 429 X\r\nContent-Length: 10\r\n\r\nhi";
   reader.put(half.data(), half.size());
   EXPECT_EQ(reader.end(), State::broken);
-  AnswerReader to_the_end;
+  AnswerReader until_close;
   const std::string open = "HTTP/1.1 503 X\r\n\r\nhi";
-  EXPECT_EQ(to_the_end.put(open.data(), open.size()), State::more);
-  EXPECT_EQ(to_the_end.end(), State::whole);
-  EXPECT_FALSE(to_the_end.reusable());
+  EXPECT_EQ(until_close.put(open.data(), open.size()), State::more);
+  EXPECT_EQ(until_close.end(), State::whole);
+  EXPECT_FALSE(until_close.reusable());
 }
 
-// More than the answer: it is good, but what is behind it must not answer the next call.
-TEST(AnswerTest, WhatComesBehindEndsTheConnection) {
+// Extra bytes after a valid answer must not be read as the answer to the next call.
+TEST(AnswerTest, ExtraBytesPreventReuse) {
   const std::string one = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
-  for (const std::string& behind : {one, std::string("\x01\x02"), std::string("\r\n")}) {
+  for (const std::string& extra : {one, std::string("\x01\x02"), std::string("\r\n")}) {
     AnswerReader reader;
-    const std::string text = one + behind;
+    const std::string text = one + extra;
     EXPECT_EQ(reader.put(text.data(), text.size()), State::whole);
     EXPECT_EQ(reader.body(), "hi");
     EXPECT_FALSE(reader.reusable());
   }
 }
 
-TEST(AnswerTest, ReportsAndWaitsThatMakeNoSenseAreNone) {
+TEST(AnswerTest, InvalidLoadReportsAndWaitsAreIgnored) {
   std::optional<AnswerReader> reader;
   const auto read = [&reader](const std::string& head) -> const AnswerReader& {
     const std::string text = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n" + head + "\r\n\r\n";
@@ -98,17 +100,17 @@
   };
   EXPECT_EQ(read("X-Load: x0=0.4,x1=25").report().limit_remaining, 0.4);
   EXPECT_EQ(read("X-Load: x0=0.4,x1=25").report().limit_rate, 25);
-  for (const std::string& bad : {std::string("nan"), std::string("inf"), std::string("-1"),
-                                 std::string("4abc"), std::string(""), std::string("1e999")}) {
-    EXPECT_EQ(read("X-Load: x0=" + bad + ",x1=" + bad).report().limit_remaining,
+  for (const std::string& error : {std::string("nan"), std::string("inf"), std::string("-1"),
+                                   std::string("4abc"), std::string(""), std::string("1e999")}) {
+    EXPECT_EQ(read("X-Load: x0=" + error + ",x1=" + error).report().limit_remaining,
               heronvane::dispatch::LoadReport{}.limit_remaining)
-        << bad;
-    EXPECT_EQ(read("X-Load: x0=" + bad + ",x1=" + bad).report().limit_rate,
+        << error;
+    EXPECT_EQ(read("X-Load: x0=" + error + ",x1=" + error).report().limit_rate,
               heronvane::dispatch::LoadReport{}.limit_rate)
-        << bad;
-    EXPECT_EQ(read("X-Come-Back-Ms: " + bad).told_wait(), 0) << bad;
+        << error;
+    EXPECT_EQ(read("X-Come-Back-Ms: " + error).retry_after(), 0) << error;
   }
-  EXPECT_EQ(read("X-Come-Back-Ms: 250").told_wait(), 250'000);
+  EXPECT_EQ(read("X-Come-Back-Ms: 250").retry_after(), 250'000);
 }
 
 }  // namespace
--- a/tests/idle_connection_pool_test.cpp
+++ b/tests/idle_connection_pool_test.cpp
@@ -1,4 +1,5 @@
-// Connections kept between calls: the freshest rested one is used, the longest idle one of all goes first.
+// The kept of idle connections: the most recently used reusable one is taken, the longest idle one is dropped
+// first.
 #include "backends/idle_connection_pool.hpp"
 
 #include <gtest/gtest.h>
@@ -14,7 +15,7 @@
 
 std::shared_ptr<int> connection(int n) { return std::make_shared<int>(n); }
 
-TEST(IdleConnectionPool, TheFreshestThatHasRestedIsTaken) {
+TEST(IdleConnectionPool, TheMostRecentlyUsedReusableConnectionIsTaken) {
   Kept kept;
   kept.put("a", connection(1), 10), kept.put("a", connection(2), 20), kept.put("a", connection(3), 30);
   EXPECT_EQ(*kept.take("a", 25), 2);
@@ -25,7 +26,7 @@
   EXPECT_EQ(kept.longest_idle_since("b"), -1);
 }
 
-TEST(IdleConnectionPool, OfAllEndpointsTheLongestIdleGoesFirst) {
+TEST(IdleConnectionPool, TheLongestIdleConnectionOfAllEndpointsIsDroppedFirst) {
   Kept kept;
   kept.put("a", connection(1), 10), kept.put("b", connection(2), 20), kept.put("a", connection(3), 30);
   EXPECT_TRUE(kept.drop_longest_idle());
@@ -37,7 +38,7 @@
   EXPECT_FALSE(kept.drop_longest_idle());
 }
 
-TEST(IdleConnectionPool, ARandomLifeAgreesWithAPlainList) {
+TEST(IdleConnectionPool, RandomOperationsAgreeWithAPlainList) {
   std::mt19937_64 random(1);
   Kept kept;
   struct One {
@@ -56,10 +57,10 @@
         kept.put(endpoint, plain.back().connection, now);
         break;
       case 2: {
-        const auto rested = now - static_cast<heronvane::dispatch::Microseconds>(random() % 40);
+        const auto until = now - static_cast<heronvane::dispatch::Microseconds>(random() % 40);
         const auto found = std::find_if(plain.rbegin(), plain.rend(),
-                                        [&](const One& o) { return of(o) && o.used <= rested; });
-        const auto taken = kept.take(endpoint, rested);
+                                        [&](const One& o) { return of(o) && o.used <= until; });
+        const auto taken = kept.take(endpoint, until);
         ASSERT_EQ(taken, found == plain.rend() ? nullptr : found->connection);
         if (taken) plain.erase(std::next(found).base());
         break;
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -1,4 +1,4 @@
-// The relay at the limits of its configuration, over loopback sockets: descriptors, disk.
+// The relay at its configured limits of descriptors and disk space, over loopback sockets.
 #include <set>
 #include <sstream>
 
@@ -10,12 +10,12 @@
 const char* const kSafe = "load-status";
 const char* const kUnsafe = "pay-and-order";
 
-// Many clients that stay connected must not shut out the next one, nor use up the descriptors.
+// Many clients that stay connected must not block the next one nor use up the descriptors.
 class FewSocketsTest : public RelayTest {
  protected:
   std::string limits() override { return R"({"cores":1.0,"memory_mb":192,"sockets":64,"disk_mb":3})"; }
 
-  // The relay's TCP connections: of clients, and all others (to endpoints and to discovery).
+  // The relay's TCP connections: from clients, and all others (to endpoints and to discovery).
   struct Connections {
     std::size_t clients = 0, others = 0;
   };
@@ -36,14 +36,14 @@
       std::string number, local, remote, state, queues, timer, retries, user, timeout, inode;
       fields >> number >> local >> remote >> state >> queues >> timer >> retries >> user >> timeout >> inode;
       constexpr const char* kListens = "0A";
-      // Each once: the kernel tells one again where its table changes while it is read.
+      // Each socket counts once: the kernel may list one twice if the table changes while it is read.
       if (state == kListens || own.erase("socket:[" + inode + "]") == 0) continue;
       local.ends_with(listening) ? found.clients++ : found.others++;
     }
     return found;
   }
 };
-TEST_F(FewSocketsTest, IdleClientsMakeRoomForNewOnes) {
+TEST_F(FewSocketsTest, IdleClientsAreClosedForNewOnes) {
   start();
   for (int i = 0; i < 60; i++) ASSERT_NE(connect(), nullptr);
   EXPECT_EQ(hand_in("m1", kSafe), 202u);
@@ -51,9 +51,9 @@
   EXPECT_LE(descriptors(), 56u);
 }
 
-// Clients that ask once and keep their connection hold places that others need: while room is short, an
-// answer ends its connection; else it keeps it.
-TEST_F(FewSocketsTest, WhereRoomIsShortAnAnswerEndsItsConnection) {
+// Clients that send one request and keep their connection block others: near the connection limit an answer
+// closes its connection, below that it keeps the connection open.
+TEST_F(FewSocketsTest, AnAnswerEndsItsConnectionNearTheConnectionLimit) {
   start();
   let_clients_go();
   int kept = 0, ended = 0;
@@ -64,15 +64,16 @@
       EXPECT_EQ(ended, 0);
     }
   }
-  EXPECT_LT(kept, 20);  // places for clients
+  EXPECT_LT(kept, 20);  // connections for clients
   EXPECT_GT(ended, 20);
   let_clients_go();
   wait_for([&] { return hand_in("n", kSafe) == 202u && clients.back()->answers.back().keep_alive(); },
-           "room again");
+           "connections are kept again");
 }
 
-// As many calls as the descriptors allow, whatever the settings say, with all client connections in use.
-TEST_F(FewSocketsTest, CallsOutStayWithinTheDescriptors) {
+// The number of calls is limited by the descriptors, whatever the settings allow, while all client
+// connections are in use.
+TEST_F(FewSocketsTest, CallsInFlightStayWithinTheDescriptorLimit) {
   workers = 300;
   endpoint.on_request(stay_silent);
   std::vector<std::unique_ptr<Server>> others;
@@ -82,48 +83,49 @@
     members += "," + member("s-" + std::to_string(i), others.back()->address());
   }
   start();
-  // 64 less 24 for other files, half for clients, half for calls. Discovery's are among the 24: its watch,
-  // its list, a notice; and so is one that was accepted and is closed in the same step, or lets another go.
+  // 64 less 24 for other files: half for clients, half for calls. The 24 include discovery's (its watch, its
+  // list and a notice) and one for a connection that was accepted and is closed, or replaces another, in the
+  // same step.
   constexpr std::size_t kClients = 20, kCalls = 20, kDiscovery = 3, kAccepted = 1;
-  Connections most;
+  Connections peak;
   for (int i = 0; i < 40; i++) {
     hand_in("m" + std::to_string(i), kUnsafe, "x", "24000m");
     ASSERT_NE(connect(), nullptr);
     const auto now = connections();
-    most.clients = std::max(most.clients, now.clients), most.others = std::max(most.others, now.others);
+    peak.clients = std::max(peak.clients, now.clients), peak.others = std::max(peak.others, now.others);
   }
-  EXPECT_LE(most.clients, kClients + kAccepted);
-  EXPECT_LE(most.others, kCalls + kDiscovery);
-  EXPECT_GE(most.others, kCalls) << "all that the descriptors allow";
-  wait_for([&] { return connections().clients <= kClients; }, "those that found no room are gone");
+  EXPECT_LE(peak.clients, kClients + kAccepted);
+  EXPECT_LE(peak.others, kCalls + kDiscovery);
+  EXPECT_GE(peak.others, kCalls) << "fewer than the descriptors allow";
+  wait_for([&] { return connections().clients <= kClients; }, "connections over the limit are closed");
   EXPECT_EQ(health(), 200u);
 }
 
-// Crowds that say nothing, or half a request, come on: usual clients, also ones that kept their connection,
-// are served among them.
-TEST_F(FewSocketsTest, SilentCrowdsDoNotShutOutUsualClients) {
+// While many clients connect and send nothing or an incomplete request, other clients are served, on new and
+// on kept connections.
+TEST_F(FewSocketsTest, ManySilentClientsDoNotBlockOthers) {
   start();
   wait_for([&] { return hand_in("m", kSafe) == 202u; }, "service");
-  auto usual = connect();
-  usual->write(request("u", kSafe));
-  wait_for([&] { return usual->answers.size() == 1; }, "its first answer");
+  auto client = connect();
+  client->write(request("u", kSafe));
+  wait_for([&] { return client->answers.size() == 1; }, "its first answer");
   for (int i = 0; i < 200; i++) {
     const auto silent = connect();
     ASSERT_NE(silent, nullptr);
     if (i % 2 == 0) silent->write("POST /load");
     if (i % 40 != 39) continue;
-    // Where room is short, the last answer said that its connection ends.
-    if (!usual->answers.empty() && !usual->answers.back().keep_alive()) usual = connect();
-    const auto before = usual->answers.size();
-    usual->write(request("u" + std::to_string(i), kSafe));
-    wait_for([&] { return usual->answers.size() > before || usual->ended; }, "the usual client's answer");
-    ASSERT_GT(usual->answers.size(), before);
-    EXPECT_EQ(usual->answers.back().result_int(), 202u);
+    // Near the connection limit, the last answer announced that its connection closes.
+    if (!client->answers.empty() && !client->answers.back().keep_alive()) client = connect();
+    const auto before = client->answers.size();
+    client->write(request("u" + std::to_string(i), kSafe));
+    wait_for([&] { return client->answers.size() > before || client->ended; }, "the client's answer");
+    ASSERT_GT(client->answers.size(), before);
+    EXPECT_EQ(client->answers.back().result_int(), 202u);
     EXPECT_EQ(hand_in("n" + std::to_string(i), kSafe), 202u);
   }
 }
 
-// The journal fills with large bodies: clients are refused, and served again once there is room.
+// The journal fills with large bodies: clients are rejected, and served again once there is space.
 class SmallDiskTest : public RelayTest {
  protected:
   std::string limits() override { return R"({"cores":1.0,"memory_mb":192,"sockets":256,"disk_mb":1})"; }
@@ -136,10 +138,10 @@
   while (n < 30 && hand_in("m" + std::to_string(n), kSafe, body) == 202u) n++;
   EXPECT_GE(n, 3);
   EXPECT_LT(n, 30);
-  for (const auto& g : endpoint.got) g.session->answer(200);
+  for (const auto& received : endpoint.got) received.session->answer(200);
   endpoint.on_request(answer_ok);
   for (int i = 0; i < 40; i++)
-    wait_for([&] { return hand_in("n" + std::to_string(i), kSafe, body) == 202u; }, "there is room again");
+    wait_for([&] { return hand_in("n" + std::to_string(i), kSafe, body) == 202u; }, "there is space again");
   std::uintmax_t bytes = 0;
   for (const auto& f : std::filesystem::directory_iterator(folder + "/state")) {
     std::error_code gone;  // compaction removes files meanwhile
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -1,4 +1,4 @@
-// Standard error that takes no lines, or is not there: the relay serves on.
+// Standard error that is blocked or closed: the relay continues to serve.
 #include <fcntl.h>
 
 #include <array>
@@ -8,7 +8,7 @@
 namespace heronvane::testing {
 namespace {
 
-// A pipe that nobody reads, filled to the brim.
+// A pipe filled to its capacity, which nobody reads.
 class FullPipe {
  public:
   FullPipe() {
@@ -27,7 +27,7 @@
     for (const int end : ends_) ::close(end);
   }
   int writer() const { return ends_[1]; }
-  bool waits() const { return (::fcntl(ends_[1], F_GETFL) & O_NONBLOCK) == 0; }
+  bool is_blocking() const { return (::fcntl(ends_[1], F_GETFL) & O_NONBLOCK) == 0; }
   const std::string& read() {
     std::array<char, 4096> chunk;
     for (ssize_t n; (n = ::read(ends_[0], chunk.data(), chunk.size())) > 0;)
@@ -42,7 +42,7 @@
 
 class LogTest : public RelayTest {};
 
-TEST_F(LogTest, AnUnreadPipeStopsNothing) {
+TEST_F(LogTest, AnUnreadPipeDoesNotBlockTheRelay) {
   FullPipe pipe;
   error_pipe = pipe.writer();
   start();
@@ -51,19 +51,20 @@
     ASSERT_EQ(hand_in("m" + std::to_string(i), "load-status"), 202u);
   }
   wait_for([&] { return endpoint.got.size() == 20; }, "the calls");
-  EXPECT_TRUE(pipe.waits()) << "others that share the pipe must find it as it was";
-  const auto told = [&] { return pipe.read().find("log: lost ") != std::string::npos; };
-  wait_for(told, "the count is told");
+  EXPECT_TRUE(pipe.is_blocking()) << "the pipe's flags changed for other processes, too";
+  const auto is_logged = [&] { return pipe.read().find("log: lost ") != std::string::npos; };
+  wait_for(is_logged, "the count of lost lines is logged");
   const std::string& text = pipe.read();
   const auto at = text.find("log: lost ") + 10;
   EXPECT_GE(std::stoi(text.substr(at)), 1);
-  EXPECT_EQ(text.find("the old one stays"), std::string::npos) << "nothing was taken while it was full";
-  // Lines come again.
+  EXPECT_EQ(text.find("the old one stays"), std::string::npos)
+      << "a line was written while the pipe was full";
+  // Lines are written again.
   reload("{");
   wait_for([&] { return pipe.read().find("the old one stays") != std::string::npos; }, "the next line");
 }
 
-// Nothing that the program opens may get the numbers of the standard streams, and its log lines with them.
+// No file that the program opens may get the number of a standard stream and so receive its log lines.
 TEST_F(LogTest, ClosedStreamsAreReplaced) {
   no_streams = true;
   start();
