--- a/tests/platform_test.cpp
+++ b/tests/platform_test.cpp
@@ -1,4 +1,4 @@
-// What the platform may answer: a relay that trusts no length, no head and no body of it.
+// Malformed and oversized answers of the platform, and long lists.
 #include "relay_harness.hpp"
 
 namespace heronvane::testing {
@@ -8,21 +8,22 @@
 
 class PlatformTest : public RelayTest {
  protected:
-  // So that a list may take 4 MiB.
+  // With this memory a list may have 4 MiB.
   std::string limits() override { return R"({"cores":1.0,"memory_mb":32,"sockets":256,"disk_mb":50})"; }
-  // Answers the first posts of notices with these bytes, one each, and takes the next.
-  void spoil(std::vector<std::string> answers) {
-    endpoint.on_request([](const Got& g) { g.session->close(); });
-    platform.on_request([this, answers = std::move(answers)](const Got& g) {
-      if (g.request.method() != http::verb::post || spoilt >= answers.size()) return on_platform(g);
-      g.session->write(answers[spoilt++]);
+  // Answers the first posts of notices with one of these answers each, and accepts the next post.
+  void break_answers(std::vector<std::string> answers) {
+    endpoint.on_request([](const Got& received) { received.session->close(); });
+    platform.on_request([this, answers = std::move(answers)](const Got& received) {
+      if (received.request.method() != http::verb::post || broken_sent >= answers.size())
+        return on_platform(received);
+      received.session->write(answers[broken_sent++]);
     });
   }
-  std::size_t spoilt = 0;
+  std::size_t broken_sent = 0;
 };
 
-// A length that no memory holds was reserved, and the relay ended.
-TEST_F(PlatformTest, SpoiltAnswersToNoticesAreFailedPosts) {
+// Guards against reserving memory for an absurd Content-Length, which ended the relay.
+TEST_F(PlatformTest, BrokenAnswersToNoticesAreRetried) {
   const std::string huge = "Content-Length: 100000000000\r\n\r\n";
   const std::vector<std::string> answers = {
       "HTTP/1.1 200 OK\r\n" + huge + "x",
@@ -32,35 +33,35 @@
       "HTTP/1.1 200 OK\r\nX-Long: " + std::string(200'000, 'x'),
       "HTTP/1.1 200 OK\r\n\r\n" + std::string(200'000, 'x'),
       "\x01\x02 noise\r\n\r\n"};
-  spoil(answers);
+  break_answers(answers);
   start();
   EXPECT_EQ(hand_in("m1", kUnsafe, "x", "24000m"), 202u);
   wait_for([&] { return !finals.empty(); }, "the notice is taken");
-  EXPECT_EQ(spoilt, answers.size());
+  EXPECT_EQ(broken_sent, answers.size());
   EXPECT_EQ(finals, "{\"id\":\"m1\",\"status\":\"undeliverable\"}\n");
   EXPECT_EQ(health(), 200u);
 }
 
-// The same of a list and of a watch: each is given up, and asked for again.
-TEST_F(PlatformTest, SpoiltListsAreAskedForAgain) {
+// The same for lists and watches: each broken one is given up and requested again.
+TEST_F(PlatformTest, BrokenListsAreRequestedAgain) {
   const std::string huge = "HTTP/1.1 200 OK\r\nContent-Length: 100000000000\r\n\r\n{";
   const std::vector<std::string> answers = {
       huge,
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nfffffffffffffff\r\n" + std::string(5 << 20, 'x'),
       "HTTP/1.1 200 OK\r\nX-Long: " + std::string(200'000, 'x')};
   std::size_t watched = 0;
-  platform.on_request([&](const Got& g) {
-    if (watched >= answers.size()) return on_platform(g);
-    // It may close before all is written, so the rest is nobody's.
-    g.session->write(answers[watched++]);
+  platform.on_request([&](const Got& received) {
+    if (watched >= answers.size()) return on_platform(received);
+    // The relay may close the connection before all is written.
+    received.session->write(answers[watched++]);
   });
   start();
-  wait_for([&] { return !watches.empty(); }, "a sound watch");
+  wait_for([&] { return !watches.empty(); }, "a valid watch");
   EXPECT_EQ(health(), 200u);
 }
 
-// Read and told in parts: all of it counts, also what its last part says; clients are answered meanwhile.
-TEST_F(PlatformTest, LongListsAreTakenWhole) {
+// A long list is parsed and applied in parts, the last one included, and clients are served meanwhile.
+TEST_F(PlatformTest, LongListsAreAppliedCompletely) {
   std::string fillers;
   for (int i = 0; i < 6'000; i++) {
     auto one = member("filler-" + std::to_string(i), "127.0.0.1:1");
@@ -81,25 +82,25 @@
           bytes.replace(bytes.find("dest=7"), 6, "dest=" + std::to_string(group));
           client->write(bytes);
           wait_for([&] { return !client->answers.empty(); }, "an answer");
-          return client->answers[0].result_int() == 202;  // 503 until the whole list was told
+          return client->answers[0].result_int() == 202;  // 503 until the full list is applied
         },
-        "the list is told");
+        "the list is applied");
     wait_for([&] { return endpoint.got.size() > before; }, "the call");
   };
   deliver("m1", 7), deliver("m2", 8);
-  // The whole of it once more, without one: that one is gone, the others stay.
+  // The full list again without s-1: that endpoint is removed, the others stay.
   tell(list(fillers + other));
   deliver("m3", 8);
   wait_for(
       [&] {
         const auto before = endpoint.got.size();
-        const auto gone = "g" + std::to_string(before) + "-" + std::to_string(finals.size());
-        EXPECT_EQ(hand_in(gone, kUnsafe, "x", "900m"), 202u);
-        wait_for([&] { return endpoint.got.size() > before || finals.find(gone) != std::string::npos; },
+        const auto id = "g" + std::to_string(before) + "-" + std::to_string(finals.size());
+        EXPECT_EQ(hand_in(id, kUnsafe, "x", "900m"), 202u);
+        wait_for([&] { return endpoint.got.size() > before || finals.find(id) != std::string::npos; },
                  "it is delivered or given up");
         return endpoint.got.size() == before;
       },
-      "nothing goes to what is gone");
+      "nothing is sent to the removed endpoint");
   deliver("m4", 8);
 }
 
--- a/tests/races/alarm_test.cpp
+++ b/tests/races/alarm_test.cpp
@@ -1,4 +1,4 @@
-// Completions of a timer that are queued already when it is set anew or cancelled.
+// Timers that are set again or cancelled while their completion handlers are already queued.
 #include <gtest/gtest.h>
 
 #include <boost/asio/io_context.hpp>
@@ -15,12 +15,12 @@
 
 using std::chrono::microseconds;
 
-// Both times are up before the loop looks, so both handlers are queued in one turn: what the first one does
-// crosses a second one that can't be recalled any more.
-class AlarmTest : public ::testing::Test {
+// Both timers expire before the event loop runs, so both handlers are queued in one iteration: the first one
+// can set or cancel the second timer, whose handler is queued already.
+class TimerTest : public ::testing::Test {
  protected:
   template <class First>
-  std::vector<std::string> cross(First first) {
+  std::vector<std::string> run_both(First first) {
     std::vector<std::string> ran;
     const auto until = std::chrono::steady_clock::now() + microseconds(2000);
     one.set(microseconds(1000), [&] { ran.push_back("one"), first(ran); });
@@ -34,17 +34,17 @@
   Timer one{io}, two{io};
 };
 
-TEST_F(AlarmTest, BothRunWhereNothingCrosses) {
-  EXPECT_EQ(cross([](auto&) {}), (std::vector<std::string>{"one", "two"}));
+TEST_F(TimerTest, BothHandlersRunWithoutInterference) {
+  EXPECT_EQ(run_both([](auto&) {}), (std::vector<std::string>{"one", "two"}));
 }
-TEST_F(AlarmTest, ACancelledOneIsDeaf) {
-  EXPECT_EQ(cross([this](auto&) { two.cancel(); }), (std::vector<std::string>{"one"}));
+TEST_F(TimerTest, ACancelledTimerDoesNotRunItsQueuedHandler) {
+  EXPECT_EQ(run_both([this](auto&) { two.cancel(); }), (std::vector<std::string>{"one"}));
 }
-TEST_F(AlarmTest, OneThatIsSetAnewRunsOnceForItsNewTime) {
-  EXPECT_EQ(cross([this](auto& ran) { two.set(microseconds(500), [&ran] { ran.push_back("anew"); }); }),
+TEST_F(TimerTest, ATimerThatIsSetAgainRunsOnceAtItsNewTime) {
+  EXPECT_EQ(run_both([this](auto& ran) { two.set(microseconds(500), [&ran] { ran.push_back("anew"); }); }),
             (std::vector<std::string>{"one", "anew"}));
 }
-TEST_F(AlarmTest, OneMaySetItself) {
+TEST_F(TimerTest, AHandlerMaySetItsOwnTimer) {
   int left = 3;
   std::function<void()> again = [&] {
     if (--left > 0) one.set(microseconds(10), again);
--- a/tests/races/calls_test.cpp
+++ b/tests/races/calls_test.cpp
@@ -1,4 +1,4 @@
-// Calls to endpoints where two events meet: what a bundle's messages have left, late and stray bytes, resets.
+// Races in calls to endpoints: timeouts of a bundle's messages, late connections, answers at the timeout.
 #include <algorithm>
 #include <set>
 
@@ -9,9 +9,9 @@
 
 const std::string kSafe = "load-status", kUnsafe = "pay-and-order";
 
-class CallsCrossingTest : public RelayTest {
+class CallsRaceTest : public RelayTest {
  protected:
-  // The ids of a bundle's body, in their order.
+  // The ids in a bundle's body, in order.
   static std::vector<std::string> ids_of(const std::string& body) {
     std::vector<std::string> ids;
     const std::string name = "\"id\":\"";
@@ -21,43 +21,43 @@
     }
     return ids;
   }
-  // The endpoint s-1 as nothing but a listener, whose queue holds no more than one connection.
+  // Makes endpoint s-1 a listener that accepts nothing and whose backlog holds one connection.
   tcp::acceptor bare_endpoint() {
-    tcp::acceptor there(io);
-    there.open(tcp::v4());
-    there.bind({net::ip::make_address(own_address()), 0});
-    there.listen(0);
-    there.non_blocking(true);
-    members = member("s-1", own_address() + ":" + std::to_string(there.local_endpoint().port()));
-    return there;
+    tcp::acceptor listener(io);
+    listener.open(tcp::v4());
+    listener.bind({net::ip::make_address(own_address()), 0});
+    listener.listen(0);
+    listener.non_blocking(true);
+    members = member("s-1", own_address() + ":" + std::to_string(listener.local_endpoint().port()));
+    return listener;
   }
-  // Connections that fill its queue: no other comes up there until they are closed. Not before the relay is
-  // started, which would inherit them.
-  std::vector<tcp::socket> crowd_at(const tcp::acceptor& there) {
-    std::vector<tcp::socket> crowd;
+  // Connections that fill its backlog: no other can be established until they are closed. To be called after
+  // the relay's start, which would inherit them.
+  std::vector<tcp::socket> fill_backlog(const tcp::acceptor& listener) {
+    std::vector<tcp::socket> backlog;
     for (int i = 0; i < 3; i++) {
-      crowd.emplace_back(io);
-      crowd.back().async_connect(there.local_endpoint(), [](error_code) {});
+      backlog.emplace_back(io);
+      backlog.back().async_connect(listener.local_endpoint(), [](error_code) {});
     }
-    return crowd;
+    return backlog;
   }
-  // Tells a wait on the first call, so that all that is handed in until its end goes in one bundle.
-  // Those named as `safe` may be repeated.
+  // Requests a wait with the answer to the first call, so that all messages submitted during the wait go out
+  // in one bundle. Those in `safe` may be retried.
   std::shared_ptr<Session> bundle_of(const std::vector<std::pair<std::string, std::string>>& messages,
                                      const std::set<std::string>& safe = {}) {
     std::shared_ptr<Session> session;
-    bool told = false;
-    endpoint.on_request([&, this](const Got& g) {
-      if (g.request.target() == "/events/bundle") {
-        bundle = g.request;
-        session = g.session;
+    bool wait_requested = false;
+    endpoint.on_request([&, this](const Got& received) {
+      if (received.request.target() == "/events/bundle") {
+        bundle = received.request;
+        session = received.session;
         return;
       }
-      g.session->answer(200, told ? "" : "X-Come-Back-Ms: 800\r\n");
-      told = true;
+      received.session->answer(200, wait_requested ? "" : "X-Come-Back-Ms: 800\r\n");
+      wait_requested = true;
     });
     EXPECT_EQ(hand_in("m0", kSafe), 202u);
-    wait_for([&] { return told; }, "the wait is told");
+    wait_for([&] { return wait_requested; }, "the wait is requested");
     for (const auto& [id, left] : messages)
       EXPECT_EQ(hand_in(id, safe.contains(id) ? kSafe : kUnsafe, "hello", left), 202u);
     wait_for([&] { return session != nullptr; }, "the bundle");
@@ -66,18 +66,19 @@
   Request bundle;
 };
 
-// An endpoint may take the time of a call's first message for that of the call. Guards against answers that
-// such an endpoint gives after that time, to a call that the relay still waits for: they count for nothing
-// there, and the messages behind the first one would end as delivered here.
-TEST_F(CallsCrossingTest, NoMessageOfABundleOutlivesItsFirst) {
+// An endpoint may treat the timeout of a call's first message as that of the whole call. Guards against
+// answers that such an endpoint sends after that timeout: it treats the call as failed, but the relay would
+// count the later messages as delivered.
+TEST_F(CallsRaceTest, TheFirstMessageOfABundleHasTheLongestTimeout) {
   members = member("s-1", endpoint.address(), "ready", "big");
   start();
   const auto session =
       bundle_of({{"a", "2500m"}, {"b", "6000m"}, {"c", "3000m"}, {"d", "5000m"}, {"e", "2700m"}});
   EXPECT_EQ(ids_of(bundle.body()), (std::vector<std::string>{"b", "d", "c", "e", "a"}));
-  // Those with less time end by their notices meanwhile; what comes while the first one has time counts.
+  // Messages with shorter timeouts end with notices meanwhile; an answer within the first one's timeout
+  // counts.
   wait_for([&] { return finals.find("\"a\"") != std::string::npos; },
-           "the one with the least time is given up");
+           "the message with the shortest timeout is given up");
   session->answer(200, "",
                   R"([{"id":"b","state":"done"},{"id":"d","state":"done"},{"id":"c","state":"done"},)"
                   R"({"id":"e","state":"done"},{"id":"a","state":"done"}])");
@@ -90,33 +91,33 @@
   EXPECT_EQ(finals.find("\"d\""), std::string::npos);
 }
 
-// Where the settings allow no second copies: a message of a bundle whose own time is up stays in its call
-// while another one keeps that open. Guards against a retry beside it, which is a second copy.
-TEST_F(CallsCrossingTest, NoMessageOfABundleIsSentAgainWhileItsCallIsOut) {
+// Without hedging, a message of a bundle whose own timeout has passed stays in its call while another message
+// keeps the call open. Guards against a retry in parallel with that call.
+TEST_F(CallsRaceTest, NoMessageOfABundleIsRetriedWhileItsCallIsInFlight) {
   members = member("s-1", endpoint.address(), "ready", "big");
   start();
   endpoint.on_request(stay_silent);
   const auto session = bundle_of({{"lasting", "9000m"}, {"brief", "9000m"}}, {"brief"});
   int calls = 0;
-  bool beside = false;
-  const auto is_out = [&] {
+  bool in_parallel = false;
+  const auto is_in_flight = [&] {
     char byte = 0;
     return ::recv(session->socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) != 0;
   };
-  Server other(io, [&](const Got& g) {
+  Server other(io, [&](const Got& received) {
     calls++;
-    beside = beside || is_out();
-    g.session->answer(200);
+    in_parallel = in_parallel || is_in_flight();
+    received.session->answer(200);
   });
   tell(list(member("s-2", other.address(), "ready", "big"), false));
-  wait_for([&] { return calls > 0 || !is_out(); }, "the brief one's time is up");
-  EXPECT_FALSE(beside) << "sent again while its first call was out";
+  wait_for([&] { return calls > 0 || !is_in_flight(); }, "the short timeout has passed");
+  EXPECT_FALSE(in_parallel) << "retried while its first call was in flight";
   wait_for([&] { return calls > 0 || ended("brief"); }, "its end");
-  EXPECT_FALSE(beside);
+  EXPECT_FALSE(in_parallel);
 }
 
-// The answer and the end of the call's time meet: the process stood still over both.
-TEST_F(CallsCrossingTest, AnAnswerThatIsHereWhenItsTimeIsUpCounts) {
+// The process is suspended while both the answer arrives and the call's timeout passes.
+TEST_F(CallsRaceTest, AnAnswerThatArrivedBeforeTheTimeoutIsHandledCounts) {
   endpoint.on_request(stay_silent);
   start();
   EXPECT_EQ(hand_in("m1", kSafe), 202u);
@@ -125,9 +126,10 @@
   siginfo_t info{};
   ::waitid(P_PID, static_cast<id_t>(child), &info, WSTOPPED);
   endpoint.got[0].session->answer(200);
-  // Past the time of the call, two and a half aims, and short of the message's.
+  // Longer than the call's timeout (2.5 times the target of the class) and shorter than the message's
+  // deadline.
   const auto until = std::chrono::steady_clock::now() + std::chrono::milliseconds(3000);
-  wait_for([&] { return std::chrono::steady_clock::now() >= until; }, "its time is up");
+  wait_for([&] { return std::chrono::steady_clock::now() >= until; }, "its timeout has passed");
   send_signal(child, SIGCONT);
   endpoint.on_request(answer_ok);
   EXPECT_EQ(hand_in("m2", kSafe), 202u);
@@ -139,25 +141,25 @@
   EXPECT_EQ(endpoint.got[1].request["X-Request-Id"], "m2");
 }
 
-// Its connection comes up a second late: the endpoint is told what is left, not what there was when it was
-// sent. Guards against work that an endpoint ends for a caller that is gone.
-TEST_F(CallsCrossingTest, ALateConnectionIsToldTheTimeThatIsLeft) {
-  tcp::acceptor there = bare_endpoint();
+// The connection is established a second late: the call carries the time left, not the time at its start.
+// Guards against work that an endpoint completes for a caller that has given up.
+TEST_F(CallsRaceTest, ACallOnALateConnectionCarriesTheTimeLeft) {
+  tcp::acceptor listener = bare_endpoint();
   start();
-  // No connection comes up there until the crowd is taken away.
-  auto crowd = crowd_at(there);
+  // No connection can be established until the backlog is emptied.
+  auto backlog = fill_backlog(listener);
   EXPECT_EQ(hand_in("m1", kSafe), 202u);
-  const auto taken_on = std::chrono::steady_clock::now();
-  wait_for([&] { return std::chrono::steady_clock::now() - taken_on > std::chrono::milliseconds(300); },
-           "the first try for its connection is over");
-  for (auto& one : crowd) one.close();
+  const auto accepted_at = std::chrono::steady_clock::now();
+  wait_for([&] { return std::chrono::steady_clock::now() - accepted_at > std::chrono::milliseconds(300); },
+           "the first connect attempt is over");
+  for (auto& socket : backlog) socket.close();
   std::string got;
   tcp::socket call(io);
   bool open = false, ended = false;
-  // What has come by now.
-  const auto look = [&] {
+  // Reads what has arrived, without waiting.
+  const auto read_available = [&] {
     error_code bad;
-    if (!open) open = !there.accept(call, bad);
+    if (!open) open = !listener.accept(call, bad);
     for (char bytes[512]; open && !ended;) {
       call.non_blocking(true);
       const auto size = call.read_some(net::buffer(bytes), bad);
@@ -165,38 +167,39 @@
       got.append(bytes, size);
       ended = bad && !got.empty();
       if (!bad || ended) continue;
-      call = tcp::socket(io);  // one of the crowd
-      open = !there.accept(call, bad);
+      call = tcp::socket(io);  // one of the backlog's
+      open = !listener.accept(call, bad);
     }
   };
-  wait_for([&] { return look(), got.find("hello") != std::string::npos; }, "the call");
+  wait_for([&] { return read_available(), got.find("hello") != std::string::npos; }, "the call");
   const auto begun = std::chrono::steady_clock::now();
   const std::string name = "X-Deadline: ";
-  const auto told = std::chrono::microseconds(std::stol(got.substr(got.find(name) + name.size())));
-  wait_for([&] { return look(), ended; }, "the relay gives it up");
+  const auto time_left = std::chrono::microseconds(std::stol(got.substr(got.find(name) + name.size())));
+  wait_for([&] { return read_available(), ended; }, "the relay gives the call up");
   const auto waited = std::chrono::steady_clock::now() - begun;
-  EXPECT_GT(waited + std::chrono::milliseconds(400), told);
-  EXPECT_GT(begun - taken_on, std::chrono::milliseconds(700)) << "it came up late";
+  EXPECT_GT(waited + std::chrono::milliseconds(400), time_left);
+  EXPECT_GT(begun - accepted_at, std::chrono::milliseconds(700)) << "the connection was not late";
 }
 
-// Its connection comes up, and its time is up, while the relay stands still: whichever it hears of first,
-// nothing is written.
-TEST_F(CallsCrossingTest, AConnectionThatComesUpInTheMomentTheTimeIsUpIsNotUsed) {
-  tcp::acceptor there = bare_endpoint();
+// The connection is established and the timeout passes while the relay is suspended: whichever event it
+// handles first, nothing is written.
+TEST_F(CallsRaceTest, AConnectionEstablishedAtTheTimeoutIsNotUsed) {
+  tcp::acceptor listener = bare_endpoint();
   start();
-  auto crowd = crowd_at(there);
+  auto backlog = fill_backlog(listener);
   EXPECT_EQ(hand_in("m1", kSafe, "hello", "1000m"), 202u);
   std::vector<tcp::socket> accepted;
-  // Those of the crowd go; the relay's comes up with its second try, a second after the first.
+  // The backlog is emptied; the relay's connection is established by its second SYN, a second after the
+  // first.
   const auto accept = [&] {
     error_code bad;
-    for (tcp::socket next(io); !there.accept(next, bad); next = tcp::socket(io))
+    for (tcp::socket next(io); !listener.accept(next, bad); next = tcp::socket(io))
       accepted.push_back(std::move(next));
   };
-  const auto taken_on = std::chrono::steady_clock::now();
-  wait_for([&] { return std::chrono::steady_clock::now() - taken_on > std::chrono::milliseconds(300); },
-           "the first try for its connection is over");
-  for (auto& one : crowd) one.close();
+  const auto accepted_at = std::chrono::steady_clock::now();
+  wait_for([&] { return std::chrono::steady_clock::now() - accepted_at > std::chrono::milliseconds(300); },
+           "the first connect attempt is over");
+  for (auto& socket : backlog) socket.close();
   accept();
   stop_for(std::chrono::milliseconds(1100), accept);
   std::string late;
@@ -204,7 +207,7 @@
   accept();
   wait_for(
       [&] {
-        // Until the other side of each is gone.
+        // Read until the other side closes.
         return std::all_of(accepted.begin(), accepted.end(), [&](tcp::socket& one) {
           char bytes[512];
           error_code end;
@@ -218,38 +221,38 @@
   EXPECT_EQ(finals, "{\"id\":\"m1\",\"status\":\"undeliverable\"}\n");
 }
 
-class KeyWindowTest : public CallsCrossingTest {
+class KeyWindowTest : public CallsRaceTest {
  protected:
   std::string settings() override {
-    std::string s = CallsCrossingTest::settings();
+    std::string s = CallsRaceTest::settings();
     const std::string unsafe = R"("Idempotency":"non_idempotent")";
     return s.replace(s.find(unsafe), unsafe.size(), R"("Idempotency":"idempotency_key","Window":800000)");
   }
 };
 
-// The call that may have run is repeated in time, but its connection comes up late: by then the destination
-// may have forgotten the key. Nothing is written on it.
-TEST_F(KeyWindowTest, ACallWhoseConnectionComesUpBehindTheWindowIsNotMade) {
-  tcp::acceptor there = bare_endpoint();
+// A call that may have been processed is retried in time, but its connection is established late: by then the
+// destination may have forgotten the idempotency key. Nothing is written.
+TEST_F(KeyWindowTest, NoCallOnAConnectionEstablishedAfterTheKeyWindow) {
+  tcp::acceptor listener = bare_endpoint();
   start();
   EXPECT_EQ(hand_in("m1", kUnsafe), 202u);
   tcp::socket first(io);
   const auto accepts = [&](tcp::socket& socket) {
     error_code bad;
-    there.accept(socket, bad);
+    listener.accept(socket, bad);
     return !bad;
   };
   wait_for([&] { return accepts(first); }, "the first call's connection");
   std::string got;
   net::read_until(first, net::dynamic_buffer(got), "hello");
-  // From now on no connection comes up there, until the crowd is taken away.
-  auto crowd = crowd_at(there);
+  // From now on no connection can be established until the backlog is emptied.
+  auto backlog = fill_backlog(listener);
   first.set_option(net::socket_base::linger(true, 0));
   first.close();
   const auto reset = std::chrono::steady_clock::now();
   wait_for([&] { return std::chrono::steady_clock::now() - reset > std::chrono::milliseconds(850); },
            "the window is over");
-  for (auto& one : crowd) one.close();
+  for (auto& socket : backlog) socket.close();
   std::string late;
   wait_for(
       [&] {
@@ -260,7 +263,7 @@
         return !finals.empty();
       },
       "its end");
-  EXPECT_EQ(late, "") << "nothing is written on a connection that came up too late";
+  EXPECT_EQ(late, "") << "written on a connection that was established too late";
   EXPECT_EQ(finals, "{\"id\":\"m1\",\"status\":\"undeliverable\"}\n");
 }
 
--- a/tests/races/cancel_test.cpp
+++ b/tests/races/cancel_test.cpp
@@ -1,4 +1,4 @@
-// A message of a bundle that is cancelled, at each stage of its call: the others go on.
+// Cancelling one message of a bundle at different stages of its call: the others continue.
 #include <map>
 
 #include "calls.hpp"
@@ -33,7 +33,7 @@
                               static_cast<std::uint16_t>(std::stoi(endpoint.address().substr(colon + 1)))});
   }
   template <class Condition>
-  bool turn_until(Condition holds, std::chrono::milliseconds patience = std::chrono::milliseconds(2500)) {
+  bool run_until(Condition holds, std::chrono::milliseconds patience = std::chrono::milliseconds(2500)) {
     const auto until = std::chrono::steady_clock::now() + patience;
     while (!holds() && std::chrono::steady_clock::now() < until) {
       io.restart();
@@ -49,29 +49,30 @@
               [] { return true; }};
 };
 
-// Guards against a cancel that takes the call's waiting for a kept connection for its time: it never began.
-TEST_F(CancelTest, TheOthersBeginThoughTheCallStillWaitsForAKeptConnection) {
+// Guards against a cancel that replaces the timer of a call that waits for an idle connection: the call would
+// never begin.
+TEST_F(CancelTest, CancellingOneMessageLetsTheOthersWaitForAnIdleConnection) {
   calls.send("s-1", {message(1)});
-  ASSERT_TRUE(turn_until([&] { return outcomes.count(1) == 1; }));
+  ASSERT_TRUE(run_until([&] { return outcomes.count(1) == 1; }));
   calls.send("s-1", {message(2), message(3)});
-  // Its connection rests for some milliseconds before it is used again.
+  // The idle connection is in its reuse delay.
   io.restart();
   io.poll();
   ASSERT_EQ(endpoint.got.size(), 1u);
   calls.cancel(2, 0);
   EXPECT_EQ(outcomes[2], Outcome::connect_failed);
-  ASSERT_TRUE(turn_until([&] { return outcomes.count(3) == 1; }));
+  ASSERT_TRUE(run_until([&] { return outcomes.count(3) == 1; }));
   EXPECT_EQ(outcomes[3], Outcome::served);
 }
 
-// Guards against a retry beside the call that still carries the message.
-TEST_F(CancelTest, AMessageOfACallThatIsOutEndsWithIt) {
+// Guards against a retry in parallel with the call that still carries the message.
+TEST_F(CancelTest, ACancelledMessageOfAWrittenBundleEndsWithTheBundle) {
   endpoint.on_request(stay_silent);
   calls.send("s-1", {message(1), message(2, kTimeout / 6)});
-  ASSERT_TRUE(turn_until([&] { return endpoint.got.size() == 1; }));
+  ASSERT_TRUE(run_until([&] { return endpoint.got.size() == 1; }));
   calls.cancel(1, 0);
   EXPECT_TRUE(outcomes.empty()) << "the other one still waits for the call";
-  ASSERT_TRUE(turn_until([&] { return outcomes.size() == 2; }));
+  ASSERT_TRUE(run_until([&] { return outcomes.size() == 2; }));
   EXPECT_EQ(outcomes[1], Outcome::cancelled);
   EXPECT_EQ(outcomes[2], Outcome::timeout);
 }
--- a/tests/races/identity_test.cpp
+++ b/tests/races/identity_test.cpp
@@ -1,5 +1,5 @@
-// Whose settings, key, effect and answer a message has: its own, whatever came before it under another id,
-// another class or in another life.
+// A message keeps its own settings, idempotency key and outcome, whatever was received before it under the
+// same id, with another class or in an earlier incarnation.
 #include <algorithm>
 
 #include "relay_harness.hpp"
@@ -19,8 +19,8 @@
   std::string key_at(std::size_t call) { return std::string(endpoint.got[call].request["Idempotency-Key"]); }
 };
 
-// Guards against a destination that is called twice for a message and can't know it again.
-TEST_F(IdentityTest, AMessagesKeyGoesOnUnchangedAndWithNoOther) {
+// Guards against a destination that is called twice for a message and can't recognise the duplicate.
+TEST_F(IdentityTest, TheKeyIsForwardedUnchangedAndOnlyWithItsMessage) {
   start();
   const auto client = connect();
   client->write(keyed("m1", "38d5491b76040bdb62d681345d7f8c07"));
@@ -28,21 +28,21 @@
   EXPECT_EQ(key_at(0), "38d5491b76040bdb62d681345d7f8c07");
   client->write(request("m2", kUnsafe));
   wait_for([&] { return endpoint.got.size() == 2; }, "the second call");
-  EXPECT_EQ(endpoint.got[1].request.count("Idempotency-Key"), 0u) << "it had none";
+  EXPECT_EQ(endpoint.got[1].request.count("Idempotency-Key"), 0u) << "m2 has no key";
 }
 
-TEST_F(IdentityTest, AKeyGoesOnInABundle) {
+TEST_F(IdentityTest, KeysAreForwardedInABundle) {
   members = member("s-1", endpoint.address(), "ready", "big");
   std::string bundle;
-  endpoint.on_request([&](const Got& g) {
-    if (g.request.target() == "/events/bundle")
-      bundle = g.request.body();
+  endpoint.on_request([&](const Got& received) {
+    if (received.request.target() == "/events/bundle")
+      bundle = received.request.body();
     else
-      g.session->answer(200, "X-Come-Back-Ms: 800\r\n");
+      received.session->answer(200, "X-Come-Back-Ms: 800\r\n");
   });
   start();
   EXPECT_EQ(hand_in("m0", kSafe), 202u);
-  wait_for([&] { return endpoint.got.size() == 1; }, "the wait is told");
+  wait_for([&] { return endpoint.got.size() == 1; }, "the wait is requested");
   EXPECT_EQ(ask(keyed("m1", "k-1")), 202u);
   EXPECT_EQ(hand_in("m2", kUnsafe), 202u);
   EXPECT_EQ(ask(keyed("m3", "\"k,3\"")), 202u);
@@ -52,8 +52,8 @@
   EXPECT_NE(bundle.find(R"({"id":"m3","key":"\"k,3\"","body":"aGVsbG8="})"), std::string::npos) << bundle;
 }
 
-// What the next life sends again is the same message to its destination.
-TEST_F(IdentityTest, AKeyOutlastsAKill) {
+// A retry by the next incarnation carries the same key.
+TEST_F(IdentityTest, AKeySurvivesSigkill) {
   endpoint.on_request(stay_silent);
   start();
   EXPECT_EQ(ask(keyed("m1", "k-1", kSafe)), 202u);
@@ -61,19 +61,19 @@
   kill_relay();
   endpoint.on_request(answer_ok);
   start();
-  wait_for([&] { return endpoint.got.size() == 2; }, "the call of the next life");
+  wait_for([&] { return endpoint.got.size() == 2; }, "the call of the next incarnation");
   EXPECT_EQ(key_at(1), "k-1");
 }
 
-// The same id with other settings: the first stands, the second inherits and changes nothing.
-TEST_F(IdentityTest, AnIdHandedInAgainWithAnotherClassChangesNothing) {
-  endpoint.on_request([](const Got& g) { g.session->close(); });
+// The same id with another class: the first submission stands, the second one changes nothing.
+TEST_F(IdentityTest, ResubmittingAnIdWithAnotherClassChangesNothing) {
+  endpoint.on_request([](const Got& received) { received.session->close(); });
   start();
   EXPECT_EQ(hand_in("m1", kUnsafe), 202u);
   EXPECT_EQ(hand_in("m1", kSafe, "other"), 202u);
   wait_for([&] { return !finals.empty(); }, "its end");
-  EXPECT_EQ(hand_in("m1", kSafe, "other"), 202u) << "it is over, and remembered";
-  EXPECT_EQ(finals, "{\"id\":\"m1\",\"status\":\"undeliverable\"}\n") << "unsafe, as it was first";
+  EXPECT_EQ(hand_in("m1", kSafe, "other"), 202u) << "completed ids are remembered";
+  EXPECT_EQ(finals, "{\"id\":\"m1\",\"status\":\"undeliverable\"}\n") << "the first submission was unsafe";
   EXPECT_EQ(endpoint.got.size(), 1u);
   EXPECT_EQ(endpoint.got[0].request.body(), "hello");
 }
@@ -83,7 +83,7 @@
   std::string settings() override {
     std::string s = IdentityTest::settings();
     if (!reordered) return s;
-    // The second class before the first, and one more in front of both.
+    // Swaps the two classes and puts a new one before both.
     const auto first = s.find("{\"Name\":\"load-status\""), second = s.find("{\"Name\":\"pay-and-order\"");
     const auto end = s.find("]", second);
     const std::string a = s.substr(first, second - first - 1), b = s.substr(second, end - second);
@@ -95,8 +95,8 @@
   bool reordered = false;
 };
 
-// A class is found by its name in the present settings, wherever it stands there now.
-TEST_F(ReorderedTest, ClassesThatMovedBetweenTwoLivesKeepTheirEffects) {
+// Classes are looked up by name in the current settings, regardless of their order.
+TEST_F(ReorderedTest, ClassesReorderedBetweenIncarnationsKeepTheirSettings) {
   endpoint.on_request(stay_silent);
   start();
   EXPECT_EQ(hand_in("safe", kSafe), 202u);
@@ -111,8 +111,8 @@
   EXPECT_EQ(endpoint.got[2].request["X-Request-Id"], "safe");
 }
 
-// One that the settings name no more is told, and ends by its notice.
-TEST_F(ReorderedTest, AClassThatIsGoneEndsByNotice) {
+// A message whose class is no longer in the settings ends with a notice.
+TEST_F(ReorderedTest, AMessageOfARemovedClassEndsWithANotice) {
   endpoint.on_request(stay_silent);
   reordered = true;
   start();
--- a/tests/races/object_splitter_test.cpp
+++ b/tests/races/object_splitter_test.cpp
@@ -1,4 +1,4 @@
-// Objects of a stream, however they are laid out and wherever the stream is cut.
+// Splits a stream into JSON objects, regardless of their layout and of how the stream is divided into reads.
 #include "core/object_splitter.hpp"
 
 #include <gtest/gtest.h>
@@ -14,12 +14,12 @@
   std::vector<std::string> found;
   for (std::size_t at = 0; at < text.size(); at += step) {
     splitter.put(std::string_view(text).substr(at, step));
-    while (auto one = splitter.next()) found.push_back(*one);
+    while (auto object = splitter.next()) found.push_back(*object);
   }
   return found;
 }
 
-TEST(ObjectSplitter, ObjectsAreFoundWhereverLinesEnd) {
+TEST(ObjectSplitter, ObjectsAreFoundRegardlessOfLineEnds) {
   const std::string text =
       "{\"a\":1}\n\n  {\n  \"b\": [ {\n} ],\n  \"c\": \"}\\\"{\\\\\"\n}\r\n{}{\"d\":2}\n";
   const std::vector<std::string> want = {"{\"a\":1}", "{\n  \"b\": [ {\n} ],\n  \"c\": \"}\\\"{\\\\\"\n}",
@@ -27,12 +27,12 @@
   for (std::size_t step = 1; step <= text.size(); step++) EXPECT_EQ(all_of(text, step), want) << step;
 }
 
-TEST(ObjectSplitter, WhatIsNoObjectComesBackToTheEndOfItsLine) {
+TEST(ObjectSplitter, TextThatIsNotAnObjectIsReturnedUpToTheEndOfItsLine) {
   EXPECT_EQ(all_of("oops {\"a\":1}\n{}\n", 3), (std::vector<std::string>{"oops {\"a\":1}\n", "{}"}));
-  EXPECT_EQ(all_of("} {}", 1), std::vector<std::string>{}) << "its line is not over";
+  EXPECT_EQ(all_of("} {}", 1), std::vector<std::string>{}) << "the line has not ended";
 }
 
-TEST(ObjectSplitter, LinesOutsideOfObjectsAreCountedAndTakeNoRoom) {
+TEST(ObjectSplitter, LinesOutsideObjectsAreCountedButNotStored) {
   ObjectSplitter splitter;
   splitter.put("\n \n");
   EXPECT_EQ(splitter.next(), std::nullopt);
@@ -47,8 +47,8 @@
   EXPECT_FALSE(splitter.inside());
 }
 
-// Whatever comes, cut anywhere: the same pieces, nothing made up, all room given back in the end.
-TEST(ObjectSplitter, AnyBytesCutAnywhere) {
+// Random input yields the same pieces however it is divided, and every piece is part of the input.
+TEST(ObjectSplitter, RandomBytesSplitAnywhere) {
   std::mt19937 random(7);
   const std::string alphabet = "{}[]\"\\\n a1,:";
   for (int round = 0; round < 3000; round++) {
@@ -57,11 +57,11 @@
     const auto whole = all_of(text, text.size() + 1);
     for (const std::size_t step : {1, 2, 7}) ASSERT_EQ(all_of(text, step), whole) << text;
     std::string rest = text;
-    for (const auto& one : whole) {
-      const auto at = rest.find(one);
+    for (const auto& object : whole) {
+      const auto at = rest.find(object);
       ASSERT_NE(at, std::string::npos) << text;
       ASSERT_EQ(rest.substr(0, at).find_first_not_of(" \n"), std::string::npos) << text;
-      rest.erase(0, at + one.size());
+      rest.erase(0, at + object.size());
     }
   }
 }
--- a/tests/races/restart_test.cpp
+++ b/tests/races/restart_test.cpp
@@ -1,4 +1,4 @@
-// A restart and what it finds: messages that an earlier life took on and nobody tried yet.
+// Restarts with messages that an earlier incarnation accepted but did not try yet.
 #include <algorithm>
 
 #include "core/learned_state_store.hpp"
@@ -13,7 +13,7 @@
 
 class RestartTest : public RelayTest {
  protected:
-  // A life that takes on `n` messages while their endpoint drains, and is killed.
+  // Runs an incarnation that accepts `n` messages while their endpoint drains, and kills it.
   void leave_untried(int n, const std::string& cls, const std::string& deadline) {
     members =
         member("s-1", endpoint.address(), "draining") + "," +
@@ -24,8 +24,8 @@
     ASSERT_TRUE(endpoint.got.empty());
     members = member("s-1", endpoint.address());
   }
-  // That life had learned this of s-1 just before its end.
-  void had_learned(heronvane::dispatch::LearnedState memory) {
+  // Stores `memory` as what that incarnation learned about s-1 just before its end.
+  void store_learned_state(heronvane::dispatch::LearnedState memory) {
     memory.endpoint = "s-1", memory.destination = 7;
     const auto disk = store::open_folder(folder + "/state");
     store::Options options;
@@ -37,27 +37,27 @@
   }
   std::set<std::string> called() const {
     std::set<std::string> ids;
-    for (const auto& g : endpoint.got) ids.emplace(g.request["X-Request-Id"]);
+    for (const auto& received : endpoint.got) ids.emplace(received.request["X-Request-Id"]);
     return ids;
   }
 };
 
-// The destination refused, or others told of it, so that a small share of first tries goes there at once:
-// what is owed is tried all the same, each message before its time is up.
-TEST_F(RestartTest, WhatIsUntriedIsTriedWhereLittleIsLetThrough) {
+// The destination rejected calls, or peers reported so, and only a small share of first attempts is admitted
+// at once: pending messages are tried all the same, each before its deadline.
+TEST_F(RestartTest, UntriedMessagesAreTriedDespiteALowAdmissionProbability) {
   constexpr std::size_t kMessages = 10;
   leave_untried(kMessages, kSafe, "6000m");
   heronvane::dispatch::LearnedState memory;
   memory.admission_probability = 0.02;
-  had_learned(memory);
+  store_learned_state(memory);
   start();
   wait_for([&] { return called().size() == kMessages || !finals.empty(); }, "each is called, or one ends");
   EXPECT_EQ(called().size(), kMessages);
   EXPECT_EQ(finals, "");
 }
 
-// An attempt whose connection never came up has tried nothing.
-TEST_F(RestartTest, WhatReachedNoEndpointIsUntriedToo) {
+// An attempt whose connect failed does not count as a try.
+TEST_F(RestartTest, MessagesWhoseConnectsFailedCountAsUntried) {
   std::string nowhere;
   {
     const tcp::acceptor probe(io, {net::ip::make_address(own_address()), 0});
@@ -72,22 +72,23 @@
   members = member("s-1", endpoint.address());
   heronvane::dispatch::LearnedState memory;
   memory.admission_probability = 0.02;
-  had_learned(memory);
-  // Refused: one that is served would speak for the others.
-  endpoint.on_request([](const Got& g) { g.session->answer(503); });
+  store_learned_state(memory);
+  // Rejected: a call that is served would raise the admission probability for the others.
+  endpoint.on_request([](const Got& received) { received.session->answer(503); });
   start();
   wait_for([&] { return called().size() == 2 || !finals.empty(); }, "each is called, or one ends");
   EXPECT_EQ(called().size(), 2u);
   EXPECT_EQ(finals, "");
 }
 
-// All ends that fell due while no relay ran are told within 1.5 s of readiness, with no call.
-TEST_F(RestartTest, WhatFellDueMeanwhileIsToldAtOnce) {
+// Messages whose deadline passed while no relay ran end with notices within 1.5 s of readiness, without a
+// call.
+TEST_F(RestartTest, MessagesDueDuringDowntimeEndAtOnce) {
   constexpr std::ptrdiff_t kMessages = 30;
-  const auto taken_on = std::chrono::steady_clock::now();
+  const auto accepted_at = std::chrono::steady_clock::now();
   leave_untried(kMessages, kSafe, "3000m");
-  wait_for([&] { return std::chrono::steady_clock::now() - taken_on > std::chrono::milliseconds(3500); },
-           "their time is over");
+  wait_for([&] { return std::chrono::steady_clock::now() - accepted_at > std::chrono::milliseconds(3500); },
+           "their deadline has passed");
   ASSERT_EQ(finals, "");
   start();
   const auto ready = std::chrono::steady_clock::now();
@@ -96,8 +97,8 @@
   EXPECT_TRUE(endpoint.got.empty());
 }
 
-// A list that is read in slices, thousands of entries long, is on its way or being read when the stop comes.
-TEST_F(RestartTest, AStopBesideAListInSlicesLeavesNothingBehind) {
+// Shutdown begins while a list of thousands of entries is being received or parsed in slices.
+TEST_F(RestartTest, ShutdownWhileALongListIsReadLosesNothing) {
   leave_untried(3, kUnsafe, "24000m");
   members = member("s-1", endpoint.address(), "draining") + "," +
             R"({"name":"s-9","address":"127.0.0.1:9","zone":"a","type":"small","group":8,"status":"ready"})";
@@ -118,29 +119,30 @@
   EXPECT_EQ(finals, "");
 }
 
-// Discovery has taken the calls for its list and says nothing: a stop in between ends clean and in time, and
-// what was taken on meanwhile is the next life's. The same right behind a SIGHUP that moves discovery.
+// Discovery has accepted the request for its list and does not answer: a shutdown then ends cleanly and in
+// time, and messages accepted meanwhile are delivered by the next incarnation. The parameter: the same right
+// after a SIGHUP that changes discovery's address.
 class EarlyStopTest : public RestartTest, public ::testing::WithParamInterface<bool> {};
-TEST_P(EarlyStopTest, AStopBeforeTheFirstListLeavesNothingBehind) {
+TEST_P(EarlyStopTest, ShutdownBeforeTheFirstListLosesNothing) {
   const bool moved = GetParam();
   Server other(io, stay_silent);
   bool asked = false;
-  platform.on_request([&](const Got& g) {
-    if (g.request.method() == http::verb::post) return on_platform(g);
+  platform.on_request([&](const Got& received) {
+    if (received.request.method() == http::verb::post) return on_platform(received);
     asked = true;
   });
   members = member("s-1", endpoint.address(), "draining") + "," +
             R"({"name":"s-9","address":"127.0.0.1:9","zone":"a","type":"small","group":8,"status":"ready"})";
   start();
   EXPECT_EQ(hand_in("m1", kUnsafe, "hello", "24000m"), 202u);
-  wait_for([&] { return asked; }, "the list is asked for");
+  wait_for([&] { return asked; }, "the list is requested");
   if (moved) reload(config(other.address()));
-  if (moved) wait_for([&] { return !other.got.empty(); }, "it is asked for at the new address");
+  if (moved) wait_for([&] { return !other.got.empty(); }, "the list is requested at the new address");
   send_signal(child, SIGTERM);
   EXPECT_EQ(wait_exit(), 0);
   EXPECT_TRUE(endpoint.got.empty());
   members = member("s-1", endpoint.address());
-  platform.on_request([this](const Got& g) { on_platform(g); });
+  platform.on_request([this](const Got& received) { on_platform(received); });
   start();
   wait_for([&] { return !endpoint.got.empty() || !finals.empty(); }, "its call");
   EXPECT_EQ(called(), std::set<std::string>{"m1"});
--- a/tests/races/watch_test.cpp
+++ b/tests/races/watch_test.cpp
@@ -1,4 +1,4 @@
-// Watches of the list that fall silent, and what is told in the very moment in which one is given up.
+// Watches of the list that fall silent, and data that arrives as one is given up.
 #include "relay_harness.hpp"
 
 namespace heronvane::testing {
@@ -28,23 +28,23 @@
   int counted = 0;
 };
 
-// What a silent watch misses binds 6 s after it fell silent: by then the next one must have told it,
-// connecting, asking and discovery's own work included.
-TEST_F(WatchTest, OneThatFallsSilentIsOpenedAnewWellBeforeItBinds) {
+// The relay must act on a change that a silent watch missed within 6 s of the watch falling silent: by then
+// the next watch must have delivered it, including the time to connect and discovery's own.
+TEST_F(WatchTest, ASilentWatchIsReopenedInTime) {
   start();
   wait_for([&] { return watches.size() == 1; }, "the watch");
   beats = false;
   watches[0]->write("1\r\n\n\r\n");
   const auto silent = steady_clock::now();
-  wait_for([&] { return watches.size() == 2; }, "a new one");
+  wait_for([&] { return watches.size() == 2; }, "a new watch");
   EXPECT_LT(steady_clock::now() - silent, milliseconds(4500));
-  // That one is silent from its beginning: discovery may be ill, so it is asked again with pauses.
-  wait_for([&] { return watches.size() == 4; }, "further ones");
-  EXPECT_EQ(health(), 200u) << "the list known last holds meanwhile";
+  // The new watch is silent from its start: discovery may be failing, so it is retried with backoff.
+  wait_for([&] { return watches.size() == 4; }, "further watches");
+  EXPECT_EQ(health(), 200u) << "the last known list stays in use";
 }
 
-// Guards against beats that come one by one under which an entry never ends.
-TEST_F(WatchTest, AnEntryThatNeverEndsIsGivenUp) {
+// Guards against an entry that never ends although bytes keep arriving as heartbeats.
+TEST_F(WatchTest, AWatchWithAnEndlessEntryIsReopened) {
   start();
   wait_for([&] { return watches.size() == 1; }, "the watch");
   beats = false;
@@ -60,7 +60,7 @@
   EXPECT_LT(steady_clock::now(), until);
 }
 
-TEST_F(WatchTest, EntriesAreReadHoweverTheyAreLaidOut) {
+TEST_F(WatchTest, EntriesAreReadRegardlessOfLayout) {
   members = both("ready");
   start();
   std::string laid_out;
@@ -79,21 +79,21 @@
   for (int i = 0; i < 5; i++) EXPECT_EQ(hand_in("n" + std::to_string(i), kSafe), 202u);
   wait_for([&] { return other.got.size() >= 5; }, "the calls");
   EXPECT_EQ(endpoint.got.size(), before);
-  EXPECT_EQ(watches.size(), 1u) << "the watch was not broken off:\n" << logged();
+  EXPECT_EQ(watches.size(), 1u) << "the watch was reopened:\n" << logged();
 }
 
-// The relay stands still past the time of its watch: the handler of its timer and that of the bytes are both
-// due.
-TEST_F(WatchTest, WhatCameUntilAWatchIsGivenUpIsTold) {
+// The relay is suspended past the heartbeat timeout: the timer's handler and that of the received bytes are
+// both due.
+TEST_F(WatchTest, DataReceivedBeforeTheHeartbeatTimeoutIsApplied) {
   members = both("ready");
   start();
   wait_for([&] { return watches.size() == 1; }, "the watch");
   beats = false;
   stop_for(milliseconds(4000), [&] { tell(list(both("draining"), false)); });
-  // A new watch would say what is in `members`, where nothing drains; it is not answered in time to matter.
+  // A new watch would deliver `members`, where nothing drains, but not in time to matter.
   for (int i = 0; i < 6; i++) EXPECT_EQ(hand_in("m" + std::to_string(i), kSafe), 202u);
   wait_for([&] { return other.got.size() + endpoint.got.size() == 6; }, "the calls");
-  EXPECT_EQ(endpoint.got.size(), 0u) << "it drains, and that was written to the relay";
+  EXPECT_EQ(endpoint.got.size(), 0u) << "s-1 drains, and that was written to the relay";
 }
 
 }  // namespace
--- a/tests/relay_harness.hpp
+++ b/tests/relay_harness.hpp
@@ -1,5 +1,5 @@
-// The real program as a child process, among fake clients, endpoints and a fake platform on loopback sockets.
-// One thread and one event loop: a test waits for conditions, never for a fixed time.
+// Runs the relay as a child process, with fake clients, endpoints and a fake platform on loopback sockets.
+// One thread and one event loop: tests wait for conditions rather than for fixed times.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -34,15 +34,15 @@
 
 constexpr auto kPatience = std::chrono::seconds(30);
 
-// An address of this process alone, so that tests run beside one another.
+// A loopback address for this process alone, so that tests can run in parallel.
 inline std::string own_address() {
   const auto pid = ::getpid();
   return "127." + std::to_string(60 + (pid >> 16) % 60) + "." + std::to_string((pid >> 8) % 256) + "." +
          std::to_string(1 + pid % 254);
 }
 
-// Sends a signal to one process. Guards against -1, the mark of a process that has ended, which to kill()
-// means every process of this user.
+// Sends a signal to one process. Refuses -1, the mark of a process that has ended: kill() would signal every
+// process of this user.
 inline void send_signal(pid_t process, int number) {
   if (process > 0)
     ::kill(process, number);
@@ -50,7 +50,7 @@
     ADD_FAILURE() << "the process has ended already";
 }
 
-// What a server got, and the connection to answer it on.
+// A connection that a server has accepted.
 struct Session : std::enable_shared_from_this<Session> {
   explicit Session(tcp::socket s) : socket(std::move(s)) {}
   void write(const std::string& bytes) {
@@ -67,14 +67,14 @@
   }
   tcp::socket socket;
   beast::flat_buffer buffer;
-  bool ended = false;  // the other side is gone
+  bool ended = false;  // the other side has closed
 };
-struct Got {
+struct Got {  // a request that a server has received, and the connection to answer it on
   Request request;
   std::shared_ptr<Session> session;
 };
 
-class Server {
+class Server {  // an HTTP server that passes each request to a handler
  public:
   using Handler = std::function<void(const Got&)>;
   Server(net::io_context& io, Handler handler)
@@ -123,7 +123,7 @@
 inline void answer_ok(const Got& g) { g.session->answer(200); }
 inline void stay_silent(const Got&) {}
 
-// One client connection. A read that is under way keeps it, though the test may have let it go.
+// One client connection. A pending read keeps it alive, even if the test has released it.
 class Client : public std::enable_shared_from_this<Client> {
  public:
   explicit Client(tcp::socket socket) : socket_(std::move(socket)) {}
@@ -208,7 +208,7 @@
     if (!faults.empty()) std::ofstream(folder + "/faults.toml") << faults;
     child = ::fork();
     if (child == 0) {
-      // It never outlives its test, nor holds the runner's pipe, however the test ends.
+      // However the test ends, the child must not outlive it nor keep the runner's pipe open.
       ::prctl(PR_SET_PDEATHSIG, SIGKILL);
       if (std::freopen("/dev/null", "w", stdout) == nullptr) ::_exit(126);
       if (largest_file > 0) {
@@ -250,7 +250,7 @@
     spawn(config());
     wait_for([this] { return health() == 200; }, "the relay is ready");
   }
-  // Puts a new configuration in the old one's place and says so.
+  // Replaces the configuration file and sends SIGHUP.
   void reload(const std::string& text) {
     std::ofstream(folder + "/config.new") << text;
     std::filesystem::rename(folder + "/config.new", folder + "/config.json");
@@ -258,7 +258,7 @@
   }
   void hold_syncs() { std::ofstream(folder + "/hold") << "x"; }
   void release_syncs() { std::filesystem::remove(folder + "/hold"); }
-  // Its exit status, or -1 where a signal ended it.
+  // Waits for the relay's exit. Returns its exit status, or -1 if a signal ended it.
   int wait_exit() {
     int status = 0;
     if (child <= 0) return -1;
@@ -270,8 +270,8 @@
     send_signal(child, SIGKILL);
     wait_exit();
   }
-  // The relay stands still for that time; what happens `meanwhile`, at its end, is ready in one turn of its
-  // loop with all whose time was up.
+  // Suspends the relay for `time` and calls `meanwhile` at the end of it: the events that it causes and all
+  // timers that expired are ready in one iteration of the relay's event loop.
   template <class Meanwhile>
   void stop_for(std::chrono::milliseconds time, Meanwhile meanwhile) {
     send_signal(child, SIGSTOP);
@@ -284,7 +284,7 @@
     const std::filesystem::directory_iterator all("/proc/" + std::to_string(child) + "/fd");
     return static_cast<std::size_t>(std::distance(begin(all), end(all)));
   }
-  // Its memory in KiB; under sanitizers it says nothing.
+  // The relay's resident memory in KiB; meaningless under sanitizers.
   long resident() const {
     std::ifstream in("/proc/" + std::to_string(child) + "/statm");
     long size = 0, pages = 0;
@@ -322,7 +322,7 @@
   unsigned health() {
     const auto before = clients.size();
     const unsigned status = ask("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
-    // Asked often, it leaves no connection behind.
+    // Called often, so it closes its connections.
     for (; clients.size() > before; clients.pop_back()) clients.back()->close();
     return status;
   }
@@ -331,18 +331,18 @@
     return ask(request(id, cls, body, deadline));
   }
 
-  // Calls of a message that came to the endpoint; whether a notice told its end.
+  // The number of calls of a message that the endpoint received; whether a notice has ended the message.
   std::ptrdiff_t calls_of(const std::string& id) const {
     return std::count_if(endpoint.got.begin(), endpoint.got.end(),
                          [&](const Got& g) { return g.request["X-Request-Id"] == id; });
   }
   bool ended(const std::string& id) const { return finals.find("\"" + id + "\"") != std::string::npos; }
-  // A rule of the plan of faults: that call fails so, more lines of TOML behind it.
+  // A rule of the fault plan in which `call` fails with `error`; `rest` is more lines of TOML.
   static std::string failing(const std::string& call, const std::string& error,
                              const std::string& rest = "") {
     return "[[error]]\ncall = \"" + call + "\"\nerrno = \"" + error + "\"\n" + rest;
   }
-  // The same while a switch is on, which set_faults() turns.
+  // The same, active only after set_faults(true).
   std::string switched(const std::string& call, const std::string& error,
                        const std::string& rest = "") const {
     return failing(call, error, "while = \"" + folder + "/failing\"\n" + rest);
@@ -377,7 +377,7 @@
     watches.back()->write(size + line + "\n\r\n");
   }
 
-  // While nothing changes, an empty line comes in a watch, as the protocol has it.
+  // Sends an empty line on each watch every second, as the protocol requires while nothing changes.
   void beat() {
     beat_timer.expires_after(std::chrono::milliseconds(1000));
     beat_timer.async_wait([this](error_code bad) {
@@ -402,24 +402,24 @@
 
   net::io_context io;
   net::steady_timer beat_timer{io};
-  bool beats = true;  // false: watches are silent between lists
+  bool beats = true;  // false: watches send nothing between lists
   Server endpoint, platform;
   std::string folder, members, finals;
   std::uint16_t port = 0;
   int workers = 8;
-  int tick = 5000;   // of the rounds, in microseconds
-  std::string more;  // further members of the configuration
+  int tick = 5000;   // the minimum interval of decisions, in microseconds
+  std::string more;  // further members of the configuration's JSON
   std::string disk_mb = "3";
-  std::string own_settings;            // the operator's file; empty: none
-  std::string faults;                  // the plan of its fault injection (lab/faults); empty: none
-  std::vector<std::string> arguments;  // of the program
-  bool no_environment = false;         // nothing is named by variables
-  bool output_in_log = false;          // its standard output goes there too
+  std::string own_settings;            // content of the operator's file; empty: none
+  std::string faults;                  // the fault injection plan (lab/faults); empty: none
+  std::vector<std::string> arguments;  // of the relay's command line
+  bool no_environment = false;         // set no environment variables for the relay
+  bool output_in_log = false;          // standard output goes to the log, too
   pid_t child = -1;
-  int error_pipe = -1;      // its standard error, in the log's place
+  int error_pipe = -1;      // descriptor for standard error instead of the log; -1: none
   bool no_streams = false;  // started without standard streams
-  bool slow_disk = false;   // its syncs wait while hold_syncs() holds them
-  rlim_t largest_file = 0;  // that the program may write; 0: any
+  bool slow_disk = false;   // syncs block between hold_syncs() and release_syncs()
+  rlim_t largest_file = 0;  // RLIMIT_FSIZE of the relay in bytes; 0: unlimited
   unsigned finals_status = 204;
   int refused_finals = 0;
   std::vector<std::shared_ptr<Session>> watches;
--- a/tests/relay_test.cpp
+++ b/tests/relay_test.cpp
@@ -1,4 +1,4 @@
-// The whole relay over loopback sockets. Each test says which failure it guards against.
+// End-to-end tests of the relay over loopback sockets.
 #include "relay_harness.hpp"
 
 namespace heronvane::testing {
@@ -10,7 +10,7 @@
 const char* const kSafe = "load-status";
 const char* const kUnsafe = "pay-and-order";
 
-TEST_F(RelayTest, DeliversAndOwesNothingMore) {
+TEST_F(RelayTest, DeliversAMessageOnce) {
   start();
   const std::string body("\0\x01 any bytes \xff", 14);
   EXPECT_EQ(hand_in("m1", kSafe, body), 202u);
@@ -26,7 +26,7 @@
   EXPECT_EQ(finals, "");
 }
 
-TEST_F(RelayTest, KeepsItsConnectionToAnEndpoint) {
+TEST_F(RelayTest, ReusesItsConnectionToAnEndpoint) {
   start();
   for (int i = 0; i < 5; i++) {
     EXPECT_EQ(hand_in("m" + std::to_string(i), kSafe), 202u);
@@ -35,8 +35,8 @@
   EXPECT_EQ(endpoint.sessions.size(), 1u);
 }
 
-// A kept connection that the endpoint has closed must not be written to: that would be a reset, and the end
-// of an unsafe message.
+// A request written to an idle connection that the endpoint has closed would count as a reset and end an
+// unsafe message.
 TEST_F(RelayTest, DoesNotUseAConnectionThatTheEndpointClosed) {
   start();
   EXPECT_EQ(hand_in("m1", kUnsafe), 202u);
@@ -48,7 +48,7 @@
   EXPECT_EQ(finals, "");
 }
 
-TEST_F(RelayTest, AMessageHandedInTwiceIsOne) {
+TEST_F(RelayTest, AMessageSubmittedTwiceIsDeliveredOnce) {
   endpoint.on_request(stay_silent);
   start();
   EXPECT_EQ(hand_in("m1", kUnsafe), 202u);
@@ -58,8 +58,9 @@
   EXPECT_NE(endpoint.got[0].request["X-Request-Id"], endpoint.got[1].request["X-Request-Id"]);
 }
 
-// Who hands in a message by hand reads what was wrong with it; an answer to HEAD has no body.
-TEST_F(RelayTest, WhatIsTurnedDownIsToldWhy) {
+// The body of an error answer names the reason, for people who send requests by hand; an answer to HEAD has
+// no body.
+TEST_F(RelayTest, RejectionsNameTheReason) {
   start();
   const auto why = [this](const std::string& bytes) {
     const auto client = connect();
@@ -81,29 +82,30 @@
   EXPECT_EQ(client->answers[0].body(), "");
 }
 
-// Whatever comes in is answered or dropped, and the next message is served as if nothing had been.
-TEST_F(RelayTest, BadInputIsTurnedDown) {
+// Any invalid input is answered or dropped, and the next message is served as usual.
+TEST_F(RelayTest, InvalidInputIsRejected) {
   start();
   EXPECT_EQ(ask("NONSENSE\r\n\r\n"), 400u);
   EXPECT_EQ(ask("POST /load-status HTTP/1.1\r\nContent-Length: banana\r\n\r\n"), 400u);
-  EXPECT_EQ(ask("POST /load-status HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi"), 400u);  // no headers of ours
+  EXPECT_EQ(ask("POST /load-status HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi"),
+            400u);  // without the X- headers
   EXPECT_EQ(ask("POST /unheard-of HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi"), 404u);
   EXPECT_EQ(ask("GET /load-status HTTP/1.1\r\n\r\n"), 405u);
   EXPECT_EQ(hand_in("m1", kSafe, "x", "soon"), 400u);
   EXPECT_EQ(hand_in("m1", kSafe, "x", "-5m"), 400u);
   EXPECT_EQ(hand_in("m1", kSafe, std::string(65 * 1024, 'x')), 413u);
   EXPECT_EQ(ask("GET /_health HTTP/1.1\r\nX: " + std::string(20'000, 'x') + "\r\n\r\n"), 400u);
-  connect()->write("POST /load-status HT");  // a slow one, never done
+  connect()->write("POST /load-status HT");  // never completed
   const auto half = connect();
   half->write(request("m2", kSafe).substr(0, 80));
   half->end_sending();
-  wait_for([&] { return half->ended; }, "half a request is dropped");
+  wait_for([&] { return half->ended; }, "the incomplete request is dropped");
   EXPECT_EQ(hand_in("m3", kSafe, std::string(64 * 1024, 'x')), 202u);
   wait_for([&] { return !endpoint.got.empty(); }, "the call");
   EXPECT_EQ(endpoint.got[0].request["X-Request-Id"], "m3");
 }
 
-TEST_F(RelayTest, AClientThatEndedItsSendingIsAnswered) {
+TEST_F(RelayTest, AClientThatShutDownSendingIsAnswered) {
   start();
   const auto client = connect();
   client->write(request("m1", kSafe));
@@ -112,7 +114,7 @@
   EXPECT_EQ(client->answers[0].result_int(), 202u);
 }
 
-TEST_F(RelayTest, ContinuesAClientThatAsksFirst) {
+TEST_F(RelayTest, AnswersExpectContinue) {
   start();
   const auto client = connect();
   std::string head = request("m1", kSafe);
@@ -125,7 +127,7 @@
   EXPECT_EQ(client->answers[1].result_int(), 202u);
 }
 
-// At the limit of what may be held a client is told so at once.
+// At the limit of open messages, clients are rejected at once.
 TEST_F(RelayTest, RefusesAtTheOpenLimit) {
   endpoint.on_request(stay_silent);
   start();
@@ -140,9 +142,9 @@
   EXPECT_GE(taken, 30);
 }
 
-// An unsafe call that may have run is neither sent again nor refused: it ends by one notice.
-TEST_F(RelayTest, AnUnsafeMessageIsNotRepeatedAfterAReset) {
-  endpoint.on_request([](const Got& g) { g.session->close(); });
+// An unsafe call that may have been processed is neither retried nor rejected: it ends with one notice.
+TEST_F(RelayTest, AnUnsafeMessageIsNotRetriedAfterAReset) {
+  endpoint.on_request([](const Got& received) { received.session->close(); });
   start();
   EXPECT_EQ(hand_in("m1", kUnsafe), 202u);
   wait_for([&] { return !finals.empty(); }, "the notice");
@@ -150,7 +152,7 @@
   EXPECT_EQ(endpoint.got.size(), 1u);
 }
 
-TEST_F(RelayTest, AnUnsafeMessageIsSentAgainWhereNoConnectionCameUp) {
+TEST_F(RelayTest, AnUnsafeMessageIsRetriedAfterAFailedConnect) {
   // Bound but not listening: connects are refused.
   tcp::socket closed(io);
   closed.open(tcp::v4());
@@ -160,17 +162,18 @@
   start();
   EXPECT_EQ(hand_in("m1", kUnsafe, "x", "24000m"), 202u);
   wait_for([&] { return logged().find("closed s-1: no connection") != std::string::npos; }, "connects fail");
-  members = member("s-1", endpoint.address());  // the same endpoint, found elsewhere
+  members = member("s-1", endpoint.address());  // the same endpoint at another address
   tell(list(members));
   wait_for([&] { return !endpoint.got.empty(); }, "the call");
   EXPECT_EQ(finals, "");
 }
 
-TEST_F(RelayTest, AToldWaitIsKept) {
+TEST_F(RelayTest, ARequestedWaitIsObserved) {
   std::vector<steady_clock::time_point> at;
-  endpoint.on_request([&](const Got& g) {
+  endpoint.on_request([&](const Got& received) {
     at.push_back(steady_clock::now());
-    at.size() == 1 ? g.session->answer(429, "X-Come-Back-Ms: 1200\r\n") : g.session->answer(200);
+    at.size() == 1 ? received.session->answer(429, "X-Come-Back-Ms: 1200\r\n")
+                   : received.session->answer(200);
   });
   start();
   EXPECT_EQ(hand_in("m1", kSafe), 202u);
@@ -180,12 +183,12 @@
   EXPECT_GE(at[1] - at[0], milliseconds(1200));
 }
 
-// A wait may stand in any answer, also one that delivers.
-TEST_F(RelayTest, AWaitToldWithADeliveryIsKept) {
+// Any answer may request a wait, including one that delivers.
+TEST_F(RelayTest, AWaitRequestedWithADeliveryIsObserved) {
   std::vector<steady_clock::time_point> at;
-  endpoint.on_request([&](const Got& g) {
+  endpoint.on_request([&](const Got& received) {
     at.push_back(steady_clock::now());
-    g.session->answer(200, at.size() == 1 ? "X-Come-Back-Ms: 1200\r\n" : "");
+    received.session->answer(200, at.size() == 1 ? "X-Come-Back-Ms: 1200\r\n" : "");
   });
   start();
   EXPECT_EQ(hand_in("m1", kSafe), 202u);
@@ -195,50 +198,53 @@
   EXPECT_GE(at[1] - at[0], milliseconds(1200));
 }
 
-// Several messages in one call each have an end of their own; one that the answer leaves out may have run.
-TEST_F(RelayTest, ABundleGivesEachMessageItsEnd) {
+// Each message of a bundle has its own outcome; one that is missing in the answer may have been processed.
+TEST_F(RelayTest, EachMessageOfABundleHasItsOwnOutcome) {
   members = member("s-1", endpoint.address(), "ready", "big");
   std::map<std::string, int> seen;
-  endpoint.on_request([&](const Got& g) {
-    if (g.request.target() != "/events/bundle") {
-      seen[std::string(g.request["X-Request-Id"])]++;
-      return g.session->answer(200, g.request["X-Request-Id"] == "m0" ? "X-Come-Back-Ms: 1500\r\n" : "");
+  endpoint.on_request([&](const Got& received) {
+    if (received.request.target() != "/events/bundle") {
+      seen[std::string(received.request["X-Request-Id"])]++;
+      return received.session->answer(
+          200, received.request["X-Request-Id"] == "m0" ? "X-Come-Back-Ms: 1500\r\n" : "");
     }
     std::string answer = "[";
     for (const std::string id : {"m1", "m2", "m3"}) {
-      if (g.request.body().find("\"id\":\"" + id + "\",\"body\":\"aGVsbG8=\"") == std::string::npos) continue;
+      if (received.request.body().find("\"id\":\"" + id + "\",\"body\":\"aGVsbG8=\"") == std::string::npos)
+        continue;
       seen[id]++;
       if (id == "m3") continue;
       answer += std::string(answer.size() > 1 ? "," : "") + R"({"id":")" + id + R"(","state":")" +
                 (id == "m1" ? "done" : "busy") + "\"}";
     }
-    g.session->answer(200, "", answer + "]");
+    received.session->answer(200, "", answer + "]");
   });
   start();
-  // A told wait holds them all, so that they go in one round when it ends.
+  // The requested wait holds the messages back, so that they go out in one bundle when it ends.
   EXPECT_EQ(hand_in("m0", kSafe), 202u);
-  wait_for([&] { return seen["m0"] == 1; }, "the wait is told");
+  wait_for([&] { return seen["m0"] == 1; }, "the wait is requested");
   for (const std::string id : {"m1", "m2", "m3"}) EXPECT_EQ(hand_in(id, kUnsafe), 202u);
-  wait_for([&] { return seen["m1"] >= 1 && seen["m2"] >= 2 && !finals.empty(); }, "each has its end");
+  wait_for([&] { return seen["m1"] >= 1 && seen["m2"] >= 2 && !finals.empty(); },
+           "each message has its outcome");
   EXPECT_EQ(seen["m1"], 1);
   EXPECT_EQ(seen["m2"], 2);
   EXPECT_EQ(seen["m3"], 1);
   EXPECT_EQ(finals, "{\"id\":\"m3\",\"status\":\"undeliverable\"}\n");
 }
 
-TEST_F(RelayTest, GarbageFromAnEndpointIsAReset) {
+TEST_F(RelayTest, AMalformedAnswerCountsAsAReset) {
   int calls = 0;
-  endpoint.on_request([&](const Got& g) {
-    if (++calls > 1) return g.session->answer(200);
-    g.session->write("\x01\x02 not HTTP\r\n\r\n");
-    g.session->close();
+  endpoint.on_request([&](const Got& received) {
+    if (++calls > 1) return received.session->answer(200);
+    received.session->write("\x01\x02 not HTTP\r\n\r\n");
+    received.session->close();
   });
   start();
   EXPECT_EQ(hand_in("m1", kSafe), 202u);
   wait_for([&] { return calls == 2; }, "it is sent again");
 }
 
-TEST_F(RelayTest, NothingNewGoesToADrainingEndpoint) {
+TEST_F(RelayTest, NoNewCallsGoToADrainingEndpoint) {
   Server other(io, answer_ok);
   start();
   wait_for([&] { return !watches.empty(); }, "the watch");
@@ -251,8 +257,9 @@
   EXPECT_EQ(endpoint.got.size(), 1u);
 }
 
-// Discovery that talks nonsense, or ends the watch, is asked again; what was known holds until then.
-TEST_F(RelayTest, AWatchThatBreaksIsBegunAgain) {
+// After malformed data or the end of a watch a new one is opened; the last known list stays in use until
+// then.
+TEST_F(RelayTest, ABrokenWatchIsReopened) {
   start();
   wait_for([&] { return watches.size() == 1; }, "the watch");
   tell("{\"index\":\"what\"}");
@@ -263,16 +270,16 @@
   wait_for([&] { return !endpoint.got.empty(); }, "the call");
 }
 
-// A connection that says nothing more is as dead as one that ended: the list would grow stale unseen.
-TEST_F(RelayTest, ASilentWatchIsTakenAsEnded) {
+// Guards against a list that becomes stale unnoticed because its watch's connection is open but silent.
+TEST_F(RelayTest, ASilentWatchIsReopened) {
   beats = false;
   start();
   wait_for([&] { return watches.size() == 2; }, "a new watch after the silence");
   EXPECT_NE(logged().find("silent for too long"), std::string::npos);
 }
 
-TEST_F(RelayTest, ANoticeIsResentUntilThePlatformHasIt) {
-  endpoint.on_request([](const Got& g) { g.session->close(); });
+TEST_F(RelayTest, ANoticeIsRetriedUntilThePlatformAcceptsIt) {
+  endpoint.on_request([](const Got& received) { received.session->close(); });
   finals_status = 503;
   start();
   EXPECT_EQ(hand_in("m1", kUnsafe), 202u);
@@ -280,22 +287,22 @@
   kill_relay();
   start();
   finals_status = 204;
-  wait_for([&] { return !finals.empty(); }, "a new life sends it too");
+  wait_for([&] { return !finals.empty(); }, "the next incarnation sends it, too");
   EXPECT_EQ(finals, "{\"id\":\"m1\",\"status\":\"undeliverable\"}\n");
   EXPECT_EQ(endpoint.got.size(), 1u);
 }
 
-// A notice that the platform can't read is dropped, with a line in the log; those beside it are told.
-TEST_F(RelayTest, AnUnreadableNoticeHoldsUpNoOther) {
-  endpoint.on_request([](const Got& g) { g.session->close(); });
-  std::string told;
+// A notice that the platform rejects as malformed is dropped and logged; the others are delivered.
+TEST_F(RelayTest, AMalformedNoticeDoesNotBlockOthers) {
+  endpoint.on_request([](const Got& received) { received.session->close(); });
+  std::string accepted_notices;
   bool down = true;
-  platform.on_request([&](const Got& g) {
-    if (g.request.method() != http::verb::post) return on_platform(g);
-    if (down) return g.session->answer(503);
-    const bool unreadable = g.request.body().find("\"m1\"") != std::string::npos;
-    if (!unreadable) told += g.request.body();
-    g.session->answer(unreadable ? 400 : 204);
+  platform.on_request([&](const Got& received) {
+    if (received.request.method() != http::verb::post) return on_platform(received);
+    if (down) return received.session->answer(503);
+    const bool unreadable = received.request.body().find("\"m1\"") != std::string::npos;
+    if (!unreadable) accepted_notices += received.request.body();
+    received.session->answer(unreadable ? 400 : 204);
   });
   start();
   for (const std::string id : {"m0", "m1", "m2"}) {
@@ -304,16 +311,17 @@
     wait_for([&] { return endpoint.got.size() > before || endpoint.got.size() >= 3; }, "its call");
   }
   down = false;
-  wait_for([&] { return std::count(told.begin(), told.end(), '\n') == 2; }, "the others");
-  EXPECT_EQ(told.find("m1"), std::string::npos);
-  wait_for([&] { return logged().find("can't read {\"id\":\"m1\"") != std::string::npos; },
+  wait_for([&] { return std::count(accepted_notices.begin(), accepted_notices.end(), '\n') == 2; },
+           "the others");
+  EXPECT_EQ(accepted_notices.find("m1"), std::string::npos);
+  wait_for([&] { return logged().find("answered 400 to {\"id\":\"m1\"") != std::string::npos; },
            "the line in the log");
 }
 
 // ---- Restarts. ----
-// Killed with much held, and at the bound of what it may hold: each message is sent again or ends, none
-// twice.
-TEST_F(RelayTest, ARestartWithMuchHeldLosesNothing) {
+// Killed at the limit of open messages: each message is sent by the next incarnation or ends with a notice,
+// none twice.
+TEST_F(RelayTest, ARestartWithManyPendingMessagesLosesNothing) {
   endpoint.on_request(stay_silent);
   start();
   int taken = 0;
@@ -322,12 +330,12 @@
   EXPECT_GE(taken, 30);
   wait_for([&] { return !endpoint.got.empty(); }, "some calls");
   std::map<std::string, int> sent;
-  for (const auto& g : endpoint.got) sent[std::string(g.request["X-Request-Id"])]++;
+  for (const auto& received : endpoint.got) sent[std::string(received.request["X-Request-Id"])]++;
   const auto before = static_cast<int>(sent.size());
   kill_relay();
-  endpoint.on_request([&](const Got& g) {
-    sent[std::string(g.request["X-Request-Id"])]++;
-    g.session->answer(200);
+  endpoint.on_request([&](const Got& received) {
+    sent[std::string(received.request["X-Request-Id"])]++;
+    received.session->answer(200);
   });
   start();
   wait_for([&] { return static_cast<int>(sent.size()) == taken; }, "the rest is sent");
@@ -335,7 +343,7 @@
   for (const auto& [id, n] : sent) EXPECT_EQ(n, 1) << id;
 }
 
-TEST_F(RelayTest, AnUnsafeCallThatWasOutAtSigkillEndsAsFailed) {
+TEST_F(RelayTest, AnUnsafeCallInFlightAtSigkillEndsAsFailed) {
   endpoint.on_request(stay_silent);
   start();
   EXPECT_EQ(hand_in("m1", kUnsafe, "x", "24000m"), 202u);
@@ -350,7 +358,7 @@
   EXPECT_EQ(endpoint.got[1].request["X-Request-Id"], "m2");
 }
 
-TEST_F(RelayTest, ASafeCallThatWasOutAtSigkillIsMadeAgain) {
+TEST_F(RelayTest, ASafeCallInFlightAtSigkillIsRetried) {
   endpoint.on_request(stay_silent);
   start();
   EXPECT_EQ(hand_in("m1", kSafe), 202u);
@@ -364,7 +372,7 @@
   EXPECT_EQ(finals, "");
 }
 
-TEST_F(RelayTest, WhatFellDueWhileItWasDownEndsAtOnce) {
+TEST_F(RelayTest, AMessageDueDuringDowntimeEndsAtOnce) {
   endpoint.on_request(stay_silent);
   start();
   EXPECT_EQ(hand_in("m1", kSafe, "x", "300m"), 202u);
@@ -377,7 +385,7 @@
   EXPECT_EQ(endpoint.got.size(), before);
 }
 
-// At SIGTERM calls that are out come home, clients are answered on, and the process ends by itself.
+// After SIGTERM, calls in flight complete, clients are still served, and the process exits by itself.
 TEST_F(RelayTest, DrainsAtSigterm) {
   endpoint.on_request(stay_silent);
   start();
@@ -390,7 +398,7 @@
   EXPECT_EQ(health(), 503u);
   EXPECT_EQ(hand_in("m2", kUnsafe), 202u);
   wait_for([&] { return endpoint.got.size() == 2; }, "the second call");
-  for (const auto& g : endpoint.got) g.session->answer(200);
+  for (const auto& received : endpoint.got) received.session->answer(200);
   EXPECT_EQ(wait_exit(), 0);
   EXPECT_LT(steady_clock::now() - began, milliseconds(3700));
   start();
@@ -398,7 +406,7 @@
   EXPECT_EQ(endpoint.got.size(), 2u);
 }
 
-TEST_F(RelayTest, WhatIsLeftAtSigtermIsTakenUpAgain) {
+TEST_F(RelayTest, MessagesLeftAtSigtermAreResumed) {
   members = member("s-1", endpoint.address(), "draining") + "," +
             R"({"name":"s-9","address":"127.0.0.1:9","zone":"a","type":"small","group":8,"status":"ready"})";
   start();  // nothing may be sent to destination 7
@@ -412,12 +420,13 @@
   EXPECT_EQ(endpoint.got[0].request["X-Request-Id"], "m1");
 }
 
-// A disk that takes nothing more: clients are refused at once, nothing is lost, and service goes on after it.
+// A journal that can't be written: clients are rejected at once, nothing is lost, and service resumes
+// afterwards.
 TEST_F(RelayTest, AnUnwritableJournalRefusesAndRecovers) {
   std::vector<std::string> called;
-  endpoint.on_request([&](const Got& g) {
-    called.emplace_back(g.request["X-Request-Id"]);
-    g.session->answer(200);
+  endpoint.on_request([&](const Got& received) {
+    called.emplace_back(received.request["X-Request-Id"]);
+    received.session->answer(200);
   });
   largest_file = 4096;
   start();
@@ -434,17 +443,17 @@
   const auto was_called = [&](const std::string& id) { return std::count(called.begin(), called.end(), id); };
   wait_for([&] { return was_called("after") == 1; }, "the call");
   for (int i = 0; i < taken; i++) EXPECT_EQ(was_called("m" + std::to_string(i)), 1) << i;
-  EXPECT_EQ(was_called("m" + std::to_string(taken)), 0) << "it was refused";
+  EXPECT_EQ(was_called("m" + std::to_string(taken)), 0) << "called although rejected";
   EXPECT_EQ(finals, "");
 }
 
-// Thousands of endpoint ids and client connections, many at the address of one that is gone: what the process
-// holds at the end is what it held after the first few.
-TEST_F(RelayTest, ChurnLeavesNothingBehind) {
+// Hundreds of endpoint ids and client connections, many endpoints at the address of a removed one: the
+// process uses no more descriptors and memory at the end than after the first third.
+TEST_F(RelayTest, ChurnLeaksNoMemoryOrDescriptors) {
   start();
   wait_for([&] { return !watches.empty(); }, "the watch");
   std::size_t files = 0;
-  [[maybe_unused]] long memory = 0;  // not looked at under sanitizers
+  [[maybe_unused]] long memory = 0;  // not checked under sanitizers
   for (int i = 0; i < 600; i++) {
     const std::string id = std::to_string(i);
     tell(list(member("e" + id, endpoint.address()) + "," +
@@ -463,42 +472,43 @@
 #endif
 }
 
-// ---- Notes between relays. ----
-// A refusal is told to the others; what a stranger sends, or makes no sense, or is too long, changes nothing.
-TEST_F(RelayTest, NotesGoToPeersAndGarbageIsDropped) {
+// ---- Gossip between relays. ----
+// A rejection is reported to the peers. Datagrams that are malformed, too long or not from a peer are
+// ignored.
+TEST_F(RelayTest, GossipGoesToPeersAndInvalidDatagramsAreDropped) {
   using udp = net::ip::udp;
   const auto here = net::ip::make_address(own_address());
-  udp::socket peer(io, {here, 0}), everyone(io, {here, 0}), stranger(io, {here, 0}), probe(io, {here, 0});
+  udp::socket peer(io, {here, 0}), broadcast(io, {here, 0}), outsider(io, {here, 0}), probe(io, {here, 0});
   const auto own = probe.local_endpoint();
   probe.close();
   const auto text = [](const udp::endpoint& e) {
     return "\"" + e.address().to_string() + ":" + std::to_string(e.port()) + "\"";
   };
   more = ",\"peer_listen\":" + text(own) + ",\"peers\":[" + text(own) + "," + text(peer.local_endpoint()) +
-         "],\"peers_all\":" + text(everyone.local_endpoint());
+         "],\"peers_all\":" + text(broadcast.local_endpoint());
   int calls = 0;
-  endpoint.on_request([&](const Got& g) { g.session->answer(++calls == 1 ? 503 : 200); });
+  endpoint.on_request([&](const Got& received) { received.session->answer(++calls == 1 ? 503 : 200); });
   start();
-  for (auto* from : {&peer, &stranger})
-    for (const std::string& note :
+  for (auto* from : {&peer, &outsider})
+    for (const std::string& datagram :
          {std::string(""), std::string("1rno-such-endpoint"), std::string(400, '\xff')})
-      from->send_to(net::buffer(note), own);
-  std::array<char, 300> note{};
+      from->send_to(net::buffer(datagram), own);
+  std::array<char, 300> datagram{};
   std::size_t size = 0;
   udp::endpoint from;
-  everyone.async_receive_from(net::buffer(note), from, [&](error_code, std::size_t n) { size = n; });
+  broadcast.async_receive_from(net::buffer(datagram), from, [&](error_code, std::size_t n) { size = n; });
   EXPECT_EQ(hand_in("m1", kSafe), 202u);
-  wait_for([&] { return size > 0; }, "the note");
-  EXPECT_EQ(std::string(note.data(), size), "1rs-1");
+  wait_for([&] { return size > 0; }, "the datagram");
+  EXPECT_EQ(std::string(datagram.data(), size), "1rs-1");
   EXPECT_EQ(from, own);
   wait_for([&] { return calls == 2; }, "the call is made again");
 }
 
-// ---- Spoilt answers. ----
-// Whatever its first line says but 200: an answer that can't be read may have run, so the message ends there,
-// and its connection, which stays open, is not used again. A 200 line delivers, also before noise or a body
-// without end; the call that waits for the rest is let go soon.
-TEST_F(RelayTest, SpoiltAnswers) {
+// ---- Broken answers. ----
+// After a broken answer whose status line is not 200 the call may have been processed, so its message ends
+// there, and its connection is not used again although it stays open. A 200 status line delivers, even if
+// garbage or an endless body follows; the call that waits for the rest ends soon.
+TEST_F(RelayTest, BrokenAnswersFromAnEndpoint) {
   struct Case {
     const char* answer;
     bool delivered;
@@ -516,9 +526,9 @@
       {"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nX-Load: x0=nan\r\nContent-Length: 0\r\n\r\n", true},
   };
   std::size_t calls = 0;
-  endpoint.on_request([&](const Got& g) {
-    const auto i = calls++ / 2;  // each spoilt answer, then a good one
-    calls % 2 == 1 ? g.session->write(cases[i].answer) : g.session->answer(200);
+  endpoint.on_request([&](const Got& received) {
+    const auto i = calls++ / 2;  // each broken answer is followed by a good one
+    calls % 2 == 1 ? received.session->write(cases[i].answer) : received.session->answer(200);
   });
   start();
   std::string expected;
@@ -536,12 +546,12 @@
   EXPECT_EQ(finals, expected);
 }
 
-// A second answer behind a good one must not answer the next call.
-TEST_F(RelayTest, ASecondAnswerIsNotTheNextCalls) {
+// Guards against a second answer on a connection being read as the answer to the next call.
+TEST_F(RelayTest, AStrayAnswerDoesNotAnswerTheNextCall) {
   std::size_t calls = 0;
-  endpoint.on_request([&](const Got& g) {
-    if (++calls == 1) return g.session->answer(200), g.session->answer(200);
-    if (calls > 2) g.session->answer(200);
+  endpoint.on_request([&](const Got& received) {
+    if (++calls == 1) return received.session->answer(200), received.session->answer(200);
+    if (calls > 2) received.session->answer(200);
   });
   start();
   EXPECT_EQ(hand_in("m1", kSafe), 202u);
@@ -553,26 +563,26 @@
   EXPECT_EQ(endpoint.got[2].request["X-Request-Id"], "m2");
 }
 
-// An answer of brackets alone: a parser that calls itself for each would overrun its stack.
-TEST_F(RelayTest, ABundleAnswerOfBracketsIsSurvived) {
+// An answer of 60,000 nested brackets, on which a recursive parser would overflow the stack.
+TEST_F(RelayTest, ADeeplyNestedBundleAnswerDoesNotOverflowTheStack) {
   members = member("s-1", endpoint.address(), "ready", "big");
   int bundles = 0, calls = 0;
-  endpoint.on_request([&](const Got& g) {
-    if (g.request.target() != "/events/bundle")
-      return g.session->answer(200, ++calls == 1 ? "X-Come-Back-Ms: 800\r\n" : "");
-    g.session->answer(200, "", ++bundles == 1 ? std::string(60'000, '[') : "[]");
+  endpoint.on_request([&](const Got& received) {
+    if (received.request.target() != "/events/bundle")
+      return received.session->answer(200, ++calls == 1 ? "X-Come-Back-Ms: 800\r\n" : "");
+    received.session->answer(200, "", ++bundles == 1 ? std::string(60'000, '[') : "[]");
   });
   start();
   EXPECT_EQ(hand_in("m0", kSafe), 202u);
-  wait_for([&] { return calls == 1; }, "the wait is told");
+  wait_for([&] { return calls == 1; }, "the wait is requested");
   for (const std::string id : {"m1", "m2"}) EXPECT_EQ(hand_in(id, kUnsafe), 202u);
-  wait_for([&] { return std::count(finals.begin(), finals.end(), '\n') == 2; }, "both may have run");
+  wait_for([&] { return std::count(finals.begin(), finals.end(), '\n') == 2; }, "both end with notices");
   EXPECT_EQ(health(), 200u);
 }
 
 // ---- Bad clients. ----
-// Half a request, silence, heads without end: each is closed within 3 s of its connecting.
-TEST_F(RelayTest, BadClientsAreLetGoInTime) {
+// Incomplete requests, silence and endless headers: each connection is closed within 3 s of its start.
+TEST_F(RelayTest, SlowClientsAreDisconnectedInTime) {
   start();
   const auto began = steady_clock::now();
   std::vector<std::shared_ptr<Client>> bad;
@@ -589,10 +599,11 @@
   EXPECT_EQ(hand_in("m2", kSafe), 202u);
 }
 
-// Unusable requests get an error and the connection's end; what stands behind them is not read as a request.
-TEST_F(RelayTest, NothingBehindABadRequestIsTakenOn) {
+// An invalid request is answered with an error and its connection is closed; input after it is not read as a
+// request.
+TEST_F(RelayTest, NothingAfterAnInvalidRequestIsAccepted) {
   start();
-  wait_for([&] { return !watches.empty(); }, "the list is told");
+  wait_for([&] { return !watches.empty(); }, "the list is delivered");
   wait_for([&] { return hand_in("m0", kSafe) == 202u; }, "service");
   const std::string hidden = request("hidden", kUnsafe);
   const std::string both =
@@ -615,8 +626,8 @@
   EXPECT_EQ(endpoint.got.size(), 2u);
 }
 
-// Of two that hand in one id at once, the second is told what the first is told.
-TEST_F(RelayTest, TwinsShareOneAnswer) {
+// Two clients that submit the same id at the same time get the same answer.
+TEST_F(RelayTest, SimultaneousDuplicatesGetTheSameAnswer) {
   endpoint.on_request(stay_silent);
   start();
   std::vector<std::shared_ptr<Client>> pairs;
@@ -624,8 +635,8 @@
     pairs.push_back(connect());
     pairs.back()->write(request("m" + std::to_string(i / 2), kUnsafe, "x", "24000m"));
   }
-  const auto told = [](const auto& c) { return c->answers.size() == 1; };
-  wait_for([&] { return std::all_of(pairs.begin(), pairs.end(), told); }, "all answers");
+  const auto is_answered = [](const auto& client) { return client->answers.size() == 1; };
+  wait_for([&] { return std::all_of(pairs.begin(), pairs.end(), is_answered); }, "all answers");
   int refused = 0;
   for (std::size_t i = 0; i < pairs.size(); i += 2) {
     EXPECT_EQ(pairs[i]->answers[0].result_int(), pairs[i + 1]->answers[0].result_int()) << i;
@@ -635,12 +646,12 @@
   EXPECT_GT(refused, 0);
 }
 
-// The id of a message that is over: sent again it would take effect twice.
-TEST_F(RelayTest, AnIdThatIsOverIsNotSentAgain) {
+// Guards against sending a completed message again, which could take effect twice.
+TEST_F(RelayTest, ACompletedIdIsNotSentAgain) {
   start();
   EXPECT_EQ(hand_in("m1", kUnsafe), 202u);
   wait_for([&] { return endpoint.got.size() == 1; }, "the call");
-  EXPECT_EQ(hand_in("m2", kUnsafe), 202u);  // by now the first one's answer is read
+  EXPECT_EQ(hand_in("m2", kUnsafe), 202u);  // by now the first call's answer has been read
   wait_for([&] { return endpoint.got.size() == 2; }, "the second call");
   EXPECT_EQ(hand_in("m1", kUnsafe), 202u);
   EXPECT_EQ(hand_in("m3", kUnsafe), 202u);
@@ -649,32 +660,34 @@
 }
 
 // ---- New configurations. ----
-// Discovery moves under load: the list and the notices, one of them in flight, go to the new address at once,
-// whose index is lower than the old one's; what the new list does not name is gone.
-TEST_F(RelayTest, SighupMovesToAnotherDiscovery) {
+// Discovery's address changes under load: the watch and the notices, one of them in flight, switch to the new
+// address at once, although its index is lower than the old one's. Endpoints that the new list does not name
+// are removed.
+TEST_F(RelayTest, SighupSwitchesToAnotherDiscovery) {
   bool silent = false;
   std::string new_finals, asked;
   Server other(io, answer_ok);
-  Server moved(io, [&](const Got& g) {
-    if (g.request.method() == http::verb::post) {
-      new_finals += g.request.body();
-      return g.session->answer(204);
+  Server moved(io, [&](const Got& received) {
+    if (received.request.method() == http::verb::post) {
+      new_finals += received.request.body();
+      return received.session->answer(204);
     }
-    asked = std::string(g.request.target());
-    g.session->write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+    asked = std::string(received.request.target());
+    received.session->write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     const std::string line =
         R"({"index":3,"snapshot":true,"endpoints":[)" + member("s-2", other.address()) + "]}\n";
     char size[16];
     std::snprintf(size, sizeof size, "%zx\r\n", line.size());
-    g.session->write(size + line + "\r\n");
+    received.session->write(size + line + "\r\n");
   });
-  endpoint.on_request([](const Got& g) { g.session->close(); });  // each unsafe message ends by a notice
+  endpoint.on_request(
+      [](const Got& received) { received.session->close(); });  // each unsafe message ends with a notice
   start();
   wait_for([&] { return watches.size() == 1; }, "the first watch");
   std::size_t in_flight = 0;
-  platform.on_request([&](const Got& g) {
-    if (!silent) return on_platform(g);
-    in_flight += g.request.method() == http::verb::post;
+  platform.on_request([&](const Got& received) {
+    if (!silent) return on_platform(received);
+    in_flight += received.request.method() == http::verb::post;
   });
   silent = true;
   EXPECT_EQ(hand_in("m1", kUnsafe), 202u);
@@ -686,27 +699,27 @@
   wait_for([&] { return watches[0]->ended; }, "the old watch is closed");
   EXPECT_EQ(hand_in("m2", kUnsafe), 202u);
   wait_for([&] { return other.got.size() == 1; }, "the call to the endpoint of the new list");
-  EXPECT_EQ(platform.sessions.size(), 2u) << "nothing new goes to the old address";
+  EXPECT_EQ(platform.sessions.size(), 2u) << "a new connection to the old address";
 }
 
-// A moved discovery may begin with changes alone: what it lists is then asked for as a whole, else an
-// endpoint that went before them would stay.
-TEST_F(RelayTest, AfterAMoveTheWholeListIsTaken) {
+// The discovery at a new address may begin with updates only: the full list is then requested. Otherwise an
+// endpoint removed before those updates would stay.
+TEST_F(RelayTest, AfterAnAddressChangeTheFullListIsApplied) {
   Server other(io, answer_ok);
   int fetched = 0;
-  Server moved(io, [&](const Got& g) {
+  Server moved(io, [&](const Got& received) {
     const auto text = [&](const std::string& names, bool whole) {
       return R"({"index":3,"snapshot":)" + std::string(whole ? "true" : "false") + R"(,"endpoints":[)" +
              names + "]}\n";
     };
-    if (g.request.target() == "/catalog/members") {
+    if (received.request.target() == "/catalog/members") {
       fetched++;
-      return g.session->answer(200, "", text(member("s-2", other.address()), true));
+      return received.session->answer(200, "", text(member("s-2", other.address()), true));
     }
     const std::string line = text(member("s-2", other.address()), false);
     char size[16];
     std::snprintf(size, sizeof size, "%zx\r\n", line.size());
-    g.session->write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + (size + line) + "\r\n");
+    received.session->write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + (size + line) + "\r\n");
   });
   start();
   EXPECT_EQ(hand_in("m0", kSafe), 202u);
@@ -719,8 +732,8 @@
   EXPECT_EQ(fetched, 1);
 }
 
-// A file that can't be read is one line in the log; service goes on with the old one, and the next is taken.
-TEST_F(RelayTest, SighupWithABadFileChangesNothing) {
+// An invalid file is logged in one line, and service continues with the old configuration.
+TEST_F(RelayTest, SighupWithAnInvalidFileChangesNothing) {
   start();
   wait_for([&] { return watches.size() == 1; }, "the watch");
   reload("{\"name\":");
@@ -732,11 +745,11 @@
 }
 
 // ---- The configuration. ----
-TEST_F(RelayTest, ABadConfigurationIsOneLineAndAnExit) {
+TEST_F(RelayTest, AnInvalidConfigurationIsLoggedInOneLine) {
   members = member("s-1", endpoint.address());
-  const auto without = [this](const std::string& text, const std::string& by) {
+  const auto log_after_replacing = [this](const std::string& text, const std::string& replacement) {
     std::string c = config();
-    c.replace(c.find(text), text.size(), by);
+    c.replace(c.find(text), text.size(), replacement);
     std::filesystem::remove(folder + "/log");
     spawn(c);
     EXPECT_EQ(wait_exit(), 1);
@@ -744,13 +757,15 @@
     EXPECT_EQ(std::count(log.begin(), log.end(), '\n'), 1) << log;
     return log;
   };
-  EXPECT_NE(without("\"seed\"", "\"sead\"").find("config.seed"), std::string::npos);
-  EXPECT_NE(without("\"disk_mb\":3", "\"disk_mb\":\"much\"").find("config.limits.disk_mb"),
+  EXPECT_NE(log_after_replacing("\"seed\"", "\"sead\"").find("config.seed"), std::string::npos);
+  EXPECT_NE(log_after_replacing("\"disk_mb\":3", "\"disk_mb\":\"much\"").find("config.limits.disk_mb"),
             std::string::npos);
-  EXPECT_NE(without("\"Workers\":8", "\"Workers\":0").find("slots"), std::string::npos);
-  EXPECT_NE(without("\"Workers\":8", "\"Walkers\":8").find("FamilyInfo.Workers"), std::string::npos);
-  EXPECT_NE(without("\"name\":\"s-1\"", "\"name\":1").find("known.endpoints.name"), std::string::npos);
-  EXPECT_NE(without("{\"name\"", "{{").find("config"), std::string::npos);
+  EXPECT_NE(log_after_replacing("\"Workers\":8", "\"Workers\":0").find("slots"), std::string::npos);
+  EXPECT_NE(log_after_replacing("\"Workers\":8", "\"Walkers\":8").find("FamilyInfo.Workers"),
+            std::string::npos);
+  EXPECT_NE(log_after_replacing("\"name\":\"s-1\"", "\"name\":1").find("known.endpoints.name"),
+            std::string::npos);
+  EXPECT_NE(log_after_replacing("{\"name\"", "{{").find("config"), std::string::npos);
 }
 
 }  // namespace
