--- a/tests/races/alarm_test.cpp
+++ b/tests/races/timer_test.cpp
@@ -1,4 +1,6 @@
 // Timers that are set again or cancelled while their completion handlers are already queued.
+#include "core/timer.hpp"
+
 #include <gtest/gtest.h>
 
 #include <boost/asio/io_context.hpp>
@@ -8,8 +10,6 @@
 #include <string>
 #include <vector>
 
-#include "core/timer.hpp"
-
 namespace heronvane::testing {
 namespace {
 
