--- a/tests/failing_disk_test.cpp
+++ b/tests/failing_disk_test.cpp
@@ -1,4 +1,5 @@
-// A folder that can't be written for a while, under the real program: what was taken on keeps its promises.
+// Runs the real program on a folder that can't be written for a while: the promises made for accepted
+// messages must be kept.
 #include "relay_harness.hpp"
 
 namespace heronvane::testing {
@@ -9,16 +10,17 @@
 class FailingDiskTest : public RelayTest, public ::testing::WithParamInterface<const char*> {
  protected:
   FailingDiskTest() { faults = switched("pwrite", GetParam()); }
-  // Takes a message on that falls due while the folder can't be written, and is told so.
+  // Accepts a message whose deadline passes while the folder can't be written, and waits for its
+  // notification.
   void end_without_a_record() {
     endpoint.on_request([](const Got& g) { g.session->answer(429, "X-Come-Back-Ms: 800\r\n"); });
     start();
     ASSERT_EQ(hand_in("due", kSafe, "x", "1500m"), 202u);
     wait_for([&] { return calls_of("due") == 1; }, "its call");
     set_faults(true);
-    wait_for([&] { return ended("due"); }, "its end, though it can't be recorded");
+    wait_for([&] { return ended("due"); }, "the notification, though the end can't be recorded");
   }
-  void expect_service_without_a_call_of_due() {
+  void expect_service_without_another_call_for_due() {
     endpoint.on_request(answer_ok);
     wait_for([&] { return health() == 200; }, "the relay is ready");
     EXPECT_EQ(hand_in("next", kSafe), 202u);
@@ -27,32 +29,32 @@
   }
 };
 
-// The end of a message used to wait for its record, however late that came.
-TEST_P(FailingDiskTest, WhatIsDueMeanwhileIsToldInItsTime) {
+// The notification used to wait for the record of the message's end, however late that was written.
+TEST_P(FailingDiskTest, NotificationsAreSentInTimeWithoutARecord) {
   end_without_a_record();
   EXPECT_EQ(hand_in("refused", kSafe), 503u);
   wait_for(
       [&] { return logged().find("messages refused: the folder can't be written (1)") != std::string::npos; },
       "the reason in the log");
   set_faults(false);
-  expect_service_without_a_call_of_due();
+  expect_service_without_another_call_for_due();
 }
 
-// The process is killed before the end's record could be written: the next one tells the end, and calls
-// nobody.
-TEST_P(FailingDiskTest, AnEndWithoutARecordIsNoCallAfterARestart) {
+// The process is killed before the record of the end could be written: the next one must send the
+// notification again and must not make a call.
+TEST_P(FailingDiskTest, AnUnrecordedEndCausesNoCallAfterARestart) {
   end_without_a_record();
   kill_relay();
   set_faults(false);
   finals.clear();
   start();
-  wait_for([&] { return ended("due"); }, "its end once more");
-  expect_service_without_a_call_of_due();
+  wait_for([&] { return ended("due"); }, "the notification once more");
+  expect_service_without_another_call_for_due();
 }
 
-// A list that came meanwhile is told to the decisions once the folder can be written, behind the end of its
-// watch: that used to pass for a sign that the watch goes on, and no change was heard of any more.
-TEST_P(FailingDiskTest, AWatchThatEndsMeanwhileIsOpenedAnew) {
+// A list received meanwhile reaches the decision module only once the folder can be written, after the end of
+// its watch. It used to be taken as a sign that the watch was still open, and later changes went unnoticed.
+TEST_P(FailingDiskTest, AWatchThatEndsMeanwhileIsReopened) {
   start();
   wait_for([&] { return watches.size() == 1; }, "the watch");
   set_faults(true);
--- a/tests/folder_test.cpp
+++ b/tests/folder_test.cpp
@@ -1,5 +1,5 @@
-// The folder that lasts, seen from outside over loopback sockets: starts that fail or come twice, what
-// outlives the process, a disk that is full.
+// The relay's store as seen from outside, over loopback sockets: failed and concurrent starts, state that
+// survives the process, a full disk.
 #include <algorithm>
 #include <map>
 #include <set>
@@ -14,7 +14,7 @@
 
 class FolderTest : public RelayTest {
  protected:
-  // Every file of the folder that lasts, with its bytes.
+  // All files of the store's folder with their content.
   std::map<std::string, std::string> files() const {
     std::map<std::string, std::string> all;
     for (const auto& f : std::filesystem::recursive_directory_iterator(folder + "/state")) {
@@ -23,8 +23,8 @@
     }
     return all;
   }
-  // Takes on `n` unsafe messages that can't be sent yet, then dies.
-  void hold(int n) {
+  // Accepts `n` unsafe messages that can't be sent yet; the test then kills the relay.
+  void accept_unsent(int n) {
     members =
         member("s-1", endpoint.address(), "draining") + "," +
         R"({"name":"s-9","address":"127.0.0.1:9","zone":"a","type":"small","group":8,"status":"ready"})";
@@ -32,14 +32,14 @@
     for (int i = 0; i < n; i++)
       ASSERT_EQ(hand_in("m" + std::to_string(i), kUnsafe, std::string(500, 'x'), "24000m"), 202u);
   }
-  // An address where nobody answers.
-  std::string nowhere() {
+  // An address at which nothing listens.
+  std::string unused_address() {
     tcp::acceptor probe(io, {net::ip::make_address(own_address()), 0});
     return own_address() + ":" + std::to_string(probe.local_endpoint().port());
   }
-  // Starts with discovery down; what the configuration and the folder say is all there is.
+  // Starts while discovery is down, with only the configuration and the folder as sources.
   void start_without_discovery() {
-    spawn(config(nowhere()));
+    spawn(config(unused_address()));
     wait_for([this] { return health() == 200; }, "the relay is ready");
   }
   void limit_files(rlim_t bytes) {
@@ -62,10 +62,10 @@
 };
 
 #ifdef HERONVANE_SETTINGS_FILE
-// Starts that wait for what another has, until their time is up.
+// Starts that wait for a resource that another process uses, until their timeout.
 class WaitingFolderTest : public FolderTest {
  protected:
-  void expect_a_vain_start() {
+  void expect_start_to_time_out() {
     own_settings = "[relay]\nstart_timeout = 0.2\n";
     spawn(config());
     EXPECT_EQ(wait_exit(), 1);
@@ -74,11 +74,10 @@
   }
 };
 
-// A second program on the folder of one that runs waits, changes nothing, and ends with the reason once its
-// time is up, whatever its address. Guards against two owners: the second used to cut the first one's
-// records.
-TEST_F(WaitingFolderTest, ASecondStartLeavesTheFolderAlone) {
-  hold(10);
+// A second relay on the folder of a running one must wait, change nothing, and exit with the reason after its
+// timeout, whatever its address. The second one used to truncate the records of the first.
+TEST_F(WaitingFolderTest, ASecondStartDoesNotChangeTheFolder) {
+  accept_unsent(10);
   const auto before = files();
   const pid_t first = child;
   const auto first_port = port;
@@ -86,7 +85,7 @@
     if (i > 0)
       port = static_cast<std::uint16_t>(
           tcp::acceptor(io, {net::ip::make_address(own_address()), 0}).local_endpoint().port());
-    expect_a_vain_start();
+    expect_start_to_time_out();
   }
   EXPECT_NE(logged().find("another process has"), std::string::npos) << logged();
   EXPECT_NE(logged().find("process " + std::to_string(first) + " ("), std::string::npos) << logged();
@@ -97,16 +96,16 @@
   expect_each_called_once(10);
 }
 
-// A start that finds its address in use touches nothing: such starts used to write attempts that were
-// never made, which ended unsafe messages as undeliverable.
-TEST_F(WaitingFolderTest, StartsThatFailChangeNothing) {
-  hold(10);
+// A start whose address is in use must change nothing: such starts used to write attempts that were never
+// made, so unsafe messages were ended as undeliverable.
+TEST_F(WaitingFolderTest, FailedStartsChangeNothing) {
+  accept_unsent(10);
   kill_relay();
   members = member("s-1", endpoint.address());
   const auto before = files();
   {
     tcp::acceptor other(io, {net::ip::make_address(own_address()), port});
-    for (int i = 0; i < 10; i++) expect_a_vain_start();
+    for (int i = 0; i < 10; i++) expect_start_to_time_out();
   }
   EXPECT_NE(logged().find("listen: " + own_address()), std::string::npos) << logged();
   EXPECT_NE(logged().find("process " + std::to_string(::getpid()) + " ("), std::string::npos) << logged();
@@ -114,16 +113,16 @@
   expect_each_called_once(10);
 }
 
-// The same where the address for notes from other relays is in use.
-TEST_F(WaitingFolderTest, AStartWithoutItsNoteAddressChangesNothing) {
-  hold(3);
+// The same if the address for notes from other relays is in use.
+TEST_F(WaitingFolderTest, AStartWithoutItsPeerAddressChangesNothing) {
+  accept_unsent(3);
   kill_relay();
   members = member("s-1", endpoint.address());
   const auto before = files();
   {
     net::ip::udp::socket other(io, {net::ip::make_address(own_address()), 0});
     more = ",\"peer_listen\":\"" + own_address() + ":" + std::to_string(other.local_endpoint().port()) + "\"";
-    expect_a_vain_start();
+    expect_start_to_time_out();
   }
   EXPECT_NE(logged().find("peer_listen: " + own_address()), std::string::npos) << logged();
   more.clear();
@@ -132,9 +131,9 @@
 }
 #endif
 
-// ---- What outlives the process. ----
-// The same unsafe id handed in again used to run twice when a restart lay between.
-TEST_F(FolderTest, AnUnsafeIdThatIsOverIsNotRunAgainAfterARestart) {
+// ---- State that survives the process. ----
+// The same unsafe id submitted again after a restart used to run twice.
+TEST_F(FolderTest, AFinishedUnsafeIdDoesNotRunAgainAfterARestart) {
   start();
   EXPECT_EQ(hand_in("m1", kUnsafe), 202u);
   wait_for([&] { return endpoint.got.size() == 1; }, "the call");
@@ -149,18 +148,18 @@
   EXPECT_EQ(endpoint.got[2].request["X-Request-Id"], "m3");
 }
 
-// What discovery told of endpoints holds against the configuration's old list while discovery is down.
-// Messages used to go to an endpoint known to be gone.
-TEST_F(FolderTest, AnEndpointThatWasToldToBeGoneIsNotUsedAfterARestart) {
+// While discovery is down, the endpoint states that it last reported take precedence over the older list in
+// the configuration. Messages used to go to an endpoint known to be gone.
+TEST_F(FolderTest, AnEndpointReportedGoneIsNotUsedAfterARestart) {
   Server drained(io, answer_ok), other(io, answer_ok);
   members = member("s-1", endpoint.address()) + "," + member("s-2", drained.address()) + "," +
             member("s-3", other.address());
   start();
   wait_for([&] { return !watches.empty(); }, "the watch");
-  std::string fresh = member("s-8", other.address());
-  fresh.replace(fresh.find("\"group\":7"), 9, "\"group\":8");
+  std::string new_endpoint = member("s-8", other.address());
+  new_endpoint.replace(new_endpoint.find("\"group\":7"), 9, "\"group\":8");
   tell(list(member("s-1", endpoint.address(), "gone") + "," + member("s-2", drained.address(), "draining") +
-                "," + fresh,
+                "," + new_endpoint,
             false));
   int n = 0;
   wait_for(
@@ -170,7 +169,7 @@
         return ask(probe) == 202u;  // 404 until the list is read
       },
       "the list is read");
-  EXPECT_EQ(hand_in("last", kSafe), 202u);  // a round later
+  EXPECT_EQ(hand_in("last", kSafe), 202u);  // a tick later
   kill_relay();
   const auto gone = endpoint.got.size(), left = drained.got.size();
   start_without_discovery();
@@ -184,7 +183,7 @@
       "the calls");
   EXPECT_EQ(endpoint.got.size(), gone);
   EXPECT_EQ(drained.got.size(), left);
-  // A list that is not older says that they are back.
+  // A list that is not older reports them as ready again.
   kill_relay();
   members = member("s-1", endpoint.address()) + "," + member("s-2", drained.address());
   start();
@@ -195,15 +194,15 @@
 
 class WaitTest : public FolderTest {
  protected:
-  // The first call is answered by a wait of 4 s; the relay dies. How many calls come in the next life, in
-  // which two more messages are handed in, before that time is up.
-  std::size_t calls_before_it_ends() {
+  // The first call is answered by a wait of 4 s, then the relay is killed. Returns how many calls the next
+  // process makes before that time has passed; two more messages are submitted.
+  std::size_t calls_before_the_wait_ends() {
     endpoint.on_request([](const Got& g) { g.session->answer(429, "X-Come-Back-Ms: 4000\r\n"); });
     start();
     EXPECT_EQ(hand_in("m0", kSafe, "x", "12000m"), 202u);
     wait_for([&] { return endpoint.got.size() == 1; }, "the call");
-    const auto told = std::chrono::steady_clock::now();
-    // Its outcome stands in the folder once what came after it does.
+    const auto answered_at = std::chrono::steady_clock::now();
+    // The outcome is stored once a later message has been accepted.
     wait_for([&] { return hand_in("m1", kSafe, "x", "12000m") == 202u; }, "the next message");
     kill_relay();
     endpoint.on_request(answer_ok);
@@ -212,7 +211,7 @@
     std::size_t early = 0;
     wait_for(
         [&] {
-          if (std::chrono::steady_clock::now() < told + std::chrono::milliseconds(3900))
+          if (std::chrono::steady_clock::now() < answered_at + std::chrono::milliseconds(3900))
             early = endpoint.got.size() - 1;
           return endpoint.got.size() >= 4;
         },
@@ -221,17 +220,18 @@
   }
 };
 
-TEST_F(WaitTest, AToldWaitHoldsOverARestartWhereThatIsSet) {
+TEST_F(WaitTest, AWaitSurvivesARestartIfConfigured) {
   own_settings = "[store]\nkeep_waits = true\n";
-  EXPECT_EQ(calls_before_it_ends(), 0u);
+  EXPECT_EQ(calls_before_the_wait_ends(), 0u);
 }
-TEST_F(WaitTest, ElseARestartEndsIt) { EXPECT_GT(calls_before_it_ends(), 0u); }
+TEST_F(WaitTest, AWaitEndsAtARestartByDefault) { EXPECT_GT(calls_before_the_wait_ends(), 0u); }
 
-// An endpoint that was out when the process ended is tried with care by the next one: rule 4 holds over
-// restarts.
+// An endpoint that was in an outage when the process ended is probed cautiously by the next one: rule 4
+// applies across restarts.
 class OutageTest : public FolderTest {
  protected:
-  // How many calls come before the first is answered, in the life after one that saw the endpoint go silent.
+  // Returns how many calls come before the first is answered, in the process after one that saw the endpoint
+  // fail.
   std::size_t calls_at_once() {
     workers = 16;
     endpoint.on_request([](const Got& g) { g.session->close(); });
@@ -249,18 +249,18 @@
     endpoint.on_request(stay_silent);
     start();
     wait_for([&] { return !endpoint.got.empty(); }, "the first call");
-    // Rounds go by.
+    // Lets some ticks pass.
     for (int i = 0; i < 10; i++) hand_in("p" + std::to_string(i), kSafe, "x", "12000m");
     return endpoint.got.size();
   }
 };
 TEST_F(OutageTest, AnOutageIsRememberedOverARestart) { EXPECT_EQ(calls_at_once(), 1u); }
-TEST_F(OutageTest, WhereThatIsOffItIsNot) {
+TEST_F(OutageTest, AnOutageIsForgottenIfConfigured) {
   own_settings = "[store]\nkeep_health = false\n";
   EXPECT_GT(calls_at_once(), 1u);
 }
 
-TEST_F(FolderTest, SettingsThatMakeNoSenseAreNamed) {
+TEST_F(FolderTest, UnknownSettingsAreReported) {
   own_settings = "[store]\nkeep_wait = true\n";
   members = member("s-1", endpoint.address());
   spawn(config());
@@ -268,7 +268,7 @@
   EXPECT_NE(logged().find("own.toml:2: store.keep_wait: is no setting"), std::string::npos) << logged();
 }
 
-TEST_F(FolderTest, DurabilityForTheMachineDeliversAndTakesUpAgain) {
+TEST_F(FolderTest, MachineDurabilityDeliversAndRecovers) {
   own_settings = "[store]\ndurability = \"machine\"\n";
   start();
   for (int i = 0; i < 20; i++) EXPECT_EQ(hand_in("m" + std::to_string(i), kUnsafe), 202u);
@@ -279,7 +279,7 @@
   kill_relay();
   endpoint.on_request(answer_ok);
   start();
-  wait_for([&] { return endpoint.got.size() == 22; }, "it is made again");
+  wait_for([&] { return endpoint.got.size() == 22; }, "the call is made again");
   EXPECT_EQ(endpoint.got[21].request["X-Request-Id"], "late");
   send_signal(child, SIGTERM);
   EXPECT_EQ(wait_exit(), 0);
@@ -287,11 +287,11 @@
 }
 
 // ---- Damage. ----
-// One damaged record costs that record. Unsafe messages whose later records could have stood there are not
-// called, for they may have run; those behind it are untouched. A flipped bit used to cut off, and erase, all
-// behind it.
+// One damaged record costs only that record. Unsafe messages whose later records it may have contained are
+// not called, since they may have run; messages accepted after it are unaffected. A flipped bit used to
+// truncate the file there and lose all later records.
 TEST_F(FolderTest, AFlippedBitCostsOneRecord) {
-  hold(10);
+  accept_unsent(10);
   kill_relay();
   std::string damaged;
   for (const auto& [name, bytes] : files()) {
@@ -319,12 +319,13 @@
     EXPECT_EQ(finals.find('"' + id + "\",\"status\":\"undeliverable\"") != std::string::npos, i < 3) << id;
   }
   EXPECT_NE(logged().find("damage: " + damaged), std::string::npos) << logged();
-  wait_for([&] { return files().count("damaged-" + damaged) > 0; }, "the file is set aside");
+  wait_for([&] { return files().count("damaged-" + damaged) > 0; }, "the damaged file is renamed");
 }
 
-// ---- A disk that is full, or smaller than it was. ----
-// What was decided while nothing could be written is decided anew. A call used to go out 1.6 s after a drain.
-TEST_F(FolderTest, NothingGoesOutThatWasDecidedBeforeADrain) {
+// ---- A full or reduced disk. ----
+// Decisions made while nothing could be written must be made again. A call used to go out 1.6 s after a
+// drain.
+TEST_F(FolderTest, CallsDecidedBeforeADrainAreNotSent) {
   members = member("s-1", endpoint.address()) + "," +
             R"({"name":"s-9","address":"127.0.0.1:9","zone":"a","type":"small","group":8,"status":"ready"})";
   endpoint.on_request([](const Got& g) { g.session->answer(429, "X-Come-Back-Ms: 700\r\n"); });
@@ -334,9 +335,9 @@
   wait_for([&] { return endpoint.got.size() == 1; }, "the first call");
   limit_files(1);
   wait_for([&] { return health() == 503; }, "the store can't be written");
-  wait_for([&] { return hand_in("refused", kUnsafe) == 503u; }, "nothing is taken on");
+  wait_for([&] { return hand_in("refused", kUnsafe) == 503u; }, "messages are refused");
   endpoint.on_request(answer_ok);
-  // Past the wait, when the second call is due.
+  // After the wait, when the second call is due.
   const auto due = std::chrono::steady_clock::now() + std::chrono::milliseconds(900);
   wait_for([&] { return std::chrono::steady_clock::now() > due; }, "the second call is due");
   tell(list(member("s-1", endpoint.address(), "draining"), false));
@@ -348,15 +349,16 @@
   EXPECT_EQ(endpoint.got.size(), 1u);
 }
 
-// Its time runs out meanwhile: one notice, and no call beside it.
-TEST_F(FolderTest, NothingGoesOutAfterItsDeadline) {
+// The deadline passes while nothing can be written: one notification is sent, and no call.
+TEST_F(FolderTest, NoCallIsSentAfterItsDeadline) {
   endpoint.on_request([](const Got& g) { g.session->answer(429, "X-Come-Back-Ms: 300\r\n"); });
   start();
   EXPECT_EQ(hand_in("m1", kUnsafe, "x", "900m"), 202u);
   const auto due = std::chrono::steady_clock::now() + std::chrono::milliseconds(1000);
   wait_for([&] { return endpoint.got.size() == 1; }, "the first call");
   limit_files(1);
-  wait_for([&] { return health() == 503 && std::chrono::steady_clock::now() > due; }, "its time is up");
+  wait_for([&] { return health() == 503 && std::chrono::steady_clock::now() > due; },
+           "the deadline has passed");
   endpoint.on_request(answer_ok);
   const auto before = endpoint.got.size();
   limit_files(RLIM_INFINITY);
@@ -367,18 +369,17 @@
   EXPECT_EQ(finals, "{\"id\":\"m1\",\"status\":\"undeliverable\"}\n");
 }
 
-// A list may go on changing for as long as nothing can be written: what waits to be written does not grow by
-// it.
-TEST_F(FolderTest, ListsThatChangeWhileNothingCanBeWrittenDoNotPileUp) {
+// However often the list changes while nothing can be written, the pending records must not grow.
+TEST_F(FolderTest, ChangingListsDoNotAccumulateWithoutWrites) {
   start();
   wait_for([&] { return !watches.empty(); }, "the watch");
   limit_files(1);
   wait_for([&] { return hand_in("refused", kSafe) == 503u && health() == 503; }, "nothing can be written");
   for (int i = 0; i < 200; i++)
     tell(list(member("s-1", endpoint.address(), i % 2 == 0 ? "draining" : "ready"), false));
-  std::string fresh = member("s-8", endpoint.address());
-  fresh.replace(fresh.find("\"group\":7"), 9, "\"group\":8");
-  tell(list(fresh, false));
+  std::string new_endpoint = member("s-8", endpoint.address());
+  new_endpoint.replace(new_endpoint.find("\"group\":7"), 9, "\"group\":8");
+  tell(list(new_endpoint, false));
   wait_for(
       [&] {
         std::string probe = request("probe", kSafe);
@@ -397,8 +398,8 @@
   EXPECT_LE(records, 2u);
 }
 
-// Notes from other relays go on coming while nothing can be written, and the module is not asked.
-TEST_F(FolderTest, NotesThatComeWhileNothingCanBeWrittenDoNotPileUp) {
+// Notes from other relays keep arriving while nothing can be written and the decision module is not asked.
+TEST_F(FolderTest, NotesDoNotAccumulateWithoutWrites) {
   using udp = net::ip::udp;
   const auto here = net::ip::make_address(own_address());
   udp::socket peer(io, {here, 0}), probe(io, {here, 0});
@@ -412,8 +413,8 @@
   start();
   limit_files(1);
   wait_for([&] { return hand_in("refused", kSafe) == 503u && health() == 503; }, "nothing can be written");
-  const auto send_notes = [&](int crowds) {
-    for (int i = 0; i < crowds; i++) {
+  const auto send_notes = [&](int bursts) {
+    for (int i = 0; i < bursts; i++) {
       for (int k = 0; k < 50; k++) peer.send_to(net::buffer(std::string(200, 'x')), own);
       ASSERT_EQ(health(), 503u);  // by now it has read them
     }
@@ -428,8 +429,8 @@
   wait_for([&] { return health() == 200; }, "it can be written again");
 }
 
-// A limit lowered under what is held used to lock the journal up for good, with health at 200.
-TEST_F(FolderTest, ALimitLoweredUnderWhatIsHeldIsLivedThrough) {
+// A limit lowered below the size of the held messages used to block the journal for good, with health at 200.
+TEST_F(FolderTest, ALimitLoweredBelowTheHeldMessagesRecovers) {
   endpoint.on_request(stay_silent);
   start();
   const std::string body(30'000, 'x');
@@ -439,7 +440,7 @@
   kill_relay();
   disk_mb = "0.5";
   spawn(config());
-  wait_for([&] { return health() == 503; }, "it runs");
+  wait_for([&] { return health() == 503; }, "the relay runs");
   EXPECT_NE(logged().find("more than the limit"), std::string::npos) << logged();
   EXPECT_NE(logged().find("limits.disk_mb is below 1"), std::string::npos);
   EXPECT_EQ(hand_in("refused", kSafe), 503u);
@@ -457,7 +458,7 @@
           if (!ended("m" + std::to_string(i))) return false;
         return health() == 200;
       },
-      "all that is held ends, and it goes on by itself");
+      "all held messages end and the relay recovers");
   EXPECT_EQ(hand_in("after", kSafe), 202u);
   wait_for([&] { return ended("after"); }, "the next message's call");
 }
--- a/tests/kill/kill_test.cpp
+++ b/tests/kill/kill_test.cpp
@@ -1,7 +1,7 @@
-// SIGKILL at chosen points, and full disks: nothing that was taken on is lost, nothing that may not be
-// repeated runs twice, nothing that was refused runs.
+// Kills the relay with SIGKILL at random points, and fills its disk: no accepted message may be lost, no
+// non-idempotent one may run twice, no refused one may run.
 //
-// A seeded sample; bench/kill/run.sh runs as many as are asked for.
+// Runs a small seeded sample; bench/kill/run.sh runs as many as requested.
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
@@ -11,7 +11,7 @@
 namespace heronvane::testing {
 namespace {
 
-constexpr std::uint64_t kAny = ~std::uint64_t{0}, kEarly = 250;  // points from a start on
+constexpr std::uint64_t kAny = ~std::uint64_t{0}, kEarly = 250;  // number of points after a start
 
 std::uint64_t environment(const char* name, std::uint64_t otherwise) {
   const char* const value = std::getenv(name);
@@ -20,25 +20,25 @@
 
 class Kill : public ::testing::Test {
  protected:
-  Counts one(Story story) {
+  Counts run_scenario(Scenario scenario) {
     Counts counts;
-    LifeStory run(std::move(story));
-    all_.add(run.go(&counts));
-    if (!run.charges().empty()) std::printf("%s\n", run.charges().c_str());
-    std::fflush(stdout);  // else each child that is forked has it too
+    KillScenario execution(std::move(scenario));
+    all_.add(execution.run(&counts));
+    if (!execution.fault_report().empty()) std::printf("%s\n", execution.fault_report().c_str());
+    std::fflush(stdout);  // otherwise each forked child would write the buffered text again
     return counts;
   }
 
-  // Half of the points over all that a run passes, half over the names, so that rare ones come too. With
-  // HERONVANE_KILL_ONLY the names alone that begin so.
-  KillPoint choose(const Counts& passed, std::uint64_t most) {
+  // Chooses half of the points among all that a run passes, and half by name, so that rare ones occur, too.
+  // With HERONVANE_KILL_ONLY only points whose names begin with that text.
+  KillPoint choose(const Counts& passed, std::uint64_t max_point) {
     const char* const only = std::getenv("HERONVANE_KILL_ONLY");
     Counts counts;
     for (const auto& [name, count] : passed)
       if (only == nullptr || name.rfind(only, 0) == 0) counts[name] = count;
     std::uint64_t total = 0;
     for (const auto& [name, count] : counts) total += count;
-    total = std::min(total, most);
+    total = std::min(total, max_point);
     if (counts.empty()) return {1, only == nullptr ? "" : only};
     if (only == nullptr && random_() % 2 == 0) return {1 + random_() % total, {}};
     auto it = counts.begin();
@@ -46,18 +46,18 @@
     return {1 + random_() % it->second, it->first};
   }
 
-  void many(bool disk_full, std::uint64_t runs) {
+  void run_scenarios(bool disk_full, std::uint64_t runs) {
     runs = environment("HERONVANE_KILL_RUNS", runs);
     const std::uint64_t seed = environment("HERONVANE_KILL_SEED", 1);
     random_.seed(seed);
-    // How many points a life passes: one from the start, and one that takes over.
-    const Counts first = one({seed, {}, disk_full});
-    const Counts next = one({seed, {{0, {}}}, disk_full});
+    // Counts the points that a relay passes after a first start, and after a restart.
+    const Counts first = run_scenario({seed, {}, disk_full});
+    const Counts next = run_scenario({seed, {{0, {}}}, disk_full});
     EXPECT_FALSE(first.empty());
     for (std::uint64_t i = 0; i < runs; i++) {
-      Story story{seed * 100'000 + i, {choose(first, kAny)}, disk_full};
-      while (story.kills.size() < 3 && random_() % 3 == 0) story.kills.push_back(choose(next, kEarly));
-      one(std::move(story));
+      Scenario scenario{seed * 100'000 + i, {choose(first, kAny)}, disk_full};
+      while (scenario.kills.size() < 3 && random_() % 3 == 0) scenario.kills.push_back(choose(next, kEarly));
+      run_scenario(std::move(scenario));
     }
     std::printf("kill: %s\n", all_.text().c_str());
     std::printf("killed at:");
@@ -71,8 +71,8 @@
   Tally all_;
 };
 
-TEST_F(Kill, AtChosenPoints) { many(false, 3); }
-TEST_F(Kill, WithTheDiskFull) { many(true, 3); }
+TEST_F(Kill, AtChosenPoints) { run_scenarios(false, 3); }
+TEST_F(Kill, WithTheDiskFull) { run_scenarios(true, 3); }
 
 }  // namespace
 }  // namespace heronvane::testing
--- a/tests/kill/life_story.cpp
+++ b/tests/kill/life_story.cpp
@@ -16,11 +16,12 @@
 const char* const kSafeClass = "load-status";
 const char* const kUnsafeClass = "pay-and-order";
 constexpr milliseconds kSafeTime{2000}, kUnsafeTime{2500};  // deadlines
-constexpr int kLoad = 1100;                                 // the load comes within so many ms
-constexpr milliseconds kFirstLife{1700}, kNextLife{900};    // that no point has ended
-constexpr milliseconds kSlack{300}, kRestartGrace{1500};    // of ends
+constexpr int kLoadMs = 1100;                               // the load arrives within so many ms
+constexpr milliseconds kFirstProcessTime{1700},
+    kNextProcessTime{900};                                // time limits of processes that reach no kill point
+constexpr milliseconds kSlack{300}, kRestartGrace{1500};  // allowed delay of outcomes
 constexpr milliseconds kDrainGrace{1000}, kDrainSlack{300};
-// A line that a relay had so long before its end was read by it.
+// A line sent so long before the relay ended counts as read by it.
 constexpr milliseconds kReadTime{300};
 
 std::string text_of(const KillPoint& k) {
@@ -31,75 +32,78 @@
 
 void Tally::add(const Tally& o) {
   runs += o.runs, kills += o.kills, unreached += o.unreached, stops += o.stops;
-  messages += o.messages, taken += o.taken, refused += o.refused, calls += o.calls;
+  messages += o.messages, accepted += o.accepted, refused += o.refused, calls += o.calls;
   delivered += o.delivered, notices += o.notices;
-  again += o.again, second_ends += o.second_ends, late += o.late, no_start += o.no_start;
-  lost += o.lost, unsafe_twice += o.unsafe_twice, refused_yet_run += o.refused_yet_run;
-  drained += o.drained, astray += o.astray, damage += o.damage, strange += o.strange, fell += o.fell;
+  repeated_notices += o.repeated_notices, second_ends += o.second_ends, late_outcomes += o.late_outcomes,
+      failed_starts += o.failed_starts;
+  lost += o.lost, unsafe_twice += o.unsafe_twice, refused_but_executed += o.refused_but_executed;
+  sent_to_draining += o.sent_to_draining, misrouted += o.misrouted, damage += o.damage,
+      unknown_ids += o.unknown_ids, unexpected_exits += o.unexpected_exits;
   for (const auto& [name, count] : o.killed_at) killed_at[name] += count;
 }
 
 std::string Tally::text() const {
   std::ostringstream out;
   out << "runs=" << runs << " kills=" << kills << " unreached=" << unreached << " stops=" << stops
-      << " messages=" << messages << " taken=" << taken << " refused=" << refused << " calls=" << calls
-      << " delivered=" << delivered << " notices=" << notices << " again=" << again
-      << " second-ends=" << second_ends << " late=" << late << " no-start=" << no_start << " lost=" << lost
-      << " unsafe-twice=" << unsafe_twice << " refused-yet-run=" << refused_yet_run << " drained=" << drained
-      << " astray=" << astray << " damage=" << damage << " strange=" << strange << " fell=" << fell;
+      << " messages=" << messages << " taken=" << accepted << " refused=" << refused << " calls=" << calls
+      << " delivered=" << delivered << " notices=" << notices << " again=" << repeated_notices
+      << " second-ends=" << second_ends << " late=" << late_outcomes << " no-start=" << failed_starts
+      << " lost=" << lost << " unsafe-twice=" << unsafe_twice << " refused-yet-run=" << refused_but_executed
+      << " drained=" << sent_to_draining << " astray=" << misrouted << " damage=" << damage
+      << " strange=" << unknown_ids << " fell=" << unexpected_exits;
   return out.str();
 }
 
-LifeStory::LifeStory(Story story)
-    : story_(std::move(story)),
-      random_(story_.seed),
-      second_(io, [this](const Got& g) { on_call(g, 7); }),
-      bundles_(io, [this](const Got& g) { on_call(g, 8); }) {
+KillScenario::KillScenario(Scenario scenario)
+    : scenario_(std::move(scenario)),
+      random_(scenario_.seed),
+      second_server_(io, [this](const Got& g) { on_call(g, 7); }),
+      bundle_server_(io, [this](const Got& g) { on_call(g, 8); }) {
   endpoint.on_request([this](const Got& g) { on_call(g, 7); });
   platform.on_request(
       [this](const Got& g) { g.request.method() == http::verb::post ? on_notices(g) : on_discovery(g); });
   const double sizes[] = {0.5, 0.5, 1, 3};
-  disk_mb_ = sizes[roll(4)];
-  open_max_ = roll(3) == 0 ? 20 : 60;
+  disk_mb_ = sizes[random_below(4)];
+  open_max_ = random_below(3) == 0 ? 20 : 60;
   last_step_ = steady_clock::now();
-  // Below the ports that the system gives out: while the relay is down none of the servers here, nor a
-  // client's own end, can get the port that its clients go on trying.
+  // A port below the ephemeral range: while the relay is down, neither the servers here nor a client's own
+  // socket can get the port that its clients keep trying.
   constexpr std::uint16_t kFirstPort = 20'000, kPorts = 10'000;
-  error_code taken;
+  error_code port_in_use;
   do {
     tcp::acceptor probe(io);
-    port = static_cast<std::uint16_t>(kFirstPort + roll(kPorts));
+    port = static_cast<std::uint16_t>(kFirstPort + random_below(kPorts));
     probe.open(tcp::v4());
     probe.set_option(tcp::acceptor::reuse_address(true));
-    probe.bind({net::ip::make_address(own_address()), port}, taken);
-  } while (taken);
+    probe.bind({net::ip::make_address(own_address()), port}, port_in_use);
+  } while (port_in_use);
 }
 
-// ---- What the relay is told. ----
-std::string LifeStory::limits() {
+// ---- Configuration and discovery. ----
+std::string KillScenario::limits() {
   return R"({"cores":1.0,"memory_mb":192,"sockets":256,"disk_mb":)" + std::to_string(disk_mb_) + "}";
 }
 
-std::string LifeStory::entry(const std::string& name, const Server& server, const std::string& type,
-                             int group, const std::string& status) {
+std::string KillScenario::entry(const std::string& name, const Server& server, const std::string& type,
+                                int group, const std::string& status) {
   return R"({"name":")" + name + R"(","address":")" + server.address() + R"(","zone":"a","type":")" + type +
          R"(","group":)" + std::to_string(group) + R"(,"status":")" + status +
          R"(","weight":1.0,"since_ms":0})";
 }
 
-std::string LifeStory::entries() {
+std::string KillScenario::entries() {
   return entry("s-1", endpoint, "small", 7) + "," +
-         entry("s-2", second_, "small", 7, draining_ ? "draining" : "ready") + "," +
-         entry("s-3", bundles_, "big", 8);
+         entry("s-2", second_server_, "small", 7, draining_ ? "draining" : "ready") + "," +
+         entry("s-3", bundle_server_, "big", 8);
 }
 
-std::string LifeStory::own_config() {
+std::string KillScenario::own_config() {
   const auto us = [](milliseconds t) { return std::to_string(t.count() * 1000); };
-  const std::string own = own_address() + ":" + std::to_string(port);
-  return R"({"name":"n0","listen":")" + own + R"(","discovery":")" + platform.address() +
+  const std::string listen_address = own_address() + ":" + std::to_string(port);
+  return R"({"name":"n0","listen":")" + listen_address + R"(","discovery":")" + platform.address() +
          R"(","seed":"8c1f30d27a5be964","limits":)" + limits() + R"(,"known":)" +
-         list(entry("s-1", endpoint, "small", 7) + "," + entry("s-2", second_, "small", 7) + "," +
-              entry("s-3", bundles_, "big", 8)) +
+         list(entry("s-1", endpoint, "small", 7) + "," + entry("s-2", second_server_, "small", 7) + "," +
+              entry("s-3", bundle_server_, "big", 8)) +
          R"(,"settings":{"Classes":[{"Name":"load-status","Points":1.0,"Target":500000,"Deadline":)" +
          us(kSafeTime) +
          R"(,"Idempotency":"read_like"},{"Name":"pay-and-order","Points":3.0,"Target":700000,"Deadline":)" +
@@ -113,7 +117,7 @@
          R"("Rules":{"AnswerSlack":20000,"DrainGrace":1000000,"MustAskIn":10000000},"Tick":5000}})";
 }
 
-void LifeStory::on_discovery(const Got& g) {
+void KillScenario::on_discovery(const Got& g) {
   if (g.request.target().find("follow=1") == beast::string_view::npos)
     return g.session->answer(200, "", list(entries()));
   watches.push_back(g.session);
@@ -122,24 +126,24 @@
   if (draining_) drain_written_ = steady_clock::now();
 }
 
-void LifeStory::drain() {
+void KillScenario::drain() {
   draining_ = true;
   if (watches.empty() || child <= 0) return;
-  tell(list(entry("s-2", second_, "small", 7, "draining"), false));
+  tell(list(entry("s-2", second_server_, "small", 7, "draining"), false));
   drain_written_ = steady_clock::now();
 }
 
-void LifeStory::on_notices(const Got& g) {
-  // One that this platform turns away was told in time all the same.
+void KillScenario::on_notices(const Got& g) {
+  // A notification that this platform rejects was sent in time all the same.
   std::istringstream offered(g.request.body());
   for (std::string line; std::getline(offered, line);) {
     rapidjson::Document v;
     v.Parse(line.data(), line.size());
-    const auto m = messages_.find(v["id"].GetString());
-    if (m != messages_.end() && !m->second.offered) m->second.offered = steady_clock::now();
+    const auto message = messages_.find(v["id"].GetString());
+    if (message != messages_.end() && !message->second.offered) message->second.offered = steady_clock::now();
   }
-  if (!finishing_ && roll(6) == 0) {
-    if (roll(2) == 0) return g.session->close();
+  if (!finishing_ && random_below(6) == 0) {
+    if (random_below(2) == 0) return g.session->close();
     return g.session->answer(503);
   }
   if (!write(g.session, "HTTP/1.1 204 X\r\nContent-Length: 0\r\n\r\n")) return;
@@ -148,115 +152,117 @@
     rapidjson::Document v;
     v.Parse(line.data(), line.size());
     if (!known(v["id"].GetString(), g)) continue;
-    auto& m = messages_.at(v["id"].GetString());
-    int& same = v["status"] == "deferred" ? m.deferred : m.undeliverable;
+    auto& message = messages_.at(v["id"].GetString());
+    int& same = v["status"] == "deferred" ? message.deferred : message.undeliverable;
     tally_.notices++;
-    tally_.again += same++ > 0;
-    if (!m.ended) m.ended = steady_clock::now();
+    tally_.repeated_notices += same++ > 0;
+    if (!message.ended) message.ended = steady_clock::now();
   }
 }
 
 // ---- Clients. ----
-void LifeStory::plan_load() {
-  const auto count = 20 + roll(40);
+void KillScenario::plan_load() {
+  const auto count = 20 + random_below(40);
   for (std::uint64_t i = 0; i < count; i++) {
     const std::string id = "m" + std::to_string(i);
-    auto& m = messages_[id];
-    m.safe = roll(2) == 0;
-    m.destination = roll(5) < 2 ? 8 : 7;
-    const auto size = roll(10);
-    // What goes in bundles is smaller: their reader takes 1 MiB.
-    const std::uint64_t most = size < 5 ? 200 : size < 8 || m.destination == 8 ? 8'000 : 60'000;
-    m.body.assign(roll(most) + 1, static_cast<char>('a' + roll(26)));
-    // In bursts, so that some wait for others.
-    const int at = static_cast<int>(roll(8)) * kLoad / 8 + static_cast<int>(roll(20));
-    const auto copies = roll(12) == 0 ? 2u : 1u;
-    for (unsigned c = 0; c < copies; c++) later(at, [this, id] { hand_in_one(id); });
-    planned_ += static_cast<int>(copies);
+    auto& message = messages_[id];
+    message.safe = random_below(2) == 0;
+    message.destination = random_below(5) < 2 ? 8 : 7;
+    const auto size = random_below(10);
+    // Messages in bundles are smaller: the server that reads them takes 1 MiB.
+    const std::uint64_t max_size = size < 5 ? 200 : size < 8 || message.destination == 8 ? 8'000 : 60'000;
+    message.body.assign(random_below(max_size) + 1, static_cast<char>('a' + random_below(26)));
+    // In bursts, so that some messages wait for others.
+    const int at = static_cast<int>(random_below(8)) * kLoadMs / 8 + static_cast<int>(random_below(20));
+    const auto copies = random_below(12) == 0 ? 2u : 1u;
+    for (unsigned c = 0; c < copies; c++) later(at, [this, id] { submit(id); });
+    planned_submissions_ += static_cast<int>(copies);
   }
-  if (roll(2) == 0) later(static_cast<int>(roll(500)), [this] { drain(); });
+  if (random_below(2) == 0) later(static_cast<int>(random_below(500)), [this] { drain(); });
 }
 
-void LifeStory::hand_in_one(const std::string& id) {
+void KillScenario::submit(const std::string& id) {
   const auto client = child > 0 ? connect() : nullptr;
-  if (!client) {  // not there now: the front tries another time
-    later(30, [this, id] { hand_in_one(id); });
+  if (!client) {  // not reachable now: the client tries again
+    later(30, [this, id] { submit(id); });
     return;
   }
-  planned_--;
-  auto& m = messages_[id];
-  const auto left = m.safe ? kSafeTime : kUnsafeTime;
+  planned_submissions_--;
+  auto& message = messages_[id];
+  const auto left = message.safe ? kSafeTime : kUnsafeTime;
   std::string bytes =
-      request(id, m.safe ? kSafeClass : kUnsafeClass, m.body, std::to_string(left.count()) + "m");
-  if (m.destination != 7) bytes.replace(bytes.find("dest=7"), 6, "dest=" + std::to_string(m.destination));
-  m.handed++, m.last_refused = false;
-  m.deadline = std::max(m.deadline, steady_clock::now() + left);
+      request(id, message.safe ? kSafeClass : kUnsafeClass, message.body, std::to_string(left.count()) + "m");
+  if (message.destination != 7)
+    bytes.replace(bytes.find("dest=7"), 6, "dest=" + std::to_string(message.destination));
+  message.submitted++, message.last_refused = false;
+  message.deadline = std::max(message.deadline, steady_clock::now() + left);
   client->write(bytes);
-  if (roll(30) == 0) {  // it does not wait for the answer
-    m.unheard++;
+  if (random_below(30) == 0) {  // the client does not wait for the answer
+    message.unanswered++;
     return client->close();
   }
-  handing_.push_back({id, client});
+  submissions_.push_back({id, client});
 }
 
-void LifeStory::hear() {
-  const auto again = [this](const std::string& id, int most_ms) {
-    planned_++;
-    later(40 + static_cast<int>(roll(static_cast<std::uint64_t>(most_ms))), [this, id] { hand_in_one(id); });
+void KillScenario::read_answers() {
+  const auto resubmit = [this](const std::string& id, int max_delay_ms) {
+    planned_submissions_++;
+    later(40 + static_cast<int>(random_below(static_cast<std::uint64_t>(max_delay_ms))),
+          [this, id] { submit(id); });
   };
-  for (std::size_t i = 0; i < handing_.size();) {
-    const Handing h = handing_[i];
-    if (h.client->answers.empty() && !h.client->ended) {
+  for (std::size_t i = 0; i < submissions_.size();) {
+    const Submission submission = submissions_[i];
+    if (submission.client->answers.empty() && !submission.client->ended) {
       i++;
       continue;
     }
-    handing_.erase(handing_.begin() + static_cast<std::ptrdiff_t>(i));
-    auto& m = messages_[h.id];
-    if (h.client->answers.empty()) {
-      m.unheard++;
-      if (m.handed < 4 && roll(3) > 0) again(h.id, 300);
+    submissions_.erase(submissions_.begin() + static_cast<std::ptrdiff_t>(i));
+    auto& message = messages_[submission.id];
+    if (submission.client->answers.empty()) {
+      message.unanswered++;
+      if (message.submitted < 4 && random_below(3) > 0) resubmit(submission.id, 300);
       continue;
     }
-    const auto status = h.client->answers[0].result_int();
-    h.client->close();
-    m.last_refused = status == 503 || status == 429;
+    const auto status = submission.client->answers[0].result_int();
+    submission.client->close();
+    message.last_refused = status == 503 || status == 429;
     if (status == 202 || status == 200) {
-      m.taken++;
-      if (m.handed < 3 && roll(10) == 0) again(h.id, 600);
-    } else if (m.last_refused) {
-      m.refused++;
-      if (m.handed < 4 && roll(2) == 0) again(h.id, 300);
+      message.accepted++;
+      if (message.submitted < 3 && random_below(10) == 0) resubmit(submission.id, 600);
+    } else if (message.last_refused) {
+      message.refused++;
+      if (message.submitted < 4 && random_below(2) == 0) resubmit(submission.id, 300);
     } else {
-      m.other++;
+      message.other++;
     }
   }
 }
 
 // ---- Endpoints. ----
-// Whether any client of this story has that message.
-bool LifeStory::known(const std::string& id, const Got& g) {
+// Whether a client of this scenario submitted that message.
+bool KillScenario::known(const std::string& id, const Got& g) {
   if (messages_.count(id) > 0) return true;
-  tally_.strange++;
+  tally_.unknown_ids++;
   error_code ignored;
   const auto from = g.session->socket.remote_endpoint(ignored);
   std::ostringstream text;
-  text << "an id of nobody, '" << id << "' from " << from << ", " << g.request.target() << ", "
+  text << "an unknown id, '" << id << "' from " << from << ", " << g.request.target() << ", "
        << g.request.body().substr(0, 300);
-  charge(text.str(), "");
+  report_fault(text.str(), "");
   return false;
 }
 
-// False where the relay is not there to read it, as far as can be told.
-bool LifeStory::write(const std::shared_ptr<Session>& session, const std::string& bytes) {
+// False if the relay is known not to read it.
+bool KillScenario::write(const std::shared_ptr<Session>& session, const std::string& bytes) {
   char byte = 0;
   if (!session->socket.is_open()) return false;
   if (::recv(session->socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0) return false;
-  error_code bad;
-  net::write(session->socket, net::buffer(bytes), bad);
-  return !bad;
+  error_code error;
+  net::write(session->socket, net::buffer(bytes), error);
+  return !error;
 }
 
-void LifeStory::on_call(const Got& g, int destination) {
+void KillScenario::on_call(const Got& g, int destination) {
   std::vector<std::string> ids;
   if (g.request.target() == "/events/bundle") {
     rapidjson::Document v;
@@ -268,76 +274,80 @@
   for (const auto& id : ids)
     if (!known(id, g)) return g.session->answer(400);
   for (const auto& id : ids) {
-    auto& m = messages_.at(id);
+    auto& message = messages_.at(id);
     tally_.calls++;
-    if (m.destination != destination) tally_.astray++, charge("astray", id);
-    if (!m.safe && std::any_of(m.arrived.begin(), m.arrived.end(), [](const auto& a) { return !a.proven; }))
-      tally_.unsafe_twice++, charge("unsafe twice", id);
-    m.arrived.emplace_back();
+    if (message.destination != destination) tally_.misrouted++, report_fault("astray", id);
+    if (!message.safe && std::any_of(message.calls.begin(), message.calls.end(),
+                                     [](const auto& a) { return !a.not_executed; }))
+      tally_.unsafe_twice++, report_fault("unsafe twice", id);
+    message.calls.emplace_back();
   }
   const auto now = steady_clock::now();
-  const auto* const server = destination == 7 ? &second_ : nullptr;
-  const bool drained = server != nullptr && drain_told_ && !server->got.empty() &&
-                       server->got.back().session == g.session &&
-                       now > *drain_told_ + kDrainGrace + kDrainSlack + longest_step_;
-  if (drained) tally_.drained++, charge("sent to one that drains", ids[0]);
+  const auto* const server = destination == 7 ? &second_server_ : nullptr;
+  const bool sent_to_draining = server != nullptr && drain_known_ && !server->got.empty() &&
+                                server->got.back().session == g.session &&
+                                now > *drain_known_ + kDrainGrace + kDrainSlack + longest_step_;
+  if (sent_to_draining) tally_.sent_to_draining++, report_fault("sent to a draining endpoint", ids[0]);
   g.request.target() == "/events/bundle" ? bundle(g, ids) : single(g);
 }
 
-void LifeStory::single(const Got& g) {
+void KillScenario::single(const Got& g) {
   const std::string id(g.request["X-Request-Id"]);
-  const std::size_t place = messages_.at(id).arrived.size() - 1;
+  const std::size_t call_index = messages_.at(id).calls.size() - 1;
   const auto session = g.session;
-  const auto ok = [this, id, place, session] {
-    auto& m = messages_.at(id);
+  const auto ok = [this, id, call_index, session] {
+    auto& message = messages_.at(id);
     if (!write(session, "HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\n")) return;
-    m.arrived[place].answered_ok = true;
-    m.delivered++, tally_.delivered++;
-    if (!m.ended) m.ended = steady_clock::now();
+    message.calls[call_index].answered_ok = true;
+    message.delivered++, tally_.delivered++;
+    if (!message.ended) message.ended = steady_clock::now();
   };
-  const auto never_ran = [&] { messages_.at(id).arrived[place].proven = true; };
-  const auto lot = finishing_ ? 0 : roll(100);
-  if (lot < 45) return ok();
-  if (lot < 60) return later(20 + static_cast<int>(roll(300)), ok);
-  if (lot < 68) return never_ran(), session->answer(503);
-  if (lot < 74)
-    return never_ran(), session->answer(429, "X-Come-Back-Ms: " + std::to_string(100 + roll(200)) + "\r\n");
-  if (lot < 82) return session->answer(500);
-  if (lot < 91) return session->close();
-  // Else never.
+  const auto never_ran = [&] { messages_.at(id).calls[call_index].not_executed = true; };
+  const auto choice = finishing_ ? 0 : random_below(100);
+  if (choice < 45) return ok();
+  if (choice < 60) return later(20 + static_cast<int>(random_below(300)), ok);
+  if (choice < 68) return never_ran(), session->answer(503);
+  if (choice < 74)
+    return never_ran(),
+           session->answer(429, "X-Come-Back-Ms: " + std::to_string(100 + random_below(200)) + "\r\n");
+  if (choice < 82) return session->answer(500);
+  if (choice < 91) return session->close();
+  // Otherwise it is never answered.
 }
 
-void LifeStory::bundle(const Got& g, const std::vector<std::string>& ids) {
-  std::vector<std::size_t> places;
-  for (const auto& id : ids) places.push_back(messages_.at(id).arrived.size() - 1);
+void KillScenario::bundle(const Got& g, const std::vector<std::string>& ids) {
+  std::vector<std::size_t> call_indexes;
+  for (const auto& id : ids) call_indexes.push_back(messages_.at(id).calls.size() - 1);
   const auto session = g.session;
   const auto never_ran = [&] {
-    for (std::size_t i = 0; i < ids.size(); i++) messages_.at(ids[i]).arrived[places[i]].proven = true;
+    for (std::size_t i = 0; i < ids.size(); i++)
+      messages_.at(ids[i]).calls[call_indexes[i]].not_executed = true;
   };
-  const auto lot = finishing_ ? 50 : roll(100);
-  if (lot < 8) return never_ran(), session->answer(503);
-  if (lot < 13) return never_ran(), session->answer(429, "X-Come-Back-Ms: 150\r\n");
-  if (lot < 18) return session->answer(500);
-  if (lot < 24) return session->close();
-  if (lot < 30) return;
-  const std::mt19937_64 own(random_());
+  const auto choice = finishing_ ? 50 : random_below(100);
+  if (choice < 8) return never_ran(), session->answer(503);
+  if (choice < 13) return never_ran(), session->answer(429, "X-Come-Back-Ms: 150\r\n");
+  if (choice < 18) return session->answer(500);
+  if (choice < 24) return session->close();
+  if (choice < 30) return;
+  const std::mt19937_64 answer_random(random_());
   const bool all_ok = finishing_;
-  const auto tell = [this, session, ids, places, all_ok, own] {
-    answer_bundle(session, ids, places, all_ok, own);
+  const auto send_answer = [this, session, ids, call_indexes, all_ok, answer_random] {
+    answer_bundle(session, ids, call_indexes, all_ok, answer_random);
   };
-  finishing_ || lot < 70 ? tell() : later(20 + static_cast<int>(roll(200)), tell);
+  finishing_ || choice < 70 ? send_answer() : later(20 + static_cast<int>(random_below(200)), send_answer);
 }
 
-void LifeStory::answer_bundle(const std::shared_ptr<Session>& session, const std::vector<std::string>& ids,
-                              const std::vector<std::size_t>& places, bool all_ok, std::mt19937_64 random) {
+void KillScenario::answer_bundle(const std::shared_ptr<Session>& session, const std::vector<std::string>& ids,
+                                 const std::vector<std::size_t>& call_indexes, bool all_ok,
+                                 std::mt19937_64 random) {
   std::string body = "[";
   std::vector<std::size_t> done;
   for (std::size_t i = 0; i < ids.size(); i++) {
-    const auto lot = all_ok ? 0 : random() % 100;
-    if (lot >= 90) continue;  // not named
-    const char* const state = lot < 55 ? "done" : lot < 75 ? "busy" : "failed";
-    if (lot < 55) done.push_back(i);
-    if (lot >= 55 && lot < 75) messages_.at(ids[i]).arrived[places[i]].proven = true;
+    const auto choice = all_ok ? 0 : random() % 100;
+    if (choice >= 90) continue;  // not named in the answer
+    const char* const state = choice < 55 ? "done" : choice < 75 ? "busy" : "failed";
+    if (choice < 55) done.push_back(i);
+    if (choice >= 55 && choice < 75) messages_.at(ids[i]).calls[call_indexes[i]].not_executed = true;
     body +=
         std::string(body.size() > 1 ? "," : "") + R"({"id":")" + ids[i] + R"(","state":")" + state + "\"}";
   }
@@ -345,103 +355,104 @@
   if (!write(session, "HTTP/1.1 200 X\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body))
     return;
   for (const std::size_t i : done) {
-    auto& m = messages_.at(ids[i]);
-    m.arrived[places[i]].answered_ok = true;
-    m.delivered++, tally_.delivered++;
-    if (!m.ended) m.ended = steady_clock::now();
+    auto& message = messages_.at(ids[i]);
+    message.calls[call_indexes[i]].answered_ok = true;
+    message.delivered++, tally_.delivered++;
+    if (!message.ended) message.ended = steady_clock::now();
   }
 }
 
-// ---- Lives. ----
-void LifeStory::later(int ms, std::function<void()> what) {
+// ---- Processes. ----
+void KillScenario::later(int ms, std::function<void()> what) {
   timers_.emplace(steady_clock::now() + milliseconds(ms), std::move(what));
 }
 
-void LifeStory::begin_life(const KillPoint* kill, bool full) {
-  lives_++;
-  asked_ = false;
-  ::setenv("HERONVANE_KILL_TOLD", (folder + "/told-" + std::to_string(lives_)).c_str(), 1);
+void KillScenario::start_process(const KillPoint* kill, bool full) {
+  processes_++;
+  stop_requested_ = false;
+  ::setenv("HERONVANE_KILL_TOLD", (folder + "/told-" + std::to_string(processes_)).c_str(), 1);
   const bool point = kill != nullptr && kill->at > 0;
   ::setenv("HERONVANE_KILL_AT", point ? std::to_string(kill->at).c_str() : "", 1);
   ::setenv("HERONVANE_KILL_NAME", point ? kill->name.c_str() : "", 1);
-  ::setenv("HERONVANE_DISK_FULL", full ? std::to_string(1 + roll(1'000'000)).c_str() : "", 1);
+  ::setenv("HERONVANE_DISK_FULL", full ? std::to_string(1 + random_below(1'000'000)).c_str() : "", 1);
   spawn(own_config());
-  life_began_ = steady_clock::now();
+  process_started_at_ = steady_clock::now();
 }
 
-// False once the relay has ended, however.
-bool LifeStory::alive() {
+// False once the relay process has ended, for whatever reason.
+bool KillScenario::alive() {
   if (child <= 0) return false;
   int status = 0;
   if (::waitpid(child, &status, WNOHANG) != child) return true;
   child = -1;
   if (WIFSIGNALED(status) && WTERMSIG(status) == SIGKILL) {
     tally_.kills++;
-    std::ifstream in(folder + "/told-" + std::to_string(lives_));
+    std::ifstream in(folder + "/told-" + std::to_string(processes_));
     for (std::string name, what; in >> name >> what;)
       if (name == "killed") tally_.killed_at[what]++;
-  } else if (asked_ && (WIFSIGNALED(status) ? WTERMSIG(status) == SIGTERM : WEXITSTATUS(status) == 0)) {
+  } else if (stop_requested_ &&
+             (WIFSIGNALED(status) ? WTERMSIG(status) == SIGTERM : WEXITSTATUS(status) == 0)) {
     tally_.stops++;
-  } else if (WIFEXITED(status) && WEXITSTATUS(status) == 1 && story_.disk_full) {
-    tally_.no_start++;
+  } else if (WIFEXITED(status) && WEXITSTATUS(status) == 1 && scenario_.disk_full) {
+    tally_.failed_starts++;
   } else {
-    tally_.fell++;
-    charge("ended by itself, status " + std::to_string(status), "");
+    tally_.unexpected_exits++;
+    report_fault("unexpected exit, status " + std::to_string(status), "");
   }
   return false;
 }
 
-void LifeStory::step() {
+void KillScenario::step() {
   io.restart();
   io.run_one_for(milliseconds(2));
   io.poll();
   const auto now = steady_clock::now();
   longest_step_ = std::max(longest_step_, now - last_step_);
   last_step_ = now;
-  if (drain_written_ && !drain_told_ && child > 0 && now > *drain_written_ + kReadTime)
-    drain_told_ = drain_written_;
+  if (drain_written_ && !drain_known_ && child > 0 && now > *drain_written_ + kReadTime)
+    drain_known_ = drain_written_;
   while (!timers_.empty() && timers_.begin()->first <= now) {
     const auto what = std::move(timers_.begin()->second);
     timers_.erase(timers_.begin());
     what();
   }
-  hear();
+  read_answers();
 }
 
-Tally LifeStory::go(Counts* counts) {
+Tally KillScenario::run(Counts* counts) {
   tally_.runs = 1;
   plan_load();
-  for (std::size_t i = 0; i < story_.kills.size(); i++) {
-    begin_life(&story_.kills[i], story_.disk_full);
-    const auto most = i == 0 ? kFirstLife : kNextLife;
-    // Some are asked to end, and killed on their way out or not at all.
-    if (roll(5) == 0)
-      later(static_cast<int>(roll(1500)), [this, life = lives_] {
-        if (lives_ == life && child > 0) asked_ = true, ::kill(child, SIGTERM);
+  for (std::size_t i = 0; i < scenario_.kills.size(); i++) {
+    start_process(&scenario_.kills[i], scenario_.disk_full);
+    const auto max_size = i == 0 ? kFirstProcessTime : kNextProcessTime;
+    // Some are asked to end, and killed during the shutdown or not at all.
+    if (random_below(5) == 0)
+      later(static_cast<int>(random_below(1500)), [this, life = processes_] {
+        if (processes_ == life && child > 0) stop_requested_ = true, ::kill(child, SIGTERM);
       });
     while (alive()) {
       step();
-      if (steady_clock::now() < life_began_ + most) continue;
+      if (steady_clock::now() < process_started_at_ + max_size) continue;
       tally_.unreached++;
       ::kill(child, SIGKILL);
       ::waitpid(child, nullptr, 0);
       child = -1;
     }
     drain_written_.reset();
-    const auto back = steady_clock::now() + milliseconds(roll(120));
+    const auto back = steady_clock::now() + milliseconds(random_below(120));
     while (steady_clock::now() < back) step();
   }
-  last_life();
+  run_last_process();
   if (counts != nullptr) {
-    std::ifstream in(folder + "/told-" + std::to_string(lives_));
+    std::ifstream in(folder + "/told-" + std::to_string(processes_));
     std::string name;
     for (std::uint64_t count = 0; in >> name >> count;) (*counts)[name] = count;
   }
-  judge();
+  check_results();
   return tally_;
 }
 
-bool LifeStory::ready() {
+bool KillScenario::ready() {
   if (!probe_ || probe_->ended) {
     probe_ = connect();
     if (probe_) probe_->write("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -453,18 +464,19 @@
   return false;
 }
 
-void LifeStory::last_life() {
-  finishing_ = !story_.kills.empty();
-  begin_life(nullptr, story_.disk_full && story_.kills.empty());
+void KillScenario::run_last_process() {
+  finishing_ = !scenario_.kills.empty();
+  start_process(nullptr, scenario_.disk_full && scenario_.kills.empty());
   const auto owed = [this] {
-    if (planned_ > 0 || !handing_.empty()) return true;
-    return std::any_of(messages_.begin(), messages_.end(),
-                       [](const auto& m) { return m.second.taken > 0 && !m.second.ended; });
+    if (planned_submissions_ > 0 || !submissions_.empty()) return true;
+    return std::any_of(messages_.begin(), messages_.end(), [](const auto& message) {
+      return message.second.accepted > 0 && !message.second.ended;
+    });
   };
   auto until = steady_clock::now() + kPatience;
-  // It is asked to end once it is ready: before that the signal would be a kill.
+  // SIGTERM is sent only once it is ready: before that it would kill the process.
   while (alive() && steady_clock::now() < until) {
-    // Noted before it is found that nothing is owed: what ended meanwhile has its time from here on.
+    // Recorded before checking that nothing is owed: messages that end meanwhile are timed from here.
     const bool up = ready();
     if (up && !ready_at_) ready_at_ = steady_clock::now();
     if (up && !owed()) break;
@@ -478,63 +490,68 @@
   while (::waitpid(child, &status, WNOHANG) != child) {
     step();
     if (steady_clock::now() < until) continue;
-    tally_.fell++;
-    return charge("does not end", "");
+    tally_.unexpected_exits++;
+    return report_fault("does not end", "");
   }
   child = -1;
   if (!WIFEXITED(status) || WEXITSTATUS(status) != 0)
-    tally_.fell++, charge("ended with status " + std::to_string(status), "");
-  for (int i = 0; i < 10; i++) step();  // what it wrote last
+    tally_.unexpected_exits++, report_fault("ended with status " + std::to_string(status), "");
+  for (int i = 0; i < 10; i++) step();  // reads what it wrote last
 }
 
-// ---- The verdict. ----
-void LifeStory::charge(const std::string& what, const std::string& id) {
-  charges_ += "seed " + std::to_string(story_.seed) + (story_.disk_full ? " (disk full)" : "") + ": " + what +
-              ": " + id + " in life " + std::to_string(lives_) + "; points";
-  for (const auto& k : story_.kills) charges_ += " " + text_of(k) + ",";
-  charges_ += "\n";
+// ---- Checks. ----
+void KillScenario::report_fault(const std::string& what, const std::string& id) {
+  fault_report_ += "seed " + std::to_string(scenario_.seed) + (scenario_.disk_full ? " (disk full)" : "") +
+                   ": " + what + ": " + id + " in process " + std::to_string(processes_) + "; points";
+  for (const auto& k : scenario_.kills) fault_report_ += " " + text_of(k) + ",";
+  fault_report_ += "\n";
   if (const auto it = messages_.find(id); it != messages_.end()) {
-    const auto& m = it->second;
-    charges_ += std::string("  ") + (m.safe ? "safe" : "unsafe") + " to " + std::to_string(m.destination) +
-                ": handed " + std::to_string(m.handed) + ", unheard " + std::to_string(m.unheard) + ", 202 " +
-                std::to_string(m.taken) + ", 503 " + std::to_string(m.refused) + ", calls " +
-                std::to_string(m.arrived.size()) + ", delivered " + std::to_string(m.delivered) +
-                ", undeliverable " + std::to_string(m.undeliverable) + ", deferred " +
-                std::to_string(m.deferred) + "\n";
+    const auto& message = it->second;
+    fault_report_ +=
+        std::string("  ") + (message.safe ? "safe" : "unsafe") + " to " +
+        std::to_string(message.destination) + ": submitted " + std::to_string(message.submitted) +
+        ", unanswered " + std::to_string(message.unanswered) + ", 202 " + std::to_string(message.accepted) +
+        ", 503 " + std::to_string(message.refused) + ", calls " + std::to_string(message.calls.size()) +
+        ", delivered " + std::to_string(message.delivered) + ", undeliverable " +
+        std::to_string(message.undeliverable) + ", deferred " + std::to_string(message.deferred) + "\n";
   }
 }
 
-void LifeStory::judge() {
+void KillScenario::check_results() {
   tally_.messages = messages_.size();
-  for (const auto& [id, m] : messages_) {
-    tally_.taken += m.taken > 0, tally_.refused += m.refused > 0;
-    const auto may_have_run =
-        std::any_of(m.arrived.begin(), m.arrived.end(), [](const auto& a) { return !a.proven; });
-    if (m.taken > 0 && !m.ended) tally_.lost++, charge("lost", id);
-    const auto graced = lives_ > 1 && ready_at_ ? *ready_at_ + kRestartGrace : SteadyTime();
-    const auto due = std::max(m.deadline + kSlack, graced);
-    const auto told = m.ended && m.offered ? std::min(*m.ended, *m.offered) : m.ended;
-    if (m.taken > 0 && told && *told > due) {
-      tally_.late++;
+  for (const auto& [id, message] : messages_) {
+    tally_.accepted += message.accepted > 0, tally_.refused += message.refused > 0;
+    const auto may_have_run = std::any_of(message.calls.begin(), message.calls.end(),
+                                          [](const auto& a) { return !a.not_executed; });
+    if (message.accepted > 0 && !message.ended) tally_.lost++, report_fault("lost", id);
+    const auto graced = processes_ > 1 && ready_at_ ? *ready_at_ + kRestartGrace : SteadyTime();
+    const auto due = std::max(message.deadline + kSlack, graced);
+    const auto notified_at =
+        message.ended && message.offered ? std::min(*message.ended, *message.offered) : message.ended;
+    if (message.accepted > 0 && notified_at && *notified_at > due) {
+      tally_.late_outcomes++;
       const auto ms = [](auto t) {
         return std::to_string(std::chrono::duration_cast<milliseconds>(t).count());
       };
-      charge(
-          "late by " + ms(*told - due) + " ms, longest step of the rig " + ms(longest_step_) + " ms, ready " +
-              (ready_at_ ? ms(*ready_at_ - m.deadline) + " ms after the deadline" : std::string("not seen")),
-          id);
+      report_fault("late by " + ms(*notified_at - due) + " ms, longest step of the rig " + ms(longest_step_) +
+                       " ms, ready " +
+                       (ready_at_ ? ms(*ready_at_ - message.deadline) + " ms after the deadline"
+                                  : std::string("not seen")),
+                   id);
     }
-    // Told each time that it may come again: then nothing of it may ever have been begun. One whose answer
-    // was not heard may have been taken on and refused when it came again only where it may run twice.
-    const bool only_refused = m.taken == 0 && m.other == 0 && m.last_refused;
-    const bool refused_run = only_refused && (m.unheard == 0 ? !m.arrived.empty() : !m.safe && may_have_run);
-    const bool deferred_run = m.deferred > 0 && !m.safe && may_have_run;
-    if (refused_run || deferred_run) tally_.refused_yet_run++, charge("refused, yet run", id);
-    tally_.second_ends += m.delivered > 0 && m.undeliverable + m.deferred > 0;
+    // Refused each time: then the message must never have run. If an answer was not received, the message may
+    // have been accepted, and refused when submitted again; it may have run only if it may run twice.
+    const bool only_refused = message.accepted == 0 && message.other == 0 && message.last_refused;
+    const bool refused_run =
+        only_refused && (message.unanswered == 0 ? !message.calls.empty() : !message.safe && may_have_run);
+    const bool deferred_run = message.deferred > 0 && !message.safe && may_have_run;
+    if (refused_run || deferred_run) tally_.refused_but_executed++, report_fault("refused, yet run", id);
+    tally_.second_ends += message.delivered > 0 && message.undeliverable + message.deferred > 0;
   }
   const std::string log = logged();
-  if (log.find("store: damage") != std::string::npos) tally_.damage++, charge("damage", "");
-  if (!charges_.empty()) charges_ += "its log:\n" + log.substr(log.size() > 6000 ? log.size() - 6000 : 0);
+  if (log.find("store: damage") != std::string::npos) tally_.damage++, report_fault("damage", "");
+  if (!fault_report_.empty())
+    fault_report_ += "its log:\n" + log.substr(log.size() > 6000 ? log.size() - 6000 : 0);
 }
 
 }  // namespace heronvane::testing
--- a/tests/slow_disk_test.cpp
+++ b/tests/slow_disk_test.cpp
@@ -1,5 +1,4 @@
-// Durability for the machine on a disk that takes its time: what waits for a sync, and what happens
-// meanwhile.
+// Durability::machine on a slow disk: what waits for a sync, and what happens meanwhile.
 #include <algorithm>
 
 #include "relay_harness.hpp"
@@ -21,7 +20,8 @@
   void wait_until(Clock::time_point due) {
     wait_for([&] { return Clock::now() > due; }, "time has passed");
   }
-  // m1 is taken on and refused with a wait; its second call's record is then written, and waits for its sync.
+  // m1 is accepted, and its first call is answered by 429 with a wait; the record of its second call is
+  // written, and waits for a sync.
   void second_call_waits(const std::string& deadline, const char* cls = kUnsafe) {
     endpoint.on_request([](const Got& g) { g.session->answer(429, "X-Come-Back-Ms: 400\r\n"); });
     start();
@@ -31,7 +31,7 @@
     endpoint.on_request(answer_ok);
     wait_until(Clock::now() + milliseconds(500));
   }
-  // Whether anything in the folder says so.
+  // Whether a file of the folder contains `text`.
   bool written(const std::string& text) const {
     for (const auto& f : std::filesystem::directory_iterator(folder + "/state")) {
       if (f.is_directory()) continue;
@@ -45,7 +45,7 @@
     const rlimit limit{bytes, RLIM_INFINITY};
     ASSERT_EQ(::prlimit(child, RLIMIT_FSIZE, &limit, nullptr), 0);
   }
-  // Calls of m1, once a later message has been called.
+  // The number of calls of m1 once a later message has been called.
   long calls_of_m1() {
     wait_for([&] { return health() == 200; }, "it goes on");
     EXPECT_EQ(hand_in("m2", kSafe), 202u);
@@ -58,7 +58,7 @@
   }
 };
 
-TEST_F(SlowDiskTest, ACallThatWaitsDoesNotGoToAnEndpointThatDrainsMeanwhile) {
+TEST_F(SlowDiskTest, AWaitingCallIsNotSentToADrainingEndpoint) {
   second_call_waits("4000m");
   tell(list(member("s-1", endpoint.address(), "draining"), false));
   wait_for([&] { return endpoint.sessions[0]->ended; }, "the drain is told");
@@ -68,8 +68,8 @@
   EXPECT_EQ(endpoint.got.size(), 1u);
 }
 
-// A message is ended some rounds before its time is up. Its call, which waited, went out after that.
-TEST_F(SlowDiskTest, ACallThatWaitsDoesNotGoOnceItsMessageHasEnded) {
+// A message is ended some ticks before its deadline. Its waiting call used to go out after that.
+TEST_F(SlowDiskTest, AWaitingCallIsNotSentOnceItsMessageHasEnded) {
   tick = 300'000;
   const auto handed = Clock::now();
   second_call_waits("3000m");
@@ -80,9 +80,9 @@
   EXPECT_EQ(calls_of_m1(), 1);
 }
 
-// 503 says that a message was not taken on. It was told of one whose record stood, and which the next life
-// would call.
-TEST_F(SlowDiskTest, WhatIsWrittenIsNotRefusedForWantOfASync) {
+// 503 means that a message was not accepted. It used to be sent for a message whose record was already
+// written, and which the next process would call.
+TEST_F(SlowDiskTest, AWrittenMessageIsNotRefusedForALackingSync) {
   start();
   hold_syncs();
   const auto first = connect();
@@ -97,8 +97,8 @@
   EXPECT_EQ(first->answers[0].result_int(), 202u);
 }
 
-// No call begins so late after SIGTERM that its answer could not come home.
-TEST_F(SlowDiskTest, CallsThatWaitDoNotGoLateAfterSigterm) {
+// After SIGTERM no call may begin so late that its answer could not be received.
+TEST_F(SlowDiskTest, WaitingCallsAreNotSentLateAfterSigterm) {
   second_call_waits("24000m");
   send_signal(child, SIGTERM);
   wait_until(Clock::now() + milliseconds(1900));
@@ -110,22 +110,22 @@
   EXPECT_EQ(finals, "");
 }
 
-// A sync that does not come back is trouble: health tells it, and clients do not wait for ever.
-TEST_F(SlowDiskTest, ASyncThatHangsIsTold) {
+// A sync that does not return is a failure: health must report it, and clients must not wait forever.
+TEST_F(SlowDiskTest, AHangingSyncIsReported) {
   start();
   hold_syncs();
   const auto first = connect();
   first->write(request("first", kUnsafe, "x", "24000m"));
   wait_for([&] { return written("first"); }, "its record is written");
-  wait_for([&] { return health() == 503; }, "health tells it");
-  wait_for([&] { return !first->answers.empty(); }, "its client is answered");
+  wait_for([&] { return health() == 503; }, "health reports it");
+  wait_for([&] { return !first->answers.empty(); }, "the client gets an answer");
   EXPECT_EQ(first->answers[0].result_int(), 504u);
   EXPECT_EQ(hand_in("second", kSafe), 503u);
   release_syncs();
   wait_for([&] { return health() == 200; }, "it goes on");
   EXPECT_EQ(hand_in("third", kSafe), 202u);
   wait_for([&] { return !endpoint.got.empty(); }, "the call");
-  EXPECT_EQ(endpoint.got[0].request["X-Request-Id"], "third") << "nothing was promised of the first";
+  EXPECT_EQ(endpoint.got[0].request["X-Request-Id"], "third") << "the first message was not accepted";
 }
 
 }  // namespace
--- a/tests/slow_sync.cpp
+++ b/tests/slow_sync.cpp
@@ -1,4 +1,4 @@
-// Loaded before a program: holds up its syncs while the file that HERONVANE_HOLD_SYNC names stands.
+// Preloaded into a program: blocks its syncs while the file named by HERONVANE_HOLD_SYNC exists.
 #include <sys/syscall.h>
 #include <unistd.h>
 
--- a/tests/store/crash_test.cpp
+++ b/tests/store/crash_test.cpp
@@ -13,8 +13,9 @@
 
 struct Counts {
   std::size_t points = 0, second = 0, messages = 0, needless_doubts = 0, refused_but_held = 0;
-  void add(const CheckResult& v) {
-    messages += v.held, needless_doubts += v.needless_doubts, refused_but_held += v.refused_but_held;
+  void add(const CheckResult& result) {
+    messages += result.held, needless_doubts += result.needless_doubts,
+        refused_but_held += result.refused_but_held;
   }
 };
 
@@ -63,14 +64,14 @@
 };
 
 // Starts the store, compacts and accepts a message. Afterwards the store is destroyed, as by a kill.
-Probe continue_after_start(MemoryDisk& disk, const Options& o, ManualSyncer& syncer, int steps,
+Probe continue_after_start(MemoryDisk& disk, const Options& store_options, ManualSyncer& syncer, int steps,
                            std::string& wrong) {
-  Store s(disk, o, &syncer);
+  Store store(disk, store_options, &syncer);
   Probe probe;
-  if (!s.commit()) wrong = "no commit after a start: " + s.unavailable_reason();
+  if (!store.commit()) wrong = "no commit after a start: " + store.unavailable_reason();
   const auto compact = [&](int most) {
-    for (int i = 0; i < most && s.wants_compaction(); i++) {
-      const auto step = s.compact();
+    for (int i = 0; i < most && store.wants_compaction(); i++) {
+      const auto step = store.compact();
       syncer.run_one();
       if (step == Store::Step::idle) break;
     }
@@ -78,11 +79,11 @@
   compact(steps / 2);
   Message m;
   m.id = "probe", m.body = std::string(100, 'p');
-  if (s.admit(m)) {
-    s.accept(kFirstProbeNumber, m);
-    if (!s.commit()) wrong = "no commit after a start: " + s.unavailable_reason();
+  if (store.admit(m)) {
+    store.accept(kFirstProbeNumber, m);
+    if (!store.commit()) wrong = "no commit after a start: " + store.unavailable_reason();
     syncer.run_all();
-    if (s.durable() < s.written()) wrong = "not durable after all syncs";
+    if (store.durable() < store.written()) wrong = "not durable after all syncs";
     probe.acknowledged_at = disk.operations(), probe.id = m.id;
   }
   compact(steps);
@@ -90,9 +91,9 @@
   return probe;
 }
 
-std::string check_probe(const Store& s, const Probe& probe, OperationCount m, bool lossy) {
+std::string check_probe(const Store& store, const Probe& probe, OperationCount m, bool lossy) {
   if (m < probe.acknowledged_at) return {};
-  const Held* h = s.find(kFirstProbeNumber);
+  const Held* h = store.find(kFirstProbeNumber);
   if (h == nullptr || h->message.id != probe.id) return "the message accepted after the start is lost";
   return h->doubt && !lossy ? "the message accepted after the start is in doubt" : "";
 }
@@ -136,29 +137,29 @@
         const auto image = workload.disk.after(n, partial);
         const Clocks clocks = clocks_at(workload.oracle, n);
         std::string log;
-        const Options o = options(workload.setting, clocks, &log);
+        const Options store_options = options(workload.setting, clocks, &log);
         ManualSyncer syncer(*image);
         {
-          const Store s(*image, o);
-          const CheckResult v = check_store(s, workload.oracle, n, false);
-          counts.add(v), counts.points++;
-          ASSERT_EQ(v.wrong, "") << "seed " << seed << ", after " << n << " and " << partial << " bytes";
+          const Store store(*image, store_options);
+          const CheckResult result = check_store(store, workload.oracle, n, false);
+          counts.add(result), counts.points++;
+          ASSERT_EQ(result.wrong, "") << "seed " << seed << ", after " << n << " and " << partial << " bytes";
         }
         if (dice.below(40) != 0) continue;
         // A second kill at each operation after that start.
         const auto restarted_image = workload.disk.after(n, partial);
         ManualSyncer again_syncer(*restarted_image);
         std::string wrong;
-        const Probe probe = continue_after_start(*restarted_image, o, again_syncer, 12, wrong);
+        const Probe probe = continue_after_start(*restarted_image, store_options, again_syncer, 12, wrong);
         ASSERT_EQ(wrong, "");
         ASSERT_LE(restarted_image->peak_bytes(), workload.setting.limit);
         for (std::size_t m = 0; m <= restarted_image->operations(); m++) {
           for (const std::size_t part : partial_write_sizes(*restarted_image, m, dice)) {
             const auto final_image = restarted_image->after(m, part);
-            const Store s(*final_image, o);
-            const CheckResult v = check_store(s, workload.oracle, n, false);
-            counts.add(v), counts.second++;
-            ASSERT_EQ(v.wrong + check_probe(s, probe, m, false), "")
+            const Store store(*final_image, store_options);
+            const CheckResult result = check_store(store, workload.oracle, n, false);
+            counts.add(result), counts.second++;
+            ASSERT_EQ(result.wrong + check_probe(store, probe, m, false), "")
                 << "seed " << seed << ", after " << n << " and " << partial << " bytes, then " << m << " and "
                 << part << "\n"
                 << log;
@@ -185,9 +186,9 @@
 // that readable data may be in memory only. No test can require that it survives another loss of power.
 bool failed_sync_unnoted(const MemoryDisk& disk, std::size_t n) {
   for (; n > 0; n--) {
-    const Operation o = disk.operation(n);
-    if (o.name == "sync-failed") return false;
-    if (o.kind == Kind::sync && o.error) return true;
+    const Operation store_options = disk.operation(n);
+    if (store_options.name == "sync-failed") return false;
+    if (store_options.kind == Kind::sync && store_options.error) return true;
   }
   return false;
 }
@@ -203,7 +204,7 @@
     for (std::size_t n = 0; n <= workload.disk.operations(); n++) {
       const Clocks clocks = clocks_at(workload.oracle, n);
       std::string log;
-      const Options o = options(workload.setting, clocks, &log, "boot after");
+      const Options store_options = options(workload.setting, clocks, &log, "boot after");
       for (const auto& choice : choices(workload.disk, n, dice, 3)) {
         const auto where = ::testing::Message() << "seed " << seed << ", after " << n << ", choice "
                                                 << static_cast<int>(choice.which) << "/" << choice.value;
@@ -211,10 +212,10 @@
         const auto image = workload.disk.power_loss(n, choice);
         ManualSyncer syncer(*image);
         {
-          Store s(*image, o, &syncer);
-          const CheckResult v = check_store(s, workload.oracle, n, true);
-          counts.add(v), counts.points++;
-          ASSERT_EQ(v.wrong, "") << where << "\n" << log;
+          Store store(*image, store_options, &syncer);
+          const CheckResult result = check_store(store, workload.oracle, n, true);
+          counts.add(result), counts.points++;
+          ASSERT_EQ(result.wrong, "") << where << "\n" << log;
         }
         if (dice.below(50) != 0) continue;
         // The process is killed or the power lost, then the power is lost during the start.
@@ -222,17 +223,17 @@
         const auto restarted_image = killed ? workload.disk.after(n) : workload.disk.power_loss(n, choice);
         ManualSyncer again_syncer(*restarted_image);
         std::string wrong;
-        const Probe probe = continue_after_start(*restarted_image, o, again_syncer, 12, wrong);
+        const Probe probe = continue_after_start(*restarted_image, store_options, again_syncer, 12, wrong);
         ASSERT_EQ(wrong, "") << where << log;
         for (std::size_t m = 0; m <= restarted_image->operations(); m++) {
           for (const auto& second : choices(*restarted_image, m, dice, 2)) {
             const auto final_image = restarted_image->power_loss(m, second);
             log.clear();
             ManualSyncer third_syncer(*final_image);
-            const Store s(*final_image, o, &third_syncer);
-            CheckResult v = check_store(s, workload.oracle, n, true);
-            counts.add(v), counts.second++;
-            ASSERT_EQ(v.wrong + check_probe(s, probe, m, true), "")
+            const Store store(*final_image, store_options, &third_syncer);
+            CheckResult result = check_store(store, workload.oracle, n, true);
+            counts.add(result), counts.second++;
+            ASSERT_EQ(result.wrong + check_probe(store, probe, m, true), "")
                 << where << (killed ? " killed" : "") << ", then " << m << ", choice "
                 << static_cast<int>(second.which) << "/" << second.value << "\n"
                 << log;
@@ -261,25 +262,26 @@
         const auto image = workload.disk.after(n, partial);
         const Clocks clocks = clocks_at(workload.oracle, n);
         std::string log;
-        const Options o = options(workload.setting, clocks, &log);
+        const Options store_options = options(workload.setting, clocks, &log);
         ManualSyncer syncer(*image);
         std::vector<MessageId> held;
         {
-          const Store s(*image, o, &syncer);
-          const CheckResult v = check_store(s, workload.oracle, n, false);
-          counts.add(v), counts.points++;
-          ASSERT_EQ(v.wrong, "") << "seed " << seed << ", after " << n << " and " << partial << " bytes";
-          for (const auto& [number, h] : s.held()) held.push_back(number);
+          const Store store(*image, store_options, &syncer);
+          const CheckResult result = check_store(store, workload.oracle, n, false);
+          counts.add(result), counts.points++;
+          ASSERT_EQ(result.wrong, "") << "seed " << seed << ", after " << n << " and " << partial << " bytes";
+          for (const auto& [number, h] : store.held()) held.push_back(number);
         }
         if (dice.below(10) != 0) continue;
         // All held messages stay held while everything is compacted.
         std::string wrong;
-        continue_after_start(*image, o, syncer, 100, wrong);
+        continue_after_start(*image, store_options, syncer, 100, wrong);
         ASSERT_EQ(wrong, "");
-        const Store s(*image, o, &syncer);
+        const Store store(*image, store_options, &syncer);
         counts.second++;
         for (const MessageId number : held)
-          ASSERT_NE(s.find(number), nullptr) << "seed " << seed << ", after " << n << ": " << number << log;
+          ASSERT_NE(store.find(number), nullptr)
+              << "seed " << seed << ", after " << n << ": " << number << log;
       }
     }
   }
--- a/tests/store/damage_test.cpp
+++ b/tests/store/damage_test.cpp
@@ -169,18 +169,18 @@
 
 // Checks a store opened after damage: each message whose last whole record is undamaged must be held, and may
 // have run if it might have before; only messages that the damage may concern are in doubt.
-void check(const Subject& s, const std::vector<DamageDone>& damages, const Store& store, Counts& c) {
+void check(const Subject& s, const std::vector<DamageDone>& damages, const Store& store, Counts& counts) {
   std::set<std::pair<std::string, std::uint64_t>> hit;  // file, offset of a frame
   Sequence last_hit = 0;
   bool others_hit = false;  // records of no message, of unknown effect on others
   std::set<MessageId> touched;
   for (const auto& damage : damages) {
-    for (const auto& p : s.files.at(damage.file)) {
-      if (p.to <= damage.from || p.from >= damage.to) continue;
-      hit.emplace(damage.file, p.from);
-      last_hit = std::max(last_hit, p.sequence);
-      others_hit = others_hit || p.number == 0;
-      touched.insert(p.number);
+    for (const auto& frame : s.files.at(damage.file)) {
+      if (frame.to <= damage.from || frame.from >= damage.to) continue;
+      hit.emplace(damage.file, frame.from);
+      last_hit = std::max(last_hit, frame.sequence);
+      others_hit = others_hit || frame.number == 0;
+      touched.insert(frame.number);
     }
   }
   std::map<MessageId, Sequence> whole_at;  // of the last undamaged Accepted record
@@ -189,25 +189,25 @@
   // alone.
   std::set<SegmentNumber> dropped;
   for (const auto& [name, list] : s.files)
-    for (const auto& p : list)
-      if (p.drops > 0 && hit.count({name, p.from}) == 0) dropped.insert(p.drops);
+    for (const auto& frame : list)
+      if (frame.drops > 0 && hit.count({name, frame.from}) == 0) dropped.insert(frame.drops);
   for (const auto& [name, list] : s.files) {
     if (dropped.count(std::stoull(name.substr(std::string("segment-").size()))) > 0) continue;
-    for (const auto& p : list) {
-      const bool is_hit = hit.count({name, p.from}) > 0;
-      if (p.kind == store::Kind::accepted && !is_hit)
-        whole_at[p.number] = std::max(whole_at[p.number], p.sequence);
+    for (const auto& frame : list) {
+      const bool is_hit = hit.count({name, frame.from}) > 0;
+      if (frame.kind == store::Kind::accepted && !is_hit)
+        whole_at[frame.number] = std::max(whole_at[frame.number], frame.sequence);
     }
   }
   for (const auto& [number, was] : s.whole) {
     const Held* h = store.find(number);
     const auto at = whole_at.find(number);
     if (at == whole_at.end()) {
-      c.lost += h == nullptr;
+      counts.lost += h == nullptr;
       continue;
     }
     ASSERT_NE(h, nullptr) << "message " << number << " is lost, but its record is undamaged";
-    c.held++, c.doubtful += h->doubt;
+    counts.held++, counts.doubtful += h->doubt;
     if (s.risky.at(number)) {
       ASSERT_TRUE(h->possibly_executed()) << "message " << number << " counts as not executed";
     }
@@ -230,9 +230,9 @@
   // Numbers are not assigned again, unless no record is left that names the highest.
   bool none_left = true;
   for (const auto& [name, list] : s.files)
-    for (const auto& p : list)
-      none_left =
-          none_left && (hit.count({name, p.from}) > 0 || (p.number == 0 && p.kind != store::Kind::segment));
+    for (const auto& frame : list)
+      none_left = none_left && (hit.count({name, frame.from}) > 0 ||
+                                (frame.number == 0 && frame.kind != store::Kind::segment));
   if (!none_left) {
     ASSERT_GE(store.next_number(), s.whole.empty() ? 0 : s.whole.rbegin()->first + 1);
   }
@@ -240,7 +240,7 @@
 }
 
 TEST(Damage, RandomDamage) {
-  Counts c;
+  Counts counts;
   for (std::uint64_t seed = 1; seed <= scaled(40); seed++) {
     Subject s;
     prepare(s, seed);
@@ -254,46 +254,47 @@
         if (damages.back().removed || damages.back().truncated) std::erase(names, damages.back().file);
       }
       const std::string where = "seed " + std::to_string(seed) + ", " + std::to_string(k);
-      std::string at;
+      std::string damage_text;
       for (const auto& damage : damages)
-        at += damage.file + " " + std::to_string(damage.from) + " to " + std::to_string(damage.to) +
-              (damage.truncated ? " cut" : "") + (damage.removed ? " gone" : "") + "; ";
+        damage_text += damage.file + " " + std::to_string(damage.from) + " to " + std::to_string(damage.to) +
+                       (damage.truncated ? " cut" : "") + (damage.removed ? " gone" : "") + "; ";
       image->settle();
       std::string log;
       std::map<MessageId, std::string> first;
       {
         const Store store(*image, options(s.setting, s.clocks, &log));
-        ASSERT_NO_FATAL_FAILURE(check(s, damages, store, c)) << where << ": " << at << "\n" << log;
+        ASSERT_NO_FATAL_FAILURE(check(s, damages, store, counts)) << where << ": " << damage_text << "\n"
+                                                                  << log;
         first = describe(store);
-        c.images++;
+        counts.images++;
       }
       {
         Store store(*image, options(s.setting, s.clocks, &log));
-        ASSERT_EQ(describe(store), first) << where << ": " << at;
+        ASSERT_EQ(describe(store), first) << where << ": " << damage_text;
         if (k % 4 == 0) {
           // The store continues and renames the damaged files.
-          ASSERT_TRUE(store.commit()) << where << ": " << at << log;
+          ASSERT_TRUE(store.commit()) << where << ": " << damage_text << log;
           for (int i = 0; i < 400 && store.wants_compaction(); i++)
             if (store.compact() != Store::Step::more) break;
-          ASSERT_EQ(log.find("were not found"), std::string::npos) << where << ": " << at << log;
+          ASSERT_EQ(log.find("were not found"), std::string::npos) << where << ": " << damage_text << log;
           for (const auto& damage : damages) {
             const bool damaged = log.find(damage.file + ": ") != std::string::npos;
             if (!damaged || damage.removed) continue;
-            c.renamed += image->exists("damaged-" + damage.file);
+            counts.renamed += image->exists("damaged-" + damage.file);
             ASSERT_TRUE(image->exists("damaged-" + damage.file) || image->exists(damage.file))
-                << where << ": " << at << log << damage.file << " was removed";
+                << where << ": " << damage_text << log << damage.file << " was removed";
           }
         }
       }
       const Store store(*image, options(s.setting, s.clocks, &log));
-      ASSERT_EQ(describe(store), first) << where << ": " << at << log;
+      ASSERT_EQ(describe(store), first) << where << ": " << damage_text << log;
     }
   }
-  EXPECT_GT(c.renamed, 0u);
+  EXPECT_GT(counts.renamed, 0u);
   std::printf(
       "damage: %zu images, %zu messages held, of these %zu in doubt, %zu lost with their records; %zu files "
       "set aside\n",
-      c.images, c.held, c.doubtful, c.lost, c.renamed);
+      counts.images, counts.held, counts.doubtful, counts.lost, counts.renamed);
 }
 
 // Numbers must not be assigned again: a truncated sealed file together with a damaged header of the newest
@@ -325,8 +326,8 @@
     prepare(s, seed);
     const auto size = s.disk.contents(s.names.back()).size();
     std::uint64_t least = 0;
-    for (const auto& p : s.files.at(s.names.back()))
-      if (p.kind == store::Kind::segment || p.kind == store::Kind::dropped) least = p.to;
+    for (const auto& frame : s.files.at(s.names.back()))
+      if (frame.kind == store::Kind::segment || frame.kind == store::Kind::dropped) least = frame.to;
     RandomSource dice(seed);
     for (int k = 0; k < 20; k++) {
       const auto image = s.disk.after(0);
--- a/tests/store/fault_test.cpp
+++ b/tests/store/fault_test.cpp
@@ -104,18 +104,18 @@
   counts.workloads++, counts.failed_commits += relay.failed_commits, counts.refused += relay.refused;
 }
 
-void print(const char* what, const FaultCounts& c) {
-  std::printf("%s: %zu workloads, %zu kills, %zu failed commits, %zu messages refused\n", what, c.workloads,
-              c.kills, c.failed_commits, c.refused);
+void print(const char* what, const FaultCounts& counts) {
+  std::printf("%s: %zu workloads, %zu kills, %zu failed commits, %zu messages refused\n", what,
+              counts.workloads, counts.kills, counts.failed_commits, counts.refused);
 }
 
-std::string describe(const Fault& f, std::uint64_t first, std::uint64_t count) {
-  return std::make_error_code(f.error).message() + ", part " + std::to_string(f.part) + ", operation " +
-         std::to_string(first) + ", " + std::to_string(count) + " times";
+std::string describe(const Fault& fault, std::uint64_t first, std::uint64_t count) {
+  return std::make_error_code(fault.error).message() + ", part " + std::to_string(fault.part) +
+         ", operation " + std::to_string(first) + ", " + std::to_string(count) + " times";
 }
 
 TEST(Fault, EachOperationFailsOnceOrRepeatedly) {
-  FaultCounts c;
+  FaultCounts counts;
   Setting setting;
   setting.limit = 150'000;
   for (const auto error : {std::errc::no_space_on_device, std::errc::io_error}) {
@@ -123,40 +123,40 @@
       for (std::uint64_t seed = 1; seed <= scaled(24); seed++) {
         const std::uint64_t first = 1 + seed % 24;
         for (const std::uint64_t count : {1, 2, 9}) {
-          Fault f;
-          f.error = error, f.part = part;
-          SCOPED_TRACE(describe(f, first, count));
-          ASSERT_NO_FATAL_FAILURE(run_with_fault(f, first, count, setting, seed, c));
+          Fault fault;
+          fault.error = error, fault.part = part;
+          SCOPED_TRACE(describe(fault, first, count));
+          ASSERT_NO_FATAL_FAILURE(run_with_fault(fault, first, count, setting, seed, counts));
         }
       }
     }
   }
-  EXPECT_GT(c.failed_commits, c.workloads / 2);
-  print("faults", c);
+  EXPECT_GT(counts.failed_commits, counts.workloads / 2);
+  print("faults", counts);
 }
 
 TEST(Fault, EachKindOfOperationFails) {
-  FaultCounts c;
+  FaultCounts counts;
   Setting setting;
   setting.limit = 150'000;
   for (const auto kind : {Kind::create, Kind::write, Kind::truncate, Kind::allocate, Kind::remove}) {
     for (const auto error : {std::errc::no_space_on_device, std::errc::io_error}) {
       for (std::uint64_t first = 1; first <= scaled(6); first++) {
         for (const std::uint64_t count : {1, 3, 1000}) {
-          Fault f;
-          f.error = error, f.part = 40, f.only = kind;
-          SCOPED_TRACE(describe(f, first, count) + ", kind " + std::to_string(static_cast<int>(kind)));
-          ASSERT_NO_FATAL_FAILURE(run_with_fault(f, first, count, setting, first + 100, c));
+          Fault fault;
+          fault.error = error, fault.part = 40, fault.only = kind;
+          SCOPED_TRACE(describe(fault, first, count) + ", kind " + std::to_string(static_cast<int>(kind)));
+          ASSERT_NO_FATAL_FAILURE(run_with_fault(fault, first, count, setting, first + 100, counts));
         }
       }
     }
   }
-  print("faults by kind", c);
+  print("faults by kind", counts);
 }
 
 // A partial write that can't be truncated either.
 TEST(Fault, PartialWriteCannotBeTruncated) {
-  FaultCounts c;
+  FaultCounts counts;
   for (std::uint64_t seed = 1; seed <= scaled(40); seed++) {
     MemoryDisk disk;
     Oracle oracle;
@@ -180,7 +180,7 @@
         if (whole) break;
         ASSERT_EQ(check_after_kill(disk, oracle, relay, setting), "") << "seed " << seed << "\n"
                                                                       << relay.log();
-        c.kills++;
+        counts.kills++;
       }
       if (whole) break;
       disk.clear_faults();
@@ -190,28 +190,28 @@
     if (whole) continue;
     ASSERT_NO_FATAL_FAILURE(expect_recovery(disk, relay));
     ASSERT_LE(disk.peak_bytes(), setting.limit);
-    c.workloads++, c.failed_commits += relay.failed_commits, c.refused += relay.refused;
+    counts.workloads++, counts.failed_commits += relay.failed_commits, counts.refused += relay.refused;
   }
-  EXPECT_GT(c.failed_commits, 0u);
-  print("partial writes", c);
+  EXPECT_GT(counts.failed_commits, 0u);
+  print("partial writes", counts);
 }
 
 TEST(Fault, SyncsFail) {
-  FaultCounts c;
+  FaultCounts counts;
   Setting setting;
   setting.limit = 200'000;
   setting.durability = Durability::machine;
   for (const auto kind : {Kind::sync, Kind::sync_folder}) {
     for (std::uint64_t first = 1; first <= scaled(10); first++) {
       for (const std::uint64_t count : {1, 2, 1000}) {
-        Fault f;
-        f.error = std::errc::io_error, f.only = kind, f.drops = kind == Kind::sync;
-        SCOPED_TRACE(describe(f, first, count));
-        ASSERT_NO_FATAL_FAILURE(run_with_fault(f, first, count, setting, first + 200, c));
+        Fault fault;
+        fault.error = std::errc::io_error, fault.only = kind, fault.drops = kind == Kind::sync;
+        SCOPED_TRACE(describe(fault, first, count));
+        ASSERT_NO_FATAL_FAILURE(run_with_fault(fault, first, count, setting, first + 200, counts));
       }
     }
   }
-  print("failed syncs", c);
+  print("failed syncs", counts);
 }
 
 // The volume is full although the limit is not reached: held messages can be finished, new ones are refused.
--- a/tests/store/format1_test.cpp
+++ b/tests/store/format1_test.cpp
@@ -85,20 +85,20 @@
 std::string find_mismatch(const Store& s, bool sound = true) {
   for (MessageId n = 1; n <= 30; n++) {
     const bool over = n >= 6 && n <= 27 && n % 3 == 0;
-    const Held* h = s.find(n);
+    const Held* held = s.find(n);
     const auto at = " of " + std::to_string(n);
-    if (over != (h == nullptr)) return over ? "finished message is held" + at : "loss" + at;
-    if (h == nullptr) continue;
+    if (over != (held == nullptr)) return over ? "finished message is held" + at : "loss" + at;
+    if (held == nullptr) continue;
     const Message m = message(n);
-    if (h->message.id != m.id || h->message.body != m.body || h->message.repeat != m.repeat ||
-        h->message.deadline != m.deadline || h->message.destination != 3)
+    if (held->message.id != m.id || held->message.body != m.body || held->message.repeat != m.repeat ||
+        held->message.deadline != m.deadline || held->message.destination != 3)
       return "change" + at;
     const std::size_t attempts = n == 2 || n == 4 ? 1 : n == 5 ? 2 : 0;
-    if (h->attempts.size() != attempts) return "attempts" + at;
-    if (h->possibly_executed() != (n == 2 || n == 5)) return "may have run" + at;
-    if (h->ending.has_value() != (n == 7)) return "ending" + at;
-    if (n == 5 && (h->attempts[1].sent != 103 || h->attempts[1].zone != 1)) return "attempt" + at;
-    if (n == 7 && (!h->ending->deferred || h->ending->again != 77)) return "ending" + at;
+    if (held->attempts.size() != attempts) return "attempts" + at;
+    if (held->possibly_executed() != (n == 2 || n == 5)) return "may have run" + at;
+    if (held->ending.has_value() != (n == 7)) return "ending" + at;
+    if (n == 5 && (held->attempts[1].sent != 103 || held->attempts[1].zone != 1)) return "attempt" + at;
+    if (n == 7 && (!held->ending->deferred || held->ending->again != 77)) return "ending" + at;
   }
   if (sound && s.recovery().counts.missing > 0) return "damage";
   return s.next_number() == 31 ? "" : "next number";
@@ -197,7 +197,7 @@
   const Clocks clocks;
   const Format1File f = format1_file();
   RandomSource dice(1);
-  std::size_t images = 0, held = 0, doubt = 0;
+  std::size_t images = 0, held_count = 0, doubtful = 0;
   for (std::uint64_t k = 0; k < scaled(1500); k++) {
     const auto from = dice.below(f.bytes.size());
     const auto to =
@@ -225,7 +225,7 @@
       if (f.frame_offsets[i] < to && end > from) hit.push_back(i);
     }
     for (MessageId n = 1; n <= 30; n++) {
-      const Held* h = s.find(n);
+      const Held* held = s.find(n);
       // Finds its Accepted record in the file.
       Format1File one;
       one.accept(n, message(n));
@@ -233,13 +233,13 @@
       const bool taken_hit = at < to && at + one.bytes.size() - 20 > from;
       const bool over = n >= 6 && n <= 27 && n % 3 == 0;
       if (taken_hit || over) continue;
-      ASSERT_NE(h, nullptr) << from << " to " << to << ": " << n << "\n" << log;
-      held++, doubt += h->doubt;
+      ASSERT_NE(held, nullptr) << from << " to " << to << ": " << n << "\n" << log;
+      held_count++, doubtful += held->doubt;
       if (n == 2 || n == 5) {
-        ASSERT_TRUE(h->possibly_executed()) << from << " to " << to << ": " << n << "\n" << log;
+        ASSERT_TRUE(held->possibly_executed()) << from << " to " << to << ": " << n << "\n" << log;
       }
       if (at > to && n != 2 && n != 4 && n != 5 && n != 7) {
-        ASSERT_FALSE(h->doubt) << from << " to " << to << ": " << n << "\n" << log;
+        ASSERT_FALSE(held->doubt) << from << " to " << to << ": " << n << "\n" << log;
       }
     }
     // Compaction renames the file; all readable records are stored elsewhere.
@@ -253,7 +253,7 @@
       ASSERT_TRUE(disk.exists("damaged-segment-0000000000-00000000.hv1")) << log;
     }
   }
-  std::printf("format 1: %zu damaged files, %zu messages held, %zu in doubt\n", images, held, doubt);
+  std::printf("format 1: %zu damaged files, %zu messages held, %zu in doubt\n", images, held_count, doubtful);
 }
 
 // Checksums of format 1 have no salt, so the body of a message can contain valid frames. They must not count
--- a/tests/store/tool_test.cpp
+++ b/tests/store/tool_test.cpp
@@ -93,27 +93,29 @@
     m.repeat = true;
     return m;
   }
-  static void accept(Store& s, const std::string& id, const std::string& body) {
+  static void accept(Store& store, const std::string& id, const std::string& body) {
     const auto m = message(id, body);
-    ASSERT_TRUE(s.admit(m));
-    s.accept(s.next_number(), m);
-    ASSERT_TRUE(s.commit());
+    ASSERT_TRUE(store.admit(m));
+    store.accept(store.next_number(), m);
+    ASSERT_TRUE(store.commit());
   }
   // Three messages in the first segment, the third of them finished; one message and a fact in the second.
   void fill() {
     {
       const auto disk = open_folder(folder);
-      Store s(*disk, options());
-      accept(s, "first", "BODY-1"), accept(s, "second", every_byte()), accept(s, "third", "BODY-3");
-      s.sent(1, s.clock().now(), 2), s.outcome(1, 0, Outcome::rejected), s.sent(1, s.clock().now(), 1);
-      s.give_up(2, {true, 1'500'000}), s.finish(3);
-      ASSERT_TRUE(s.commit());
+      Store store(*disk, options());
+      accept(store, "first", "BODY-1"), accept(store, "second", every_byte()),
+          accept(store, "third", "BODY-3");
+      store.sent(1, store.clock().now(), 2), store.outcome(1, 0, Outcome::rejected),
+          store.sent(1, store.clock().now(), 1);
+      store.give_up(2, {true, 1'500'000}), store.finish(3);
+      ASSERT_TRUE(store.commit());
     }
     const auto disk = open_folder(folder);
-    Store s(*disk, options());
-    accept(s, "fourth", "BODY-4");
-    s.set_fact("drain/x", "41");
-    ASSERT_TRUE(s.commit());
+    Store store(*disk, options());
+    accept(store, "fourth", "BODY-4");
+    store.set_fact("drain/x", "41");
+    ASSERT_TRUE(store.commit());
   }
   static std::string every_byte() {
     std::string all = "BODY-2";
@@ -192,8 +194,8 @@
 TEST_F(Tool, ClientsBytesAreEscaped) {
   {
     const auto disk = open_folder(folder);
-    Store s(*disk, options());
-    accept(s, "a\x1b[2Jb\xff", "x");
+    Store store(*disk, options());
+    accept(store, "a\x1b[2Jb\xff", "x");
   }
   EXPECT_EQ(run({"show", folder}), 0) << err;
   expect_output("a\\x1b[2Jb\\xff");
@@ -302,24 +304,24 @@
 TEST_F(Tool, RepairOfManyMessages) {
   {
     const auto disk = open_folder(folder);
-    Store s(*disk, options());
-    for (int i = 0; i < 100; i++) accept(s, "m" + std::to_string(i), std::string(3000, 'b'));
+    Store store(*disk, options());
+    for (int i = 0; i < 100; i++) accept(store, "m" + std::to_string(i), std::string(3000, 'b'));
   }
   EXPECT_EQ(run({"repair", folder, copy}), 0) << err;
   EXPECT_EQ(run({"verify", copy}), 0) << out;
   const auto disk = open_folder(copy);
-  const Store s(*disk, options());
-  EXPECT_EQ(s.held().size(), 100u);
-  EXPECT_GT(s.recovery().segments, 5u);
-  EXPECT_EQ(s.recovery().counts.missing, 0u);
+  const Store store(*disk, options());
+  EXPECT_EQ(store.held().size(), 100u);
+  EXPECT_GT(store.recovery().segments, 5u);
+  EXPECT_EQ(store.recovery().counts.missing, 0u);
 }
 
 // The volume fills up during the repair: no partial output may be left.
 TEST_F(Tool, FailedRepairRemovesItsOutput) {
   {
     const auto disk = open_folder(folder);
-    Store s(*disk, options());
-    for (int i = 0; i < 10; i++) accept(s, "m" + std::to_string(i), std::string(30'000, 'b'));
+    Store store(*disk, options());
+    for (int i = 0; i < 10; i++) accept(store, "m" + std::to_string(i), std::string(30'000, 'b'));
   }
   EXPECT_EQ(run({"repair", folder, copy}, {}, "trap '' XFSZ; ulimit -f 16; "), 2);
   expect_error("File too large");
@@ -346,13 +348,13 @@
 // The result of copying a folder file by file while the relay writes.
 TEST_F(Tool, CopyOfAFolderInUse) {
   const auto disk = open_folder(folder);
-  auto s = std::make_unique<Store>(*disk, options());
-  accept(*s, "first", "BODY-1");
+  auto store = std::make_unique<Store>(*disk, options());
+  accept(*store, "first", "BODY-1");
   fs::create_directory(copy);
   fs::copy(segment(1), copy / segment(1).filename());
-  accept(*s, "second", "BODY-2");
-  s = std::make_unique<Store>(*disk, options());
-  accept(*s, "third", "BODY-3");
+  accept(*store, "second", "BODY-2");
+  store = std::make_unique<Store>(*disk, options());
+  accept(*store, "third", "BODY-3");
   fs::copy(segment(2), copy / segment(2).filename());
   EXPECT_EQ(run({"verify", copy}), 1) << out << err;
   expect_output("cut off at byte " + std::to_string(fs::file_size(copy / segment(1).filename())));
@@ -382,7 +384,9 @@
 
 TEST_F(Tool, FormatOne) {
   const auto number = [](auto v) { return std::string(reinterpret_cast<const char*>(&v), sizeof v); };
-  const auto text = [&](const std::string& s) { return number(static_cast<std::uint32_t>(s.size())) + s; };
+  const auto text = [&](const std::string& store) {
+    return number(static_cast<std::uint32_t>(store.size())) + store;
+  };
   const auto frame = [&](const std::string& payload) {
     boost::crc_32_type crc;
     crc.process_bytes(payload.data(), payload.size());
@@ -402,9 +406,9 @@
   EXPECT_EQ(run({"repair", folder, copy}), 0) << err;
   {
     const auto disk = open_folder(copy);
-    const Store s(*disk, options());
-    ASSERT_EQ(s.held().size(), 2u);
-    EXPECT_EQ(s.held().at(2).attempts.size(), 1u);
+    const Store store(*disk, options());
+    ASSERT_EQ(store.held().size(), 2u);
+    EXPECT_EQ(store.held().at(2).attempts.size(), 1u);
   }
   put_content(folder / "journal", journal + frame("X" + number(MessageId{1})).substr(0, 12));
   EXPECT_EQ(run({"verify", folder}), 0) << err;
@@ -458,20 +462,20 @@
     const auto disk = open_folder(folder);
     auto o = options();
     o.limit_bytes = 400'000;  // small segments, much compaction
-    Store s(*disk, o);
+    Store store(*disk, o);
     std::deque<MessageId> open_messages;
     for (int i = 0; !stop; i++) {
       const auto m = message("m" + std::to_string(i), std::string(500, 'x'));
-      if (s.admit(m)) {
-        open_messages.push_back(s.next_number());
-        s.accept(open_messages.back(), m);
+      if (store.admit(m)) {
+        open_messages.push_back(store.next_number());
+        store.accept(open_messages.back(), m);
       }
       std::string finished_id;
       if (open_messages.size() > 40) {
         // One in ten stays, so compaction has records to move.
         const auto at = open_messages.begin() + (i % 10 == 0 ? 5 : 0);
-        finished_id = s.find(*at)->message.id;
-        s.finish(*at);
+        finished_id = store.find(*at)->message.id;
+        store.finish(*at);
         open_messages.erase(at);
       }
       // States that a kill could leave: a message is held from its commit on, and may be finished as soon as
@@ -480,12 +484,12 @@
         const std::lock_guard lock(mutex);
         if (!finished_id.empty()) held.erase(finished_id);
       }
-      if (!s.commit()) commit_failed = true;
+      if (!store.commit()) commit_failed = true;
       commits++;
-      while (s.wants_compaction() && s.compact() == Store::Step::more) {
+      while (store.wants_compaction() && store.compact() == Store::Step::more) {
       }
       const std::lock_guard lock(mutex);
-      if (!open_messages.empty() && s.find(open_messages.back())->message.id == m.id) held.insert(m.id);
+      if (!open_messages.empty() && store.find(open_messages.back())->message.id == m.id) held.insert(m.id);
       if (!finished_id.empty()) finished.insert(finished_id);
     }
   });
@@ -529,13 +533,13 @@
         std::system(("'" HERONVANE_STORE_TOOL "' restore '" + to + "' '" + again + "' >/dev/null").c_str()),
         0);
     const auto disk = open_folder(again);
-    Store s(*disk, options());
+    Store store(*disk, options());
     std::set<std::string> found;
-    for (const auto& [number, h] : s.held()) {
+    for (const auto& [number, h] : store.held()) {
       found.insert(h.message.id);
       EXPECT_TRUE(h.doubt) << h.message.id;
     }
-    EXPECT_TRUE(s.recovery().damaged.empty());
+    EXPECT_TRUE(store.recovery().damaged.empty());
     for (const auto& id : before.first)
       if (after.first.count(id) > 0) {
         EXPECT_EQ(found.count(id), 1u) << id << " is missing";
--- a/tests/store/workload.hpp
+++ b/tests/store/workload.hpp
@@ -22,7 +22,7 @@
 // Scales the number of a test's cases by HERONVANE_STORE_CASES (default 1); fewer under sanitizers.
 std::uint64_t scaled(std::uint64_t cases);
 
-std::uint64_t splitmix64(std::uint64_t x);  // splitmix64
+std::uint64_t splitmix64(std::uint64_t x);
 class RandomSource {
  public:
   explicit RandomSource(std::uint64_t seed) : state_(seed) {}
@@ -33,6 +33,7 @@
   std::uint64_t state_;
 };
 
+// A time: the number of operations that the MemoryDisk has done.
 using OperationCount = std::size_t;
 constexpr OperationCount kNever = std::numeric_limits<OperationCount>::max();
 
@@ -49,8 +50,8 @@
 };
 struct MessageHistory {
   Message message;
-  Step accepted, finished,
-      given_up;  // acted on: `accepted` when 202 is sent, `given_up` when the notification is sent
+  // `accepted` is acted on when 202 is sent, `given_up` when the notification is sent.
+  Step accepted, finished, given_up;
   OperationCount refused = kNever;  // when 503 was sent
   std::vector<AttemptHistory> attempts;
   Ending ending;
@@ -150,7 +151,7 @@
   MemoryDisk& disk_;
   Oracle& oracle_;
   Setting setting_;
-  RandomSource dice_;
+  RandomSource random_;
   Clocks clocks_;
   std::string log_;
   ManualSyncer syncer_;
@@ -160,7 +161,7 @@
     std::vector<std::function<void()>> actions;
   };
   std::vector<std::function<void()>> uncommitted_actions_;  // actions to take once the records are committed
-  std::vector<MessageId> accepted_this_round_;              // accepted in this round
+  std::vector<MessageId> accepted_this_round_;
   std::deque<WaitingActions> waiting_actions_;
   std::uint64_t counter_ = 0;
   bool large_bodies_ = false, finishing_ = false;
--- a/tests/stored_folder_test.cpp
+++ b/tests/stored_folder_test.cpp
@@ -1,5 +1,5 @@
-// A folder that an earlier release wrote, and was killed over, is recovered: no request is lost, none runs
-// twice that must not.
+// Recovers a folder that an earlier release wrote before it was killed: no request may be lost, and no
+// non-idempotent one may run twice.
 #include <algorithm>
 #include <chrono>
 #include <filesystem>
@@ -30,7 +30,7 @@
   return requests;
 }
 
-// The relay's wall clock is set back to the moment of the kill, so that the outcome does not hang on today.
+// Sets the relay's wall clock back to the time of the kill, so the outcome does not depend on today's date.
 std::string clock_step_to_kill() {
   std::int64_t killed_at = 0;
   std::ifstream(kStoredFolder + "/killed_at") >> killed_at;
@@ -46,7 +46,8 @@
                           std::filesystem::copy_options::recursive);
     faults = clock_step_to_kill();
   }
-  // Deadlines of 104 days: in the boot in which the folder was written its clock goes on without the step.
+  // Deadlines of 104 days: on the boot in which the folder was written, the persistent clock continues
+  // without the clock step.
   std::string settings() override {
     std::string text = RelayTest::settings();
     for (const std::string from : {"\"Deadline\":6000000,", "\"Deadline\":24000000,"})
@@ -56,7 +57,7 @@
   bool settled(const StoredRequest& r) const { return calls_of(r.id) > 0 || ended(r.id); }
 };
 
-TEST_F(StoredFolderTest, OfAKilledEarlierReleaseIsRecoveredWithNothingLostOrRunTwice) {
+TEST_F(StoredFolderTest, RecoversTheFolderOfAKilledEarlierRelease) {
   const std::vector<StoredRequest> requests = stored_requests();
   ASSERT_EQ(requests.size(), 28u);
   start();
@@ -65,7 +66,7 @@
         return std::all_of(requests.begin(), requests.end(),
                            [&](const StoredRequest& r) { return r.delivered() || settled(r); });
       },
-      "each request that was held is delivered or ended");
+      "each held request is delivered or ended");
   for (const StoredRequest& r : requests) {
     SCOPED_TRACE(r.id);
     const bool possibly_executed = r.calls_before_kill > 0;
@@ -77,7 +78,7 @@
     EXPECT_EQ(ended(r.id), !r.delivered() && possibly_executed && !r.idempotent());
     EXPECT_EQ(hand_in(r.id, r.message_class, "body of " + r.id, "8000000000m"), 202u);
   }
-  // None of those is called for being handed in again: each is known.
+  // None of the repeated requests causes a call: each is recognized.
   ASSERT_EQ(hand_in("new", "pay-and-order"), 202u);
   wait_for([&] { return calls_of("new") == 1; }, "a new request is delivered");
   for (const StoredRequest& r : requests) EXPECT_LE(calls_of(r.id), 1) << r.id;
--- a/tools/store/snapshot.cpp
+++ b/tools/store/snapshot.cpp
@@ -104,8 +104,8 @@
   const Folder folder = read(segments_folder);
   out << printable(to) << ": " << folder.contents.table.held().size() << " messages, "
       << folder.contents.table.remembered() << " ids, " << segments_of(segments_folder).size()
-      << " segments, "
-      << (tries == 1 ? "at the first try" : "after " + std::to_string(tries) + " tries") << '\n';
+      << " segments, " << (tries == 1 ? "at the first try" : "after " + std::to_string(tries) + " tries")
+      << '\n';
   if (folder.damaged())
     out << "the folder is damaged: see heronvane-store verify " << printable(segments_folder.string())
         << '\n';
