--- a/src/dispatcher.cpp
+++ b/src/dispatcher.cpp
@@ -1,5 +1,6 @@
-// The coordinator: events in, one decision pass, actions out. It decides nothing itself;
-// docs/design/decisions.md tells which owner decides what, and who may know whom.
+// Coordinates a decision pass: applies the events, runs the scheduler and collects the actions. Decides
+// nothing itself; docs/design/decisions.md lists which component owns each decision and which may depend on
+// which.
 #include "heronvane/dispatch/dispatcher.hpp"
 
 #include <algorithm>
@@ -39,7 +40,8 @@
     ActionSink sink(actions);
     WakeUp wake_up(now_ + settings_.min_decision_interval);
     DecisionPass pass{now_, settings_, random_, sink, wake_up};
-    for (const Event& event : events) std::visit([&](const auto& e) { apply(e, pass); }, event);
+    for (const Event& event : events)
+      std::visit([&](const auto& typed_event) { apply(typed_event, pass); }, event);
     if (settings_.list_subscription) list_polling_.poll_when_due(pass);
     scheduler_->run(pass);
     endpoints_.release_warmed_up(pass);
@@ -49,13 +51,13 @@
     timer_.set(pass);
   }
 
-  std::vector<LearnedState> take_changed_state(Microseconds now, std::size_t most) {
+  std::vector<LearnedState> take_changed_state(Microseconds now, std::size_t max_entries) {
     now_ = std::max(now_, now);
-    return endpoints_.checkpoint().take_changed(now_, most, endpoints_.registry());
+    return endpoints_.checkpoint().take_changed(now_, max_entries, endpoints_.registry());
   }
 
-  void endpoint_states(Microseconds now, std::size_t most, std::vector<LearnedState>& known) const {
-    endpoints_.checkpoint().observe(now_, now, most, endpoints_.registry(), known);
+  void endpoint_states(Microseconds now, std::size_t max_entries, std::vector<LearnedState>& states) const {
+    endpoints_.checkpoint().observe(now_, now, max_entries, endpoints_.registry(), states);
   }
 
   std::size_t queued_requests() const { return requests_.send_queue.size(); }
@@ -99,14 +101,14 @@
   void apply(const event::AttemptEnded& ended, DecisionPass& pass);
 
   void apply(const event::TimerExpired& /*expired*/, DecisionPass& pass) { timer_.record_expired(pass.now); }
-  // Health checks are real requests: their outcomes come as those of attempts.
+  // Health checks are ordinary requests, whose outcomes arrive as event::AttemptEnded.
   void apply(const event::HealthCheckEnded& /*ended*/, DecisionPass& /*pass*/) {}
 
   void unblock_destinations(const std::vector<Endpoint>& listed) {
     for (const Endpoint& endpoint : listed) requests_.send_queue.unblock(endpoint.destination);
   }
 
-  // In the order of their making: each refers to those before it.
+  // In the order of construction: members refer to those declared before them.
   const Settings settings_;
   Random random_;
   RequestState requests_;
@@ -120,7 +122,7 @@
   Microseconds now_ = 0;  // of the last pass
 };
 
-// The outcome goes to the endpoint first: the backoff of the retry follows from what it has taught.
+// Records the outcome at the endpoint first, because it determines the backoff of the retry.
 void Dispatcher::State::apply(const event::AttemptEnded& ended, DecisionPass& pass) {
   Request* const request = requests_.requests.find(ended.id);
   if (request == nullptr) return;
@@ -160,12 +162,13 @@
   state_->handle(now, events, actions);
 }
 
-std::vector<LearnedState> Dispatcher::take_changed_state(Microseconds now, std::size_t most) {
-  return state_->take_changed_state(now, most);
+std::vector<LearnedState> Dispatcher::take_changed_state(Microseconds now, std::size_t max_entries) {
+  return state_->take_changed_state(now, max_entries);
 }
 
-void Dispatcher::endpoint_states(Microseconds now, std::size_t most, std::vector<LearnedState>& known) const {
-  state_->endpoint_states(now, most, known);
+void Dispatcher::endpoint_states(Microseconds now, std::size_t max_entries,
+                                 std::vector<LearnedState>& states) const {
+  state_->endpoint_states(now, max_entries, states);
 }
 
 std::size_t Dispatcher::queued_requests() const { return state_->queued_requests(); }
--- a/src/endpoint_selection.cpp
+++ b/src/endpoint_selection.cpp
@@ -9,28 +9,29 @@
 
 // Cost of an endpoint that has an open call: below that of all others.
 constexpr double kCostOfOpenCall = -1;
-// Costs differ by up to this share at random, so that equal endpoints get equal parts.
+// Each cost is raised by a random share up to this, so that equal endpoints get equal load.
 constexpr double kCostSpread = 0.1;
 constexpr double kSlowStartCostFactor = 2;
 constexpr double kOtherZoneCost = 0.02;  // seconds
 // A recovered request is attempted at the latest when this share of its remaining time has passed.
 constexpr double kFirstAttemptTimeShare = 0.9;
 
-// Whether the endpoint may ever get the request, as things stand at both.
+// Whether the endpoint may serve the request at all, apart from limits and health.
 bool may_serve(const EndpointState& endpoint, const Request& request) {
   if (endpoint.info.listing != Listing::active) return false;
   const std::optional<int> zone = RetryPolicy::required_zone(request);
   return !zone || endpoint.info.zone == *zone;
 }
 
-// A recovered request that reached no endpoint yet goes at a moment of its own instead of by the admission
-// probability, unless its destination seems to be unavailable.
-bool goes_at_own_time(const Request& request, const RateLimitScope& limits, const Settings& settings) {
+// Whether the request is sent at a time drawn for it instead of by the admission probability: a recovered
+// request that reached no endpoint yet, unless its rate-limit scope is presumed unavailable.
+bool is_sent_at_drawn_time(const Request& request, const RateLimitScope& limits, const Settings& settings) {
   return request.unattempted && !limits.is_presumed_unavailable(settings);
 }
 
-// A health check whose call may be lost is no place for a request that must not run twice, while its latency
-// objective can still be met elsewhere.
+// Whether the request must not serve as a health check of this endpoint: it must not be executed twice, the
+// endpoint may lose the call as it did the last one, and another endpoint can still meet the latency
+// objective.
 bool risks_loss(const EndpointState& endpoint, const Request& request, Microseconds now) {
   return endpoint.health.is_ejected() && request.request_class->idempotency == Idempotency::non_idempotent &&
          endpoint.evidence.last_failure_possibly_executed() && now < request.objective_at;
@@ -66,15 +67,16 @@
 bool EndpointSelection::needs_admission(const Request& request, EndpointState& endpoint,
                                         const DecisionPass& pass) {
   if (endpoint.batching.has_room(pass.now) || !endpoint.health.is_healthy()) return false;
-  return !goes_at_own_time(request, endpoint.limits(), pass.settings);
+  return !is_sent_at_drawn_time(request, endpoint.limits(), pass.settings);
 }
 
 bool EndpointSelection::is_eligible(Request& request, EndpointState& endpoint, Ineligibility& reasons,
                                     DecisionPass& pass) {
   if (!may_serve(endpoint, request)) return false;
   const RateLimitScope& limits = endpoint.limits();
-  const Microseconds held_until =
-      goes_at_own_time(request, limits, pass.settings) ? limits.retry_after_until() : limits.held_until();
+  const Microseconds held_until = is_sent_at_drawn_time(request, limits, pass.settings)
+                                      ? limits.retry_after_until()
+                                      : limits.held_until();
   if (held_until > pass.now) {
     reasons.until(held_until);
     return false;
@@ -89,7 +91,7 @@
   endpoints_.advance_health(endpoint, pass);
   const Microseconds ready_at =
       std::max(endpoints_.budget_ready_at(endpoint, pass.now), limits.send_rate_ready_at());
-  // Its health changes with time, whatever else keeps requests from it.
+  // The health changes with time, whatever else blocks the endpoint.
   if (!endpoint.health.is_healthy()) reasons.until(endpoints_.health_ends_at(endpoint));
   if (ready_at > pass.now) {
     reasons.until(ready_at);
@@ -104,13 +106,13 @@
     if (endpoint.is_on_trial()) reasons.awaits_health_check = true;
     return false;
   }
-  if (!endpoint.health.is_healthy() || !goes_at_own_time(request, limits, pass.settings)) return true;
+  if (!endpoint.health.is_healthy() || !is_sent_at_drawn_time(request, limits, pass.settings)) return true;
   return is_first_attempt_due(request, limits, reasons, pass);
 }
 
-// The first attempt comes at a moment drawn evenly from the time that is left: the admission probabilities of
-// hundreds of relays that restarted together are far below one call each in that time, while what they have
-// to attempt is bounded by what they held.
+// The time of the first attempt is drawn uniformly from the time that is left. Admission probabilities would
+// be too low: with hundreds of relays that restarted together they allow each far less than one call in that
+// time, while the number of requests to attempt is bounded by what the relays held.
 bool EndpointSelection::is_first_attempt_due(Request& request, const RateLimitScope& limits,
                                              Ineligibility& reasons, DecisionPass& pass) const {
   if (limits.admission().probability(pass.now) >= 1 || limits.serves_this_relay(pass.now)) return true;
@@ -126,7 +128,8 @@
   return false;
 }
 
-// In seconds: the expected wait there, raised by the fee of its zone, and the distance.
+// In seconds: the expected wait at the endpoint, raised by the fee of its zone, plus kOtherZoneCost where it
+// is in another zone than this relay.
 double EndpointSelection::cost(const EndpointState& endpoint, const Settings& settings) {
   const auto zone = static_cast<std::size_t>(endpoint.info.zone);
   const bool has_fee = endpoint.has_own_limits && zone < settings.zone_costs.size();
--- a/src/endpoint_selection.hpp
+++ b/src/endpoint_selection.hpp
@@ -1,7 +1,7 @@
-// Which endpoint of its destination gets a request: those that are eligible now, and of them the cheapest.
+// Chooses which endpoint of its destination gets a request: the cheapest of those that are eligible now.
 //
-// Owns nothing but refers to the owners of requests and endpoints, which must outlive it. Asking moves an
-// endpoint's health on where its time is up, and draws.
+// Owns nothing but refers to the owners of requests and endpoints, which must outlive it. A choice ends
+// ejections and slow starts whose time is up, and draws random numbers.
 #pragma once
 
 #include <algorithm>
@@ -17,20 +17,20 @@
 
 namespace heronvane::dispatch {
 
-// Why the endpoints that were asked cannot get a request now, gathered over all of them. It holds for all
-// requests of the subqueue, unless `by_request_alone`; and until `retry_at`, unless something happens at the
-// destination or, where one is awaited, a health check is allowed.
+// Why the examined endpoints cannot get a request now, combined over all of them. Applies to all requests of
+// the subqueue, unless `by_request_alone`. Applies until `retry_at`, unless something happens at the
+// destination or, with `awaits_health_check`, a health check is allowed before.
 struct Ineligibility {
   Microseconds retry_at = kNever;
   bool by_request_alone = false;
   bool awaits_health_check = false;
 
   void until(Microseconds moment) { retry_at = std::min(retry_at, moment); }
-  // What it means for a request that no endpoint can get.
+  // The result for a request for which no endpoint is eligible.
   SendResult::Kind kind() const;
 };
 
-// Chooses an endpoint for a request. Refers to its owners, keeps nothing.
+// Chooses an endpoint for a request. Refers to the owners of requests and endpoints, keeps no state.
 class EndpointSelection {
  public:
   EndpointSelection(const RequestState& state, EndpointTracker& endpoints);
@@ -43,7 +43,7 @@
   // in their order.
   Choice choose(Request& request, const DestinationState& destination, DecisionPass& pass);
 
-  // Whether the destination's admission probability has to let a call to the endpoint pass.
+  // Whether a call to the endpoint is subject to the scope's admission probability.
   static bool needs_admission(const Request& request, EndpointState& endpoint, const DecisionPass& pass);
 
  private:
--- a/src/endpoint_tracker.cpp
+++ b/src/endpoint_tracker.cpp
@@ -23,7 +23,7 @@
       registry_(settings, backoff_scale_),
       slow_start_(settings, shortest_latency_objective_s),
       checkpoint_(settings, slow_start_),
-      // Endpoints of an unknown kind share one position behind the kinds.
+      // The additional last position is that of all endpoints of an unknown kind.
       shared_limits_(settings.kinds.size() + 1, shortest_latency_objective_s) {}
 
 Microseconds EndpointTracker::health_ends_at(const EndpointState& endpoint) const {
@@ -36,7 +36,8 @@
 }
 
 int EndpointTracker::call_limit(const EndpointState& endpoint, Microseconds now) const {
-  // Health checks are spaced; all of them together may hold a part of the slots only.
+  // Health checks of one endpoint are spaced in time; those of all endpoints together may hold only a part of
+  // the slots.
   if (endpoint.is_on_trial())
     return health_check_slots_.is_any_free(settings_) ? settings_.max_concurrent_calls : 0;
   const bool is_doubtful = endpoint.overdue_calls(now) > 0 || endpoint.evidence.consecutive_failures() > 0;
@@ -93,8 +94,9 @@
 void EndpointTracker::restore_health(EndpointState& endpoint, const LearnedState& state, Microseconds written,
                                      DecisionPass& pass) {
   constexpr double kMostBaselineRate = 1e9;  // calls a second
-  // It warms up whoever calls. But nobody made the health checks that would have kept it ejected; and it may
-  // have been ejected anew within the checkpoint's gap before the end.
+  // A slow start went on while this relay was down, because an endpoint warms up whichever relay calls it. An
+  // ejection did not age: this relay made no health checks that could have confirmed it. And it may have been
+  // confirmed once more in the last kCheckpointGapSeconds before the relay went down, which no record tells.
   const Microseconds time_in_health = bounded_duration(state.time_in_health);
   const Microseconds ejected_for =
       std::max<Microseconds>(0, time_in_health - microseconds(kCheckpointGapSeconds));
@@ -103,7 +105,8 @@
   endpoint.health.restore(pass, state.health, since, endpoint.info.id);
   endpoint.evidence.restore(state);
   endpoint.batching.restore(state.batch_size);
-  // No more than it could have grown to, and drawn as in eject().
+  // The budget is at most what the stored one could have grown to, and at most a random value drawn as in
+  // eject().
   endpoint.slow_start.begin(written, bounded(0.0, state.baseline_rate, kMostBaselineRate),
                             bounded(0.0, state.slow_start_budget, 1.0));
   endpoint.slow_start.limit_budget(pass.now, pass.random.uniform(), slow_start_, endpoint.recovery_phase());
@@ -117,7 +120,8 @@
     checkpoint_by(endpoint, pass.now);
   }
   if (result.is_last_of_call) endpoint.calls.end(result.call);
-  // A call that was cancelled in silence is a failure; one that was overtaken says nothing of the endpoint.
+  // A cancelled call is a failure where the endpoint has served nothing since the call was sent; otherwise it
+  // says nothing of the endpoint.
   const bool was_overtaken =
       ended.outcome == Outcome::cancelled && !endpoint.calls.is_silent_since(result.sent_at);
   const bool counts = !result.is_call_judged && ended.outcome != Outcome::not_sent && !was_overtaken;
@@ -196,7 +200,8 @@
     endpoint.latency.record_unanswered(elapsed);
     endpoint.connections.close_in_doubt(pass, endpoint.info.id);
   }
-  // Not where it may be a failure by chance: under a limit of calls, small batches would starve the rest.
+  // A failure that may be chance does not reduce the batch size: with a limit on calls, small batches would
+  // starve the other requests.
   if (background_failures_.run_beyond_chance() == 1 || endpoint.evidence.consecutive_failures() > 1)
     endpoint.batching.record_failed(batch_size);
   const FailureEvidence::Circumstances circumstances{endpoint.health.state(), outcome,
@@ -207,13 +212,14 @@
 }
 
 void EndpointTracker::note_connections_exhausted(EndpointState& endpoint, Outcome outcome, Microseconds now) {
-  // A connection fails while calls are out and answered: the endpoint's table of connections may be full.
+  // A connection failed while other calls are in flight and being answered: the endpoint's connection table
+  // may be full.
   if (outcome == Outcome::connect_failed && endpoint.evidence.consecutive_failures() == 0 &&
       !endpoint.calls.empty() && endpoint.overdue_calls(now) == 0 && endpoint.health.is_healthy())
     endpoint.concurrency.record_connections_exhausted(now, endpoint.calls.size());
 }
 
-void EndpointTracker::eject(EndpointState& endpoint, HealthChange why, DecisionPass& pass) {
+void EndpointTracker::eject(EndpointState& endpoint, HealthChange reason, DecisionPass& pass) {
   constexpr double kLeastBaselineOfFleet = 3;  // calls a second of all relays
   if (endpoint.health.is_healthy()) {
     const double baseline =
@@ -223,7 +229,7 @@
     settle_budget(endpoint, pass.now);
   }
   if (!endpoint.health.is_ejected()) checkpoint_by(endpoint, pass.now);
-  endpoint.health.apply(pass, why, endpoint.info.id);
+  endpoint.health.apply(pass, reason, endpoint.info.id);
   endpoint.slow_start.schedule_health_check(pass.now + draw_health_check_gap(endpoint, pass));
   update_health_check_slots(endpoint);
 }
@@ -234,12 +240,12 @@
   if (endpoint.health.is_slow_start()) {
     endpoint.health.apply(pass, HealthChange::warmed_up, endpoint.info.id);
     endpoint.evidence.clear();
-    // The health-check slots that this frees are for the next pass: which request comes first in this one was
-    // settled without them.
+    // Its health-check slots are freed for the next pass only: the order of requests in this pass was decided
+    // without them.
     warmed_up_.push_back(&endpoint);
   } else {
-    // Slow start follows health checks too that the budget never allowed: requests that waited must not go
-    // all at once.
+    // Slow start follows even where the budget allowed no health check, so that waiting requests are not all
+    // sent at once.
     endpoint.health.apply(pass, HealthChange::outage_expired, endpoint.info.id);
   }
   checkpoint_by(endpoint, pass.now);
--- a/src/endpoint_tracker.hpp
+++ b/src/endpoint_tracker.hpp
@@ -1,6 +1,6 @@
-// Learns from what happens at endpoints: the list that names them, the outcomes of their calls, gossip and
-// restored state. Owns all that is known of endpoints and destinations, and is the one place where an
-// endpoint is ejected or recovers.
+// Updates the state of endpoints from the endpoint list, the outcomes of calls, gossip and restored records.
+// Owns the state of all endpoints and destinations, and is the only place where an endpoint is ejected or
+// recovers.
 //
 // Not synchronised, used on the dispatcher's thread only.
 #pragma once
@@ -23,13 +23,13 @@
 
 namespace heronvane::dispatch {
 
-// Coordinates the owners of what is known of endpoints.
+// Coordinates the owners of endpoint state.
 class EndpointTracker {
  public:
   // `settings` must outlive it.
   EndpointTracker(const Settings& settings, double shortest_latency_objective_s);
 
-  // ---- What is known ----
+  // ---- Queries ----
 
   EndpointRegistry& registry() { return registry_; }
   const EndpointRegistry& registry() const { return registry_; }
@@ -38,11 +38,11 @@
   const BackoffScale& backoff_scale() const { return backoff_scale_; }
   const HealthCheckSlots& health_check_slots() const { return health_check_slots_; }
   double slowness() const { return slowness_.value(); }  // Slowness::value()
-  // When time alone ends the health of an endpoint that is not healthy.
+  // When the present health of an endpoint that is not healthy ends by time alone.
   Microseconds health_ends_at(const EndpointState& endpoint) const;
-  // When its slow-start budget lets a call go; `now` where it is healthy.
+  // When its slow-start budget allows the next call; `now` where it is healthy.
   Microseconds budget_ready_at(const EndpointState& endpoint, Microseconds now) const;
-  // Calls that may be in flight to it.
+  // The most calls that may be in flight to the endpoint.
   int call_limit(const EndpointState& endpoint, Microseconds now) const;
 
   // ---- Events ----
@@ -50,7 +50,7 @@
   void apply(const event::EndpointListSnapshot& list, DecisionPass& pass);
   void apply(const event::EndpointListUpdate& change, DecisionPass& pass);
   void apply(const event::GossipReceived& gossip, const DecisionPass& pass);
-  // Returns the endpoint where the record counts, null where it is ignored.
+  // Returns the endpoint that the record was applied to, or null where the record is ignored.
   EndpointState* apply(const event::LearnedStateRestored& record, DecisionPass& pass);
 
   struct EndedAttempt {
@@ -60,20 +60,22 @@
     bool is_last_of_call = false;  // all its requests have an outcome now
     bool is_call_judged = false;   // an outcome of the call was counted before
   };
-  // Returns whether the outcome of the call counts as evidence of the endpoint's health: once a call.
+  // Returns whether this outcome counted as evidence of the endpoint's health; at most one outcome of a call
+  // does.
   bool record_attempt(EndpointState& endpoint, const event::AttemptEnded& ended, const EndedAttempt& result,
                       DecisionPass& pass);
 
   // ---- Sends ----
 
-  // Moves the health on where its time is up. Before an endpoint's eligibility is asked for.
+  // Ends an ejection or slow start whose time is up. To be called before the endpoint's eligibility is
+  // checked.
   void advance_health(EndpointState& endpoint, DecisionPass& pass);
   void record_call_began(EndpointState& endpoint, CallId call, bool is_first_attempt, DecisionPass& pass);
 
   // ---- The end of a pass ----
 
-  // Frees the health-check slots of endpoints that warmed up in this pass; wakes up for those who may use
-  // them.
+  // Frees the health-check slots of endpoints that warmed up in this pass, and schedules the next pass, in
+  // which other endpoints may use them.
   void release_warmed_up(DecisionPass& pass);
   // Closes the idle connections of endpoints at which a call ended and which are rarely called.
   void close_rarely_used(DecisionPass& pass);
@@ -88,12 +90,12 @@
   void record_failed(EndpointState& endpoint, Outcome outcome, Microseconds elapsed, int batch_size,
                      DecisionPass& pass);
   static void note_connections_exhausted(EndpointState& endpoint, Outcome outcome, Microseconds now);
-  void eject(EndpointState& endpoint, HealthChange why, DecisionPass& pass);
+  void eject(EndpointState& endpoint, HealthChange reason, DecisionPass& pass);
   void restore_health(EndpointState& endpoint, const LearnedState& state, Microseconds written,
                       DecisionPass& pass);
   // Draws the pause before the next call to an ejected endpoint.
   Microseconds draw_health_check_gap(EndpointState& endpoint, DecisionPass& pass);
-  // After each change of an endpoint's health, its failures or its calls.
+  // To be called after each change of an endpoint's health, failures or calls.
   void update_health_check_slots(EndpointState& endpoint);
   void settle_budget(EndpointState& endpoint, Microseconds now);
   void checkpoint_by(EndpointState& endpoint, Microseconds moment);
--- a/src/indexed_scheduler.cpp
+++ b/src/indexed_scheduler.cpp
@@ -1,5 +1,5 @@
-// The scheduler that finds by index what a walk over all requests would find: requests that something
-// happened to, those whose time has come, and the most urgent of those that are eligible.
+// The product's scheduler. Finds by index, without a walk over all requests, those that an event concerned,
+// those that are due, and the most urgent of those that are eligible.
 #include <algorithm>
 #include <queue>
 #include <utility>
@@ -22,18 +22,18 @@
   void run(DecisionPass& pass) override;
 
  private:
-  // A call of this pass with room, and the most urgent request that may join it.
-  struct Joining {
+  // An endpoint with a call of this pass that has room, and the most urgent request that may join the call.
+  struct JoinCandidate {
     double urgency = 0;
     MessageId request = 0;
     EndpointState* endpoint = nullptr;
   };
   struct LessUrgent {
-    bool operator()(const Joining& a, const Joining& b) const {
+    bool operator()(const JoinCandidate& a, const JoinCandidate& b) const {
       return a.urgency != b.urgency ? a.urgency < b.urgency : a.request > b.request;
     }
   };
-  using JoiningQueue = std::priority_queue<Joining, std::vector<Joining>, LessUrgent>;
+  using JoinQueue = std::priority_queue<JoinCandidate, std::vector<JoinCandidate>, LessUrgent>;
 
   std::vector<MessageId> requests_to_end(bool slots_short, const DecisionPass& pass);
   void end_or_cancel(const std::vector<MessageId>& ids, bool slots_short, DecisionPass& pass);
@@ -41,7 +41,7 @@
   std::vector<Request*> send_most_urgent(DecisionPass& pass);
   void hold_back(Request& request, const SendResult& result);
   void fill_open_calls(DecisionPass& pass);
-  void push_joining(EndpointState& endpoint, JoiningQueue& queue, const DecisionPass& pass) const;
+  void push_join_candidate(EndpointState& endpoint, JoinQueue& queue, const DecisionPass& pass) const;
   void shed_load(std::size_t in_flight, DecisionPass& pass);
   void schedule_reevaluation(const DecisionPass& pass);
   double urgency(const SendQueue::Entry& entry, const DecisionPass& pass) const;
@@ -50,8 +50,8 @@
   RequestLifecycle& lifecycle_;
   const CallCancellation& cancellation_;
   RequestSender& sender_;
-  std::vector<MessageId> ended_;                       // in this pass
-  std::vector<SendQueue::SubqueueKey> finds_no_room_;  // in the open calls of this pass
+  std::vector<MessageId> ended_;                                // in this pass
+  std::vector<SendQueue::SubqueueKey> subqueues_without_room_;  // in the open calls of this pass
 };
 
 void IndexedScheduler::run(DecisionPass& pass) {
@@ -74,8 +74,8 @@
   pass.wake_up.no_later_than(state_.send_queue.next_recheck());
 }
 
-// The requests that may have to be ended or cancelled, by id. Puts the other pending ones into the send
-// queue.
+// Returns the ids, ascending, of requests that may have to be ended or cancelled. Adds the other pending
+// requests to the send queue where they are ready.
 std::vector<MessageId> IndexedScheduler::requests_to_end(bool slots_short, const DecisionPass& pass) {
   std::vector<MessageId> found;
   if (pass.settings.cancellation) found = cancellation_.overdue(slots_short);
@@ -113,7 +113,7 @@
     state_.send_queue.enqueue(request, subqueue_of(request));
 }
 
-// Returns those that were tried in vain and are to be tried again in the next pass.
+// Returns the requests that could not be sent and are tried again in the next pass.
 std::vector<Request*> IndexedScheduler::send_most_urgent(DecisionPass& pass) {
   const auto by_urgency = [&](const SendQueue::Entry& entry) { return urgency(entry, pass); };
   std::vector<Request*> retried;
@@ -134,8 +134,8 @@
   return retried;
 }
 
-// Keeps a request that cannot be sent, and what cannot be sent for the same reason, out of the further
-// choice.
+// Excludes a request that cannot be sent, and all that cannot be sent for the same reason, from further
+// selection.
 void IndexedScheduler::hold_back(Request& request, const SendResult& result) {
   switch (result.kind) {
     case SendResult::Kind::sent:
@@ -155,33 +155,34 @@
   }
 }
 
-// Calls that were started in this pass may have room for more requests, even where all slots are taken.
+// Adds requests to calls that were started in this pass and have room, even where all slots are taken.
 void IndexedScheduler::fill_open_calls(DecisionPass& pass) {
-  JoiningQueue queue;
-  finds_no_room_.clear();
-  for (EndpointState* const endpoint : sender_.take_open_endpoints()) push_joining(*endpoint, queue, pass);
+  JoinQueue queue;
+  subqueues_without_room_.clear();
+  for (EndpointState* const endpoint : sender_.take_open_endpoints())
+    push_join_candidate(*endpoint, queue, pass);
   while (!queue.empty()) {
-    const Joining next = queue.top();
+    const JoinCandidate next = queue.top();
     queue.pop();
     Request* const request = state_.requests.find(next.request);
     const bool may_join =
         request != nullptr && request->subqueue() != nullptr && next.endpoint->batching.has_room(pass.now);
     if (may_join) {
       const SendQueue::SubqueueKey key = subqueue_of(*request);
-      const bool is_excluded =
-          std::find(finds_no_room_.begin(), finds_no_room_.end(), key) != finds_no_room_.end();
-      if (!is_excluded && !sender_.try_send(*request, pass).is_sent()) finds_no_room_.push_back(key);
+      const bool is_excluded = std::find(subqueues_without_room_.begin(), subqueues_without_room_.end(),
+                                         key) != subqueues_without_room_.end();
+      if (!is_excluded && !sender_.try_send(*request, pass).is_sent()) subqueues_without_room_.push_back(key);
     }
-    push_joining(*next.endpoint, queue, pass);
+    push_join_candidate(*next.endpoint, queue, pass);
   }
 }
 
-void IndexedScheduler::push_joining(EndpointState& endpoint, JoiningQueue& queue,
-                                    const DecisionPass& pass) const {
+void IndexedScheduler::push_join_candidate(EndpointState& endpoint, JoinQueue& queue,
+                                           const DecisionPass& pass) const {
   if (!endpoint.batching.has_room(pass.now)) return;
   const auto by_urgency = [&](const SendQueue::Entry& entry) { return urgency(entry, pass); };
   const auto* const entry =
-      state_.send_queue.most_urgent_for(endpoint.info.destination, by_urgency, finds_no_room_);
+      state_.send_queue.most_urgent_for(endpoint.info.destination, by_urgency, subqueues_without_room_);
   if (entry != nullptr) queue.push({urgency(*entry, pass), entry->id, &endpoint});
 }
 
--- a/src/send_queue.cpp
+++ b/src/send_queue.cpp
@@ -29,7 +29,8 @@
   return {};
 }
 
-// Goes on from the entry's present phase to the one that holds at `at`, and notes when that ends.
+// Advances the entry from its present phase to the one that contains `at`, and schedules the end of that
+// phase.
 void SendQueue::enter_phase(Entry& entry, Microseconds at) {
   while (phase_queues_[entry.place.phase_].until <= at - entry.objective_at) entry.place.phase_++;
   const Microseconds until = phase_queues_[entry.place.phase_].until;
@@ -100,7 +101,7 @@
   }
 }
 
-// The heads among which the subqueue's first entry of the phase stands; null while it is blocked.
+// The set of heads that holds the subqueue's first entry of the phase; null while the subqueue is blocked.
 SendQueue::Keys* SendQueue::heads_of(const Subqueue& subqueue, std::size_t phase) {
   switch (subqueue.eligibility_) {
     case Eligibility::eligible:
@@ -205,7 +206,7 @@
   unblock_if(destination, [](const Entry&) { return true; });
 }
 
-// Puts a deferred entry back among the others of its subqueue; returns the next deferred one.
+// Puts a deferred entry back into the phases of its subqueue; returns the next deferred entry.
 SendQueue::Deferred::iterator SendQueue::restore(Subqueue& subqueue, Deferred::iterator deferred) {
   Entry& entry = *deferred->item;
   entry.place.deferred_ = false;
--- a/src/send_queue.hpp
+++ b/src/send_queue.hpp
@@ -1,12 +1,12 @@
-// The requests that wait to be sent, in the order in which they are to go, found without walking them all.
+// The requests that wait to be sent, indexed so that the most urgent one is found without a walk over all of
+// them.
 //
-// Each request that waits is added, and may stand in a subqueue: a subqueue holds those requests of one
-// destination that are eligible for a send, or blocked, all alike. The most urgent request is looked for
-// among the subqueues that are not blocked; a blocked one is looked at again when something happens at its
-// destination or at the time told when it was blocked. Each change costs the logarithm of how many requests
-// wait.
+// Each waiting request is added, and may be in one subqueue: a subqueue holds requests of one destination
+// that are eligible or blocked together. The most urgent request is searched for among the subqueues that are
+// not blocked; a blocked subqueue is rechecked when something happens at its destination, or at the time
+// given when it was blocked. Each change costs O(log n) for n waiting requests.
 //
-// Makes no decision: how urgent a request is, and whether a subqueue is blocked, the caller says.
+// Makes no decision: the caller supplies the urgency of a request and says whether a subqueue is blocked.
 //
 // Owns the subqueues; the entries belong to the caller and must stay at their addresses while they are added.
 // Not synchronised, used on the dispatcher's thread only.
@@ -34,7 +34,7 @@
   class Subqueue;
   struct Entry;
 
-  // Where an entry stands in the queue; read and written by the queue alone.
+  // The position of an entry in the queue. Read and written only by the queue.
   class Place {
     friend class SendQueue;
     friend struct Entry;
@@ -46,7 +46,7 @@
     Microseconds deferred_until_ = kNever;
   };
 
-  // A request as the queue sees it.
+  // The part of a request that the queue uses.
   struct Entry {
     MessageId id = 0;
     Microseconds objective_at = 0;  // the moment of its latency objective
@@ -63,14 +63,13 @@
     static constexpr int kAnyZone = -1;
 
     DestinationId destination = 0;
-    int zone = kAnyZone;          // whose endpoints alone may serve it
-    bool non_idempotent = false;  // its requests must not run twice
+    int zone = kAnyZone;          // only its endpoints may serve the requests
+    bool non_idempotent = false;  // the requests must not be executed twice
     bool unattempted = false;     // recovered, and no attempt has reached an endpoint
     bool operator==(const SubqueueKey&) const = default;
   };
 
-  // `phases_by_group`: by order group, the phases in the order of their times; the first begins before any
-  // time.
+  // `phases_by_group`: the phases of each order group, ascending by time; the first begins at -kNever.
   explicit SendQueue(const std::vector<std::vector<OrderPhase>>& phases_by_group);
   SendQueue(const SendQueue&) = delete;
   SendQueue& operator=(const SendQueue&) = delete;
@@ -88,18 +87,17 @@
   // Moves entries into the phases that have begun by `at`.
   void advance_phases(Microseconds at);
 
-  // No request of the subqueue is eligible before `recheck_at`, or until something happens at its
-  // destination.
+  // Makes all requests of the subqueue ineligible until `recheck_at` or until its destination is unblocked.
   void block(Subqueue& subqueue, Microseconds recheck_at);
-  // The same, but its requests become eligible as soon as a health check is allowed.
+  // As block(), but the requests become eligible as soon as a health check is allowed.
   void block_until_health_check(Subqueue& subqueue, Microseconds recheck_at);
-  // This entry alone is not eligible before `until`; its subqueue stays as it is.
+  // Makes only this entry ineligible before `until`; the rest of its subqueue is not affected.
   void defer(Entry& entry, Microseconds until);
-  // Makes eligible what was to be looked at again by `now`.
+  // Makes eligible the subqueues and deferred entries whose recheck is due by `now`.
   void unblock_due(Microseconds now);
   // When unblock_due has something to do next; kNever where nothing is due by time alone.
   Microseconds next_recheck() const;
-  // Makes all requests of the destination eligible, those that were deferred, too.
+  // Makes all requests of the destination eligible, including deferred ones.
   void unblock(DestinationId destination);
   // Makes the destination's subqueues eligible, and those deferred entries for which `eligible_again(entry)`.
   template <class Predicate>
@@ -108,17 +106,19 @@
   std::size_t size() const { return size_; }
   std::size_t subqueues() const { return subqueue_count_; }
 
-  // In the following, `urgency(entry)` is a double that must keep to the order of the phases.
+  // In the functions below `urgency(entry)` is a double, and must order the entries of a group as their phase
+  // does.
 
-  // The most urgent entry that is eligible, of equal ones the lowest id; null where there is none. With
-  // `health_check_allowed`, those that wait for a health check are eligible, too.
+  // The most urgent eligible entry, of equally urgent ones that with the lowest id; null where there is none.
+  // With `health_check_allowed`, entries that wait for a health check are eligible, too.
   template <class Urgency>
   Entry* most_urgent(const Urgency& urgency, bool health_check_allowed) const;
-  // The same in the eligible subqueues of one destination, but for those with a key in `excluded`.
+  // The same among the eligible subqueues of one destination, except those with a key in `excluded`.
   template <class Urgency>
   Entry* most_urgent_for(DestinationId destination, const Urgency& urgency,
                          const std::vector<SubqueueKey>& excluded) const;
-  // At most `count` of all that are added, the least urgent first, of equal ones the highest id.
+  // At most `count` of all added entries, the least urgent first, of equally urgent ones the highest id
+  // first.
   template <class Urgency>
   std::vector<Entry*> least_urgent(std::size_t count, const Urgency& urgency) const;
 
@@ -144,7 +144,7 @@
     Keys awaiting_heads;
   };
 
-  // An entry or a subqueue, by the moment at which it is looked at again.
+  // An entry or a subqueue, ordered by the moment at which it is due.
   template <class Item>
   struct Timed {
     Microseconds at = 0;
@@ -166,7 +166,7 @@
    private:
     const Urgency& urgency_;
     Entry* entry_ = nullptr;
-    double most_ = 0;
+    double highest_urgency_ = 0;
   };
 
   Key key_of(Entry& entry) const;
@@ -225,10 +225,11 @@
 template <class Urgency>
 void SendQueue::MostUrgent<Urgency>::consider(Entry& candidate) {
   const double urgency = urgency_(candidate);
-  const bool better = entry_ == nullptr || urgency > most_ || (urgency == most_ && candidate.id < entry_->id);
+  const bool better = entry_ == nullptr || urgency > highest_urgency_ ||
+                      (urgency == highest_urgency_ && candidate.id < entry_->id);
   if (!better) return;
   entry_ = &candidate;
-  most_ = urgency;
+  highest_urgency_ = urgency;
 }
 
 template <class Urgency>
@@ -258,7 +259,7 @@
 
 template <class Urgency>
 std::vector<SendQueue::Entry*> SendQueue::least_urgent(std::size_t count, const Urgency& urgency) const {
-  struct Tail {  // of one phase queue, what was not taken yet
+  struct Tail {  // the entries of one phase queue that were not taken yet
     Keys::const_reverse_iterator next;
     Keys::const_reverse_iterator end;
   };
