--- a/src/backoff.cpp
+++ b/src/backoff.cpp
@@ -33,7 +33,8 @@
 }
 
 void Backoff::increase(Microseconds now) {
-  // Failures reported in one pass are one event: else calls that were out together would multiply the delay.
+  // Failures reported in one pass count once, so that calls that were in flight together do not increase the
+  // delay repeatedly.
   if (delay_ > 0 && changed_at_ == now) {
     return;
   }
--- a/src/backoff.hpp
+++ b/src/backoff.hpp
@@ -18,7 +18,7 @@
 
   double increased(double delay_s) const;
   double decreased(double delay_s) const;
-  // A delay that went unused for `age` halves every kHalfLifeUnits.
+  // The delay after `age` without use: it halves every kHalfLifeUnits units.
   double aged(double delay_s, Microseconds age) const;
   // How long `delay_s`, at least least(), takes to age to least().
   double seconds_until_least(double delay_s) const;
@@ -44,14 +44,13 @@
 
   // The delay in seconds, as aged until `now`; 0 where no failure is remembered.
   double value(Microseconds now) const;
-  // False once successes have cleared the delay; one that merely aged away still counts as remembered.
+  // Whether a delay is kept, even one that has aged to 0; a success after that clears it.
   bool remembers_failure() const { return delay_ > 0; }
 
   void increase(Microseconds now);
   void decrease(Microseconds now);
 
-  // What is worth storing of a delay: 0 for one that does not exceed the least, which every retry waits
-  // anyway.
+  // The delay as it is stored: 0 where it does not exceed least(), which every retry waits anyway.
   double worth_keeping(double delay_s) const;
   // Takes the longer of the present delay and one that was stored at `written`. `replaces`: the record is
   // newer than all that were taken before, and the present delay does not count.
--- a/src/call_sender.cpp
+++ b/src/call_sender.cpp
@@ -8,7 +8,7 @@
 namespace heronvane::dispatch {
 namespace {
 
-// The shortest time-outs, in latency objectives. A time-out loses a request that must not run twice.
+// The shortest time-outs, in latency objectives. Longer for non-idempotent requests, which a time-out loses.
 constexpr double kLeastTimeoutObjectives = 2.5;
 constexpr double kLeastTimeoutObjectivesNonIdempotent = 5;
 
@@ -26,7 +26,7 @@
   if (choice.endpoint == nullptr) return {choice.ineligibility.kind(), retry_at};
   EndpointState& endpoint = *choice.endpoint;
   if (EndpointSelection::needs_admission(request, endpoint, pass) && !endpoint.limits().admit(pass)) {
-    // Another endpoint may take it in the next pass.
+    // Another endpoint may admit the request in the next pass.
     if (destination->endpoints.size() > 1) pass.wake_up.no_later_than(pass.now);
     return {SendResult::Kind::retry_next_pass, retry_at};
   }
@@ -62,7 +62,8 @@
   unblock_followers(request, pass.now);
 }
 
-// Requests that come after the first one of a call may join it, whatever kept them back before.
+// Requests that follow the first one of a call in order of urgency may join the call, whatever blocked them
+// before.
 void CallSender::unblock_followers(const Request& first, Microseconds now) {
   const Microseconds delivery = Priority::expected_delivery(now);
   const double first_urgency = state_.priority.urgency(first.weight_curve(), delivery);
--- a/src/call_sender.hpp
+++ b/src/call_sender.hpp
@@ -1,4 +1,5 @@
-// Sends requests: chooses the endpoint, starts a call or joins an open one, and tells all owners of it.
+// Sends requests: chooses the endpoint, starts a call or joins an open one, and updates the state of all
+// owners concerned.
 //
 // Owns the list of the calls of this pass that more requests may join. Refers to the owners of requests and
 // endpoints, which must outlive it. Not synchronised, used on the dispatcher's thread only.
--- a/src/checkpoint.cpp
+++ b/src/checkpoint.cpp
@@ -9,7 +9,7 @@
 namespace heronvane::dispatch {
 namespace {
 
-// Whether a stored number is so far off that the change is worth giving.
+// Whether two values differ by enough to be stored again.
 bool differs(double a, double b) {
   constexpr double kLeastChange = 0.2;
   return std::abs(a - b) > kLeastChange * std::max(a, b);
@@ -46,7 +46,7 @@
   state.endpoint = endpoint.info.id;
   state.destination = endpoint.info.destination;
   scope.limits.save(now, settings_, state);
-  // That slow start is over is noticed with the next request only.
+  // The end of slow start is recorded only with the next request, so it is checked here.
   const EndpointHealth& health = endpoint.health;
   const bool has_warmed_up = health.is_slow_start() && now >= health.ends_at(slow_start_.window());
   if (health.is_healthy() || has_warmed_up) return state;
@@ -66,23 +66,23 @@
                              const LearnedState& state, Microseconds now) {
   const EndpointMark& mark = endpoint.checkpoint;
   if (state.blank() || !mark.is_stored_) return state.blank() == mark.is_stored_;
-  const Microseconds age = now - mark.given_at_;
-  const LearnedState& given = mark.given_;
+  const Microseconds age = now - mark.returned_at_;
+  const LearnedState& returned = mark.returned_;
   return (state.health != Health::healthy && endpoint.health.since() != mark.health_since_) ||
-         state.consecutive_rejections != given.consecutive_rejections ||
-         differs(state.backoff_delay, scope.limits.stored_delay_after(given.backoff_delay, age)) ||
-         differs(state.send_rate, given.send_rate) ||
-         differs(state.admission_probability, Admission::recovered(given.admission_probability, age));
+         state.consecutive_rejections != returned.consecutive_rejections ||
+         differs(state.backoff_delay, scope.limits.stored_delay_after(returned.backoff_delay, age)) ||
+         differs(state.send_rate, returned.send_rate) ||
+         differs(state.admission_probability, Admission::recovered(returned.admission_probability, age));
 }
 
-Microseconds Checkpoint::give_at(const EndpointState& endpoint, const ScopeState& scope,
-                                 const LearnedState& state, Microseconds now) {
+Microseconds Checkpoint::due_for_return_at(const EndpointState& endpoint, const ScopeState& scope,
+                                           const LearnedState& state, Microseconds now) {
   const EndpointMark& mark = endpoint.checkpoint;
   const bool waits_longer =
       state.retry_after_left > 0 && now + state.retry_after_left > mark.retry_after_until_;
-  if (state.health != mark.given_.health || waits_longer) return now;
+  if (state.health != mark.returned_.health || waits_longer) return now;
   if (!has_changed(endpoint, scope, state, now)) return kNever;
-  return std::max(now, mark.given_at_ + microseconds(kCheckpointGapSeconds));
+  return std::max(now, mark.returned_at_ + microseconds(kCheckpointGapSeconds));
 }
 
 Microseconds Checkpoint::blank_at(const EndpointState& endpoint, const ScopeState& scope,
@@ -95,42 +95,44 @@
   return at + kRoundingMargin;
 }
 
-std::vector<LearnedState> Checkpoint::take_changed(Microseconds now, std::size_t most,
+std::vector<LearnedState> Checkpoint::take_changed(Microseconds now, std::size_t max_entries,
                                                    EndpointRegistry& registry) {
-  std::vector<LearnedState> given;
-  for (; !forgotten_.empty() && given.size() < most; forgotten_.pop_front())
-    given.push_back(std::move(forgotten_.front()));
-  while (given.size() < most && !due_.empty() && due_.begin()->at <= now) {
+  std::vector<LearnedState> returned;
+  for (; !forgotten_.empty() && returned.size() < max_entries; forgotten_.pop_front())
+    returned.push_back(std::move(forgotten_.front()));
+  while (returned.size() < max_entries && !due_.empty() && due_.begin()->at <= now) {
     const Due due = std::move(due_.extract(due_.begin()).value());
     if (due.is_endpoint) {
       EndpointState& endpoint = registry.at(due.endpoint);
       endpoint.own_scope.checkpoint.due_at_ = kNever;
-      if (endpoint.has_own_limits) give_scope(endpoint.own_scope, {&endpoint}, most, now, given);
+      if (endpoint.has_own_limits)
+        collect_changes(endpoint.own_scope, {&endpoint}, max_entries, now, returned);
     } else {
       DestinationState& destination = registry.at(due.destination);
       destination.scope.checkpoint.due_at_ = kNever;
-      give_scope(destination.scope, destination.endpoints, most, now, given);
+      collect_changes(destination.scope, destination.endpoints, max_entries, now, returned);
     }
   }
-  return given;
+  return returned;
 }
 
-void Checkpoint::give_scope(ScopeState& scope, const std::vector<EndpointState*>& endpoints, std::size_t most,
-                            Microseconds now, std::vector<LearnedState>& given) {
+void Checkpoint::collect_changes(ScopeState& scope, const std::vector<EndpointState*>& endpoints,
+                                 std::size_t max_entries, Microseconds now,
+                                 std::vector<LearnedState>& returned) {
   scope.checkpoint.may_be_stored_ = false;
   scope.checkpoint.examined_at_ = now;
   for (EndpointState* const endpoint : endpoints) {
     if (&endpoint->scope() != &scope) continue;  // it has its own limits
     EndpointMark& mark = endpoint->checkpoint;
     LearnedState state = state_of(*endpoint, scope, now);
-    Microseconds next = give_at(*endpoint, scope, state, now);
-    if (next <= now && given.size() < most) {
+    Microseconds next = due_for_return_at(*endpoint, scope, state, now);
+    if (next <= now && returned.size() < max_entries) {
       mark.is_stored_ = !state.blank();
-      mark.given_at_ = now;
+      mark.returned_at_ = now;
       mark.health_since_ = endpoint->health.since();
       mark.retry_after_until_ = now + state.retry_after_left;
-      mark.given_ = state;
-      given.push_back(std::move(state));
+      mark.returned_ = state;
+      returned.push_back(std::move(state));
       next = kNever;
     }
     scope.checkpoint.may_be_stored_ |= mark.is_stored_;
@@ -139,17 +141,17 @@
   }
 }
 
-void Checkpoint::observe(Microseconds now, Microseconds at, std::size_t most,
-                         const EndpointRegistry& registry, std::vector<LearnedState>& known) const {
+void Checkpoint::observe(Microseconds now, Microseconds at, std::size_t max_entries,
+                         const EndpointRegistry& registry, std::vector<LearnedState>& states) const {
   constexpr std::size_t kMoreOfThoseWithState = 4;
   for (const auto& [id, destination] : registry.destinations()) {
     for (const EndpointState* const endpoint : destination.endpoints) {
       if (endpoint->info.listing == Listing::gone || endpoint->info.destination != id) continue;
       const ScopeState& scope = endpoint->has_own_limits ? endpoint->own_scope : destination.scope;
       const bool is_blank = endpoint->health.is_healthy() && scope.limits.is_blank(at);
-      if (known.size() >= (is_blank ? most : kMoreOfThoseWithState * most)) continue;
-      LearnedState& state = known.emplace_back(state_of(*endpoint, scope, now));
-      // As of the last pass, but for what runs out by itself.
+      if (states.size() >= (is_blank ? max_entries : kMoreOfThoseWithState * max_entries)) continue;
+      LearnedState& state = states.emplace_back(state_of(*endpoint, scope, now));
+      // The state is as of the last pass, except the Retry-After, which runs out by time alone.
       state.retry_after_left =
           std::max<Microseconds>(0, scope.limits.retry_after_until() - std::max(at, now));
     }
--- a/src/checkpoint.hpp
+++ b/src/checkpoint.hpp
@@ -1,6 +1,6 @@
-// The learned state that outlasts the process: what of it has changed since it was last given to the store.
+// The learned state that outlives the process: what of it has changed since it was last returned for storing.
 //
-// Nothing here may change a decision: it draws nothing.
+// Nothing here may affect a decision; no random numbers are drawn.
 #pragma once
 
 #include <compare>
@@ -16,37 +16,38 @@
 
 namespace heronvane::dispatch {
 
-// Between two records of one endpoint that tell nothing urgent, in seconds.
+// The least time between two records of one endpoint without an urgent change, in seconds.
 constexpr double kCheckpointGapSeconds = 1;
 
-// Collects what changed since it was last given out to be stored.
+// Collects what changed since it was last returned for storing.
 class Checkpoint : public ForgottenListener {
  public:
   // Both must outlive it.
   Checkpoint(const Settings& settings, const SlowStartPolicy& slow_start)
       : settings_(settings), slow_start_(slow_start) {}
 
-  // Changes of the endpoint and of its scope are given out at `moment` at the latest.
+  // Changes of the endpoint and of its scope are due to be returned at `moment` at the latest.
   void schedule(EndpointState& endpoint, Microseconds moment);
-  // After each outcome: nearly always there is nothing to give, or it is due already.
+  // To be called after each outcome. Cheap, because mostly nothing has changed or a check is due already.
   void schedule_after_outcome(EndpointState& endpoint, Microseconds now);
-  // The store holds a record of the endpoint.
+  // Notes that the store holds a record of the endpoint.
   static void mark_stored(EndpointState& endpoint);
 
   // Dispatcher::take_changed_state.
-  std::vector<LearnedState> take_changed(Microseconds now, std::size_t most, EndpointRegistry& registry);
+  std::vector<LearnedState> take_changed(Microseconds now, std::size_t max_entries,
+                                         EndpointRegistry& registry);
   // Dispatcher::endpoint_states. `now`: of the last pass; `at`: of the observer.
-  void observe(Microseconds now, Microseconds at, std::size_t most, const EndpointRegistry& registry,
-               std::vector<LearnedState>& known) const;
+  void observe(Microseconds now, Microseconds at, std::size_t max_entries, const EndpointRegistry& registry,
+               std::vector<LearnedState>& states) const;
 
   void endpoint_forgotten(const EndpointState& endpoint) override;
   void destination_forgotten(DestinationId id, const DestinationState& destination) override;
 
-  // How many changes are kept to be given out.
+  // How many changes are kept to be returned.
   std::size_t size() const { return due_.size() + forgotten_.size(); }
 
  private:
-  // Names its scope by id: endpoints come and go.
+  // Refers to its scope by id, because endpoints and destinations may be forgotten.
   struct Due {
     Microseconds at = 0;
     bool is_endpoint = false;  // the scope is a single endpoint's
@@ -58,20 +59,20 @@
   };
 
   LearnedState state_of(const EndpointState& endpoint, const ScopeState& scope, Microseconds now) const;
-  void give_scope(ScopeState& scope, const std::vector<EndpointState*>& endpoints, std::size_t most,
-                  Microseconds now, std::vector<LearnedState>& given);
-  // When `state` may be given: now, later, or kNever where it tells nothing new.
-  static Microseconds give_at(const EndpointState& endpoint, const ScopeState& scope,
-                              const LearnedState& state, Microseconds now);
+  void collect_changes(ScopeState& scope, const std::vector<EndpointState*>& endpoints,
+                       std::size_t max_entries, Microseconds now, std::vector<LearnedState>& returned);
+  // When `state` may be returned: now, later, or kNever where it contains no change.
+  static Microseconds due_for_return_at(const EndpointState& endpoint, const ScopeState& scope,
+                                        const LearnedState& state, Microseconds now);
   static bool has_changed(const EndpointState& endpoint, const ScopeState& scope, const LearnedState& state,
                           Microseconds now);
-  // When what was given is blank with time alone; kNever where it takes more than that.
+  // When the stored state becomes blank by time alone; kNever where that takes more than time.
   Microseconds blank_at(const EndpointState& endpoint, const ScopeState& scope, Microseconds now) const;
 
   const Settings& settings_;
   const SlowStartPolicy& slow_start_;
-  std::set<Due> due_;                   // scopes with changes to give out, soonest first
-  std::deque<LearnedState> forgotten_;  // blank records of endpoints that were given and are forgotten
+  std::set<Due> due_;                   // scopes to be examined for changes, soonest first
+  std::deque<LearnedState> forgotten_;  // blank records of forgotten endpoints that the store still holds
 };
 
 }  // namespace heronvane::dispatch
--- a/src/checkpoint_marks.hpp
+++ b/src/checkpoint_marks.hpp
@@ -1,4 +1,4 @@
-// What the checkpoint notes of a rate-limit scope and of an endpoint. Only Checkpoint reads and writes it.
+// What Checkpoint records about a rate-limit scope and an endpoint. Only Checkpoint reads and writes it.
 #pragma once
 
 #include "heronvane/dispatch/dispatcher.hpp"
@@ -6,12 +6,12 @@
 
 namespace heronvane::dispatch {
 
-// When a scope is to be looked at again for changes worth storing.
+// When a scope is to be examined again for changes worth storing.
 class ScopeMark {
   friend class Checkpoint;
 
-  Microseconds due_at_ = kNever;        // when changes are to be given out
-  Microseconds examined_at_ = -kNever;  // when changes were last looked for
+  Microseconds due_at_ = kNever;        // when it is to be examined
+  Microseconds examined_at_ = -kNever;  // when it was last examined
   bool may_be_stored_ = false;          // the store may hold a record that is not blank
 };
 
@@ -20,10 +20,10 @@
   friend class Checkpoint;
 
   bool is_stored_ = false;  // a record that is not blank
-  Microseconds given_at_ = -kNever;
+  Microseconds returned_at_ = -kNever;
   Microseconds health_since_ = 0;
   Microseconds retry_after_until_ = 0;
-  LearnedState given_;
+  LearnedState returned_;
 };
 
 }  // namespace heronvane::dispatch
--- a/src/decision_pass.hpp
+++ b/src/decision_pass.hpp
@@ -19,11 +19,11 @@
  public:
   explicit Random(std::uint64_t seed) : engine_(seed) {}
 
-  // Evenly in [0, 1).
+  // Uniform in [0, 1).
   double uniform() { return static_cast<double>(engine_() >> 11) * 0x1.0p-53; }
 
-  // `value` times a factor drawn evenly from 1 - kJitter to 1 + kJitter, so that relays that saw the same
-  // event do not act together.
+  // `value` times a factor drawn uniformly from 1 - kJitter to 1 + kJitter, so that relays that saw the same
+  // event do not act at the same time.
   double jittered(double value) { return value * (1 + kJitter * (2 * uniform() - 1)); }
 
  private:
@@ -50,7 +50,7 @@
 // The earliest moment at which time alone can change a decision.
 class WakeUp {
  public:
-  // No wake-up comes before `earliest`: the shortest time between two passes has to go by.
+  // No wake-up comes before `earliest`: the shortest time between two passes has to elapse.
   explicit WakeUp(Microseconds earliest) : earliest_(earliest) {}
 
   void no_later_than(Microseconds moment) { at_ = std::min(at_, std::max(moment, earliest_)); }
--- a/src/endpoint_registry.cpp
+++ b/src/endpoint_registry.cpp
@@ -60,7 +60,7 @@
   endpoint.batching.set_most(kind.max_batch_size);
 }
 
-// The last healthy sibling, or the first where none is; null where it is healthy, or there are none.
+// The first sibling, where no sibling is healthy; null where one is healthy, or there are none.
 const EndpointState* EndpointRegistry::model_among(const std::vector<EndpointState*>& siblings) {
   const EndpointState* model = nullptr;
   for (const EndpointState* const sibling : siblings)
--- a/src/endpoint_registry.hpp
+++ b/src/endpoint_registry.hpp
@@ -1,4 +1,4 @@
-// The endpoints and destinations that are known, as the endpoint list and its changes name them.
+// The known endpoints and destinations, from the endpoint list and its updates.
 #pragma once
 
 #include <cstddef>
@@ -10,7 +10,7 @@
 
 namespace heronvane::dispatch {
 
-// Is told what the registry forgets, right before.
+// Called for each endpoint and destination right before the registry forgets it.
 class ForgottenListener {
  public:
   ForgottenListener() = default;
@@ -36,15 +36,15 @@
   // Ordered by id.
   const std::map<DestinationId, DestinationState>& destinations() const { return destinations_; }
 
-  // An endpoint that the list names.
+  // The result of an entry of the endpoint list.
   struct Applied {
     EndpointState* endpoint = nullptr;
-    // For a new endpoint without own limits: the sibling whose health it takes over, for it is no way around
-    // an outage of its destination; else null.
+    // For a new endpoint without own limits: the sibling whose health it takes over, because a new endpoint
+    // does not bypass an outage of its destination; else null.
     const EndpointState* model = nullptr;
   };
   Applied apply(const Endpoint& listed, Microseconds now);
-  // Around the endpoints of a complete list: those that it does not name are gone.
+  // To be called before and after the entries of a complete list: endpoints that it does not name are gone.
   void begin_snapshot();
   void end_snapshot();
 
--- a/src/endpoint_state.hpp
+++ b/src/endpoint_state.hpp
@@ -1,4 +1,4 @@
-// What is known of one endpoint and of one destination: the owners of what is learned, side by side.
+// The state of one endpoint and of one destination, composed of the owners of its parts.
 #pragma once
 
 #include <vector>
@@ -18,7 +18,7 @@
 
 namespace heronvane::dispatch {
 
-// A rate-limit scope and what the checkpoint notes of it.
+// A rate-limit scope and what the checkpoint records about it.
 struct ScopeState {
   explicit ScopeState(const BackoffScale& scale) : limits(scale) {}
 
@@ -49,7 +49,8 @@
   bool is_restored = false;        // a record of an earlier incarnation was taken
   EndpointMark checkpoint;
 
-  // What it shares its limits with. Kept as a pointer because each call needs it several times.
+  // The scope whose limits apply. The destination's is kept as a pointer because each call needs it several
+  // times.
   ScopeState& scope() { return has_own_limits ? own_scope : *destination_scope; }
   RateLimitScope& limits() { return scope().limits; }
   // Ejected or recovering, and nothing served since the last failure: its calls are health checks.
--- a/src/outlier_detection.cpp
+++ b/src/outlier_detection.cpp
@@ -11,7 +11,7 @@
 constexpr int kEjectingRun = 3;  // failures in a row, calls overdue included
 constexpr double kEjectingFailureRate = 0.5;
 constexpr double kNewestWeight = 0.15;  // in an endpoint's failure rate
-// Where this relay calls seldom, fewer failures must do: as many as it makes calls in this time.
+// With few calls of this relay fewer failures suffice: as many as it makes calls in this time.
 constexpr double kEvidenceSeconds = 3;
 
 }  // namespace
@@ -60,13 +60,13 @@
   const int chance = background.run_beyond_chance();
   const int by_demand =
       std::clamp(static_cast<int>(std::ceil(kEvidenceSeconds * circumstances.demand_per_s)), 1, kEjectingRun);
-  // A single error proves little: some come from sound endpoints too.
+  // A single error is weak evidence: healthy endpoints return some, too.
   const int by_outcome = circumstances.last_outcome == Outcome::error ? 2 : 1;
   if (consecutive_failures_ >= std::max({by_demand, by_outcome, chance})) return true;
 
   int run = 1;
   if (circumstances.health == Health::healthy) run = std::max(kEjectingRun, chance);
-  // Two in a row: one isolated failure must not start the slow start anew.
+  // Two in a row: a single isolated failure must not restart the slow start.
   if (circumstances.health == Health::slow_start) run = std::max(kEjectingRun - 1, chance);
   if (consecutive_failures_ + circumstances.overdue_calls >= run) return true;
 
--- a/src/outlier_detection.hpp
+++ b/src/outlier_detection.hpp
@@ -1,16 +1,17 @@
-// Whether an endpoint's failures single it out: evidence in, verdict out.
+// Decides from an endpoint's recent failures whether it is to be ejected.
 #pragma once
 
 #include "heronvane/dispatch/dispatcher.hpp"
 
 namespace heronvane::dispatch {
 
-// The share of calls that fail at endpoints which serve on, over all endpoints: where calls fail everywhere
-// now and then, a run of failures must be longer to tell an outage.
+// The share of calls that fail at endpoints which keep serving, over all endpoints. Where calls fail
+// occasionally at all endpoints, only a longer run of failures indicates an outage.
 class BackgroundFailureRate {
  public:
   double value() const { return value_; }  // in [0, 1]
-  // Failures in a row that hardly come by chance; 1 where there are no background failures to speak of.
+  // The length of a run of failures that is unlikely to be chance; 1 where background failures are
+  // insignificant.
   int run_beyond_chance() const;
 
   // A call was served; `isolated_failures` came before it at its endpoint.
@@ -20,10 +21,10 @@
   double value_ = 0;
 };
 
-// What speaks against one endpoint since it last served a call.
+// The failures of one endpoint: the present run, and the share among recent calls.
 class FailureEvidence {
  public:
-  // What else a verdict takes into account.
+  // The other inputs of is_outlier().
   struct Circumstances {
     Health health = Health::healthy;
     Outcome last_outcome = Outcome::error;
@@ -35,12 +36,13 @@
   double failure_rate() const { return failure_rate_; }  // of recent calls, in [0, 1]
   bool last_failure_possibly_executed() const { return last_failure_possibly_executed_; }
 
-  // Returns whether nothing but overdue calls spoke against the endpoint: it was slow, not out.
+  // Returns whether overdue calls were the only evidence against the endpoint: it was slow, not unavailable.
   bool record_served(BackgroundFailureRate& background);
   void record_failed(Outcome outcome);
-  // A rejection is no failure: the endpoint is there.
+  // A rejection is not a failure: the endpoint is reachable.
   void record_rejected() { last_failure_possibly_executed_ = false; }
-  // Rejections that are an outage: one failure at least, or one more.
+  // Rejections indicate an outage: mark_failing() makes the run at least one failure long, add_failure() one
+  // longer.
   void mark_failing();
   void add_failure() { consecutive_failures_++; }
   // The endpoint has warmed up.
@@ -48,7 +50,7 @@
 
   // Whether the failures are enough to eject.
   bool is_outlier(const Circumstances& circumstances, const BackgroundFailureRate& background) const;
-  // Takes what an earlier incarnation had stored.
+  // Takes over what an earlier incarnation had stored.
   void restore(const LearnedState& state);
 
  private:
--- a/src/priority.cpp
+++ b/src/priority.cpp
@@ -16,8 +16,8 @@
 // The parts of the weight curve: full until the objective, falling, at weight_at_deadline, nothing.
 enum class CurvePart { full, falling, least, none };
 
-// The first time past the objective at which the weight has fallen to weight_at_deadline, where it stays
-// there for a while before the deadline; kNever where it does not.
+// The first time past the objective at which the weight has fallen to weight_at_deadline; kNever where it
+// reaches it only at the deadline.
 Microseconds least_weight_from(const ClassSettings& request_class, WeightDecay decay) {
   if (decay == WeightDecay::linear) return request_class.weight_at_deadline == 1 ? 1 : kNever;
   const Microseconds span = request_class.deadline - request_class.latency_objective;
@@ -75,8 +75,8 @@
     const CurvePart now = part_of_curve(past, least_from, span);
     const CurvePart then = part_of_curve(past + lookahead, least_from, span);
     if (now != CurvePart::falling && then != CurvePart::falling) return OrderPhase::Order::by_id;
-    // Where it falls now, later objectives have more to lose; where it is about to fall, earlier ones are
-    // nearer to it.
+    // Where the weight falls now, requests with later objectives lose more; where it is about to fall, those
+    // with earlier objectives lose first.
     return (now == CurvePart::falling) != rises ? OrderPhase::Order::later_objective
                                                 : OrderPhase::Order::earlier_objective;
   };
--- a/src/priority.hpp
+++ b/src/priority.hpp
@@ -1,5 +1,5 @@
-// What a request is worth to its client as time passes, and how urgent that makes it. Pure: every moment is
-// handed in, nothing is remembered. Safe to use from any thread.
+// The weight of a request as time passes, and the urgency that follows from it. Pure: every time is a
+// parameter and nothing is stored. Safe to use from any thread.
 #pragma once
 
 #include <cstddef>
@@ -9,8 +9,8 @@
 
 namespace heronvane::dispatch {
 
-// From `from` past the latency objective on, until the next phase, requests of one order group stand in this
-// order of urgency: by id, or by their latency objectives (equal ones by id).
+// A stretch of time past the latency objective, from `from` until the next phase, in which requests of one
+// order group have this order of urgency: by id, or by their latency objectives (equal ones by id).
 struct OrderPhase {
   enum class Order { by_id, earlier_objective, later_objective };
   Microseconds from = 0;  // past the latency objective, negative before it
@@ -23,14 +23,13 @@
 double remaining_weight(const ClassSettings& request_class, WeightDecay decay, Microseconds past_objective);
 
 // The stretches of time past the latency objective in which requests of one class and one full weight keep
-// their order by
-//   a * remaining_weight(past) - remaining_weight(past + lookahead)
-// for any `a` above 1. `lookahead` lies between 0 and the class's latency objective: far beyond it rounding
-// hides what order there is. The first phase begins before any time; they ascend.
+// their order by a * remaining_weight(past) - remaining_weight(past + lookahead) for any `a` above 1.
+// `lookahead` lies between 0 and the class's latency objective: far beyond it rounding errors hide the order.
+// Ascending by time; the first phase begins at -kNever.
 std::vector<OrderPhase> order_phases(const ClassSettings& request_class, WeightDecay decay,
                                      Microseconds lookahead);
 
-// What a request's weight at a moment follows from. Refers to the settings, which must outlive it.
+// What determines a request's weight at any moment. Refers to the settings, which must outlive it.
 struct WeightCurve {
   const ClassSettings* request_class = nullptr;
   double full_weight = 0;         // while the latency objective is met
@@ -40,8 +39,8 @@
 // Weight and urgency of requests under one set of settings, which must outlive it.
 class Priority {
  public:
-  // Factor on the weight of recovered requests that reached no endpoint yet: they go before all others.
-  // A power of two, so that taking it back is exact.
+  // Factor on the weight of recovered requests that reached no endpoint yet, so that they are sent before all
+  // others. A power of two, so that dividing by it is exact.
   static constexpr double kUnattemptedFactor = 0x1p20;
   // Added to their order group.
   static constexpr std::size_t kUnattemptedGroupOffset = 2;
@@ -51,14 +50,15 @@
   // The shortest latency objective of all classes, in seconds: the module's unit for waits.
   double shortest_objective_s() const { return shortest_objective_s_; }
 
-  // When a request that is sent at `now` is expected to be delivered: the moment its urgency is reckoned for.
+  // When a request that is sent at `now` is expected to be delivered: the moment for which its urgency is
+  // computed.
   static Microseconds expected_delivery(Microseconds now);
 
   // The weight that a delivery at `moment` would earn.
   double weight(const WeightCurve& curve, Microseconds moment) const;
 
-  // What waiting for one more shortest objective would lose of a delivery at `moment`, plus a tenth of what
-  // is there to win.
+  // The weight that a delivery one shortest latency objective after `moment` would lose compared with one at
+  // `moment`, plus a tenth of the latter's weight.
   double urgency(const WeightCurve& curve, Microseconds moment) const;
 
   // Requests of one order group have one class and one full weight, so that their phases order them.
--- a/src/rate_limit_scope.cpp
+++ b/src/rate_limit_scope.cpp
@@ -36,8 +36,8 @@
 }
 
 double RateLimitScope::least_rate(const SharedLimits& shared, Microseconds now) const {
-  // A relay that calls seldom has no served rate to go by: it may make one call in a backoff delay, fewer
-  // with each rejection in a row, the more so where calls after a rejection are mostly rejected again.
+  // A relay with few calls has no meaningful served rate: it may make one call per backoff delay, fewer with
+  // each consecutive rejection, and fewer still where calls after a rejection are mostly rejected again.
   const double share = shared.served_after_rejection.share(kind_);
   const double delay = std::max(backoff_.value(now), backoff_.scale().initial());
   return std::pow(share, rejections_.count()) / delay;
@@ -50,7 +50,7 @@
 bool RateLimitScope::admit(DecisionPass& pass) {
   double probability = admission_.probability(pass.now);
   if (is_presumed_unavailable(pass.settings)) {
-    // No more than it can take when it returns from an outage.
+    // At most the share of the load that the scope can take right after an outage.
     const Settings& settings = pass.settings;
     probability = std::min(
         probability, settings.collapse_factor * collapse_margin(settings) * settings.slow_start_min_share);
@@ -94,7 +94,7 @@
 }
 
 double RateLimitScope::stored_rate(const Settings& settings) const {
-  constexpr double kNeverReachedPerSlot = 100;  // calls a second and slot
+  constexpr double kNeverReachedPerSlot = 100;  // calls a second per slot; a higher rate limits nothing
   return send_rate_.value() < kNeverReachedPerSlot * settings.max_concurrent_calls ? send_rate_.value() : 0;
 }
 
--- a/src/rate_limit_scope.hpp
+++ b/src/rate_limit_scope.hpp
@@ -35,30 +35,32 @@
   // Position of the destination's kind, as ServedAfterRejection counts them.
   void set_kind(std::size_t kind) { kind_ = kind; }
 
-  // ---- What calls report ----
+  // ---- Outcomes of calls ----
 
   void record_served(Microseconds now, SharedLimits& shared);
   void record_rejected(Microseconds now, SharedLimits& shared);
   void record_failed(Microseconds now) { backoff_.increase(now); }
-  // Calls less often after a rejection by `endpoint`, and tells the peers. Draws for the hint.
+  // Lowers the send rate and the admission probability after a rejection by `endpoint`, and may send peers a
+  // hint, which draws a random number.
   void slow_down(DecisionPass& pass, const EndpointId& endpoint, SharedLimits& shared);
   // A peer met a rejection.
   void slow_down_by_gossip(Microseconds now, const SharedLimits& shared);
-  // From now on what an earlier incarnation had stored is older than what is known.
+  // From now on records of an earlier incarnation are outdated, except for their Retry-Afters.
   void note_attempt_ended() { attempt_ended_ = true; }
 
-  // ---- What a send has to wait for ----
+  // ---- Limits on sends ----
 
   // No call goes there before `until`, the end of a Retry-After.
   void extend_retry_after(Microseconds until);
   Microseconds retry_after_until() const { return retry_after_until_; }
-  // As above, or until the next admission draw.
+  // The end of the Retry-After, or of the wait after a refused admission where that is later.
   Microseconds held_until() const { return std::max(retry_after_until_, admission_.held_until()); }
   Microseconds send_rate_ready_at() const { return send_rate_.ready_at(); }
-  // Whether this attempt is admitted; where not, holds the scope for a while. Draws only where this relay's
-  // served rate says too little.
+  // Whether this attempt is admitted; where not, the scope is blocked for a jittered backoff delay. Draws a
+  // random number only where serves_this_relay() is false.
   bool admit(DecisionPass& pass);
-  // Rejected twice with nothing served between, in a large fleet: the run that ejects would come too late.
+  // Whether calls were rejected twice with none served between, in a large fleet, where the longer run of
+  // rejections that ejects would come too late.
   bool is_presumed_unavailable(const Settings& settings) const;
   // Enough calls of this relay are served for its own send rate to tell what the scope takes.
   bool serves_this_relay(Microseconds now) const;
@@ -69,11 +71,11 @@
   const BackoffScale& backoff_scale() const { return backoff_.scale(); }
   const Admission& admission() const { return admission_; }
 
-  // ---- What outlasts the process. None of these draws or changes what is decided. ----
+  // ---- Stored state. None of these draws random numbers; only restore() affects decisions. ----
 
-  // Whether anything but a Retry-After holds that is worth storing.
+  // Whether anything but a Retry-After is worth storing.
   bool has_learned(const Settings& settings) const;
-  // Nothing is known of it, at `moment`.
+  // Whether nothing is known of the scope at `moment`.
   bool is_blank(Microseconds moment) const;
   // When what is known has run out by time alone; kNever where it takes served calls.
   Microseconds blank_at(Microseconds now, const Settings& settings) const;
@@ -82,8 +84,8 @@
   // A delay as save() would store it when it is `age` older.
   double stored_delay_after(double delay_s, Microseconds age) const;
   // Takes the scope's part of a record that was written at `written`, at most `now`. Retry-Afters always
-  // hold; the rest counts until an attempt of this incarnation has ended, the newest record alone, of equally
-  // old ones the more careful values.
+  // count. The rest counts until an attempt of this incarnation has ended, and only from the newest record;
+  // of equally old records the more cautious values count.
   void restore(Microseconds now, Microseconds written, const LearnedState& state);
 
  private:
--- a/src/request_lifecycle.cpp
+++ b/src/request_lifecycle.cpp
@@ -38,7 +38,8 @@
   join_order_line(request, request_class.ordered ? arrived.order_key : std::string(), pass.now);
 }
 
-// One that arrives again keeps its place: an id must not stand in a line twice, where it would stay behind.
+// A request that arrives again keeps its place: a second entry of its id would stay in the line after the
+// request has left it.
 void RequestLifecycle::join_order_line(Request& request, const std::string& key, Microseconds now) {
   if (key == request.order_key) return;
   leave_order_line(request, now);
@@ -76,7 +77,7 @@
   forget_if_done(*request, now);
 }
 
-// Unattempted requests go before all others: their weight and their order group tell.
+// Unattempted requests are sent before all others: changes the weight and the order group accordingly.
 void RequestLifecycle::set_unattempted(Request& request, bool unattempted) {
   if (unattempted == request.unattempted) return;
   request.unattempted = unattempted;
--- a/src/request_lifecycle.hpp
+++ b/src/request_lifecycle.hpp
@@ -1,4 +1,4 @@
-// The life of a request: it arrives or is recovered, attempts of it are sent and end, and it is completed and
+// The lifecycle of a request: it arrives or is recovered, its attempts are sent and end, it is completed and
 // forgotten.
 //
 // Keeps the tables of RequestState in step with each other, and owns nothing itself. Not synchronised, used
@@ -15,7 +15,7 @@
 
 namespace heronvane::dispatch {
 
-// How an attempt ended, as far as it concerns its request.
+// The end of an attempt: the part that concerns its request.
 struct AttemptResult {
   Outcome outcome = Outcome::served;
   bool request_completed = false;  // the client has its answer
@@ -27,38 +27,41 @@
 // Moves requests from arrival to their end.
 class RequestLifecycle {
  public:
-  // `state` must outlive it. `rejected_retry_after`: what a client of a rejected request is told to wait.
+  // `state` must outlive it. `rejected_retry_after`: the Retry-After for the client of a rejected request.
   RequestLifecycle(RequestState& state, Microseconds rejected_retry_after);
 
   void arrive(const event::RequestArrived& arrived, const DecisionPass& pass);
-  // A request that a previous incarnation took on. One that may not be attempted any more fails at once, for
-  // no outcome of that incarnation will come.
+  // Adds a request that a previous incarnation had accepted. One that may not be attempted any more fails at
+  // once, because no outcome of the earlier attempts will arrive.
   void recover(const event::RequestRecovered& recovered, DecisionPass& pass);
-  // The client does not want it any more. Unknown ids are ignored.
+  // Completes a request that ended outside the dispatcher, without a final action. Unknown ids are ignored.
   void withdraw(MessageId id, Microseconds now);
 
-  // One more attempt goes with the call.
+  // Records that an attempt of the request was sent with the call.
   void record_sent(Request& request, CallId call);
-  // Takes the attempt out of those in flight; nothing where it is not among them.
+  // Removes the attempt from those in flight and returns its call; empty where it is not in flight.
   std::optional<CallId> take_attempt(Request& request, int attempt);
-  // What follows from the end of an attempt that was taken out: the request is completed, waits for its
-  // retry, or fails. May forget the request.
+  // Applies the end of an attempt after take_attempt(): the request is completed, waits for its retry, or
+  // fails. May forget the request.
   void record_result(Request& request, const AttemptResult& result, DecisionPass& pass);
 
-  // Final actions; a completed request gets none. It is kept until forget_if_done.
+  // Complete the request with a final action; a completed request gets none. The request is kept until
+  // forget_if_done().
   void fail(Request& request, DecisionPass& pass);
-  // Rejects the request, or fails it where handing it in again could do harm.
+  // Rejects the request, or fails it where submitting it again could do harm.
   void reject(Request& request, DecisionPass& pass);
 
-  // Forgets a request that is completed and has nothing in flight; the next of its order key may go then.
+  // Forgets a request that is completed and has nothing in flight; then the next request with its order key
+  // may be sent.
   void forget_if_done(Request& request, Microseconds now);
 
-  // When its order key lets it go: kNever while others are before it; not after `now` where it has none.
+  // When the order key allows the request to be sent: kNever while others are before it; `now` where it has
+  // no key.
   Microseconds turn_at(const Request& request, Microseconds now) const;
 
  private:
   void join_order_line(Request& request, const std::string& key, Microseconds now);
-  // The next one of its key may go then.
+  // Then the next request with the key may be sent.
   void leave_order_line(const Request& request, Microseconds now);
   void complete(Request& request);
   static void set_unattempted(Request& request, bool unattempted);
@@ -67,7 +70,7 @@
   Microseconds rejected_retry_after_;
 };
 
-// The requests that are eligible or blocked like this one.
+// The key of the subqueue of requests that are eligible or blocked together with this one.
 SendQueue::SubqueueKey subqueue_of(const Request& request);
 
 }  // namespace heronvane::dispatch
--- a/src/retry_policy.cpp
+++ b/src/retry_policy.cpp
@@ -7,10 +7,10 @@
 namespace heronvane::dispatch {
 namespace {
 
-// With less than this share of the shortest latency objective left, no attempt is made.
+// No attempt is made with less than this share of the shortest latency objective left before the deadline.
 constexpr double kLeastObjectiveShareLeft = 0.05;
-// Rounds before the deadline in which outcomes are still decided on: a stall just before it would end
-// requests too late.
+// Requests are ended this many decision intervals before the deadline, so that a stall just before it does
+// not end them too late.
 constexpr int kRoundsBeforeDeadline = 2;
 // The longest time between reading the clock and writing a call.
 constexpr Microseconds kLongestWriteDelay = 150'000;
--- a/src/retry_policy.hpp
+++ b/src/retry_policy.hpp
@@ -1,7 +1,7 @@
 // Whether a request may be attempted once more, until when, and how it may end.
 //
-// Pure: every function is a function of the settings, the request and the moments it is handed. Refers to the
-// settings, which must outlive it.
+// Pure: every result depends only on the settings and the arguments. Refers to the settings, which must
+// outlive it.
 #pragma once
 
 #include "heronvane/dispatch/dispatcher.hpp"
@@ -19,33 +19,33 @@
   // execution of a request that is not idempotent.
   bool may_attempt(const Request& request, Microseconds moment) const;
 
-  // Whether attempts are left and `moment` is not too late. Says nothing of possible executions: a request
-  // that must not run twice ends when its first attempt is in doubt.
+  // Whether attempts are left and `moment` is not too late. Does not check possible executions: a request
+  // that must not be executed twice ends after its first attempt with an unknown outcome.
   bool has_attempt_left(const Request& request, Microseconds moment) const;
 
   // From this moment on no attempt can be made: the deadline is too near, or the destination may have
   // forgotten the idempotency key.
   Microseconds latest_attempt(const Request& request) const;
 
-  // When a request with nothing in flight is given up, or one that still waits for an outcome.
+  // When the request is given up, with or without an attempt in flight.
   Microseconds ends_at(const Request& request) const;
 
-  // Until when the destination surely knows the idempotency key of a request with a possible execution (which
-  // must be set). A call may be written a while after it was decided on, so a window shorter than that allows
+  // Until when the destination certainly knows the idempotency key of a request whose possible_execution is
+  // set. A call may be written some time after it was decided, so a key window shorter than that delay allows
   // no retry.
   Microseconds key_known_until(const Request& request) const;
 
-  // The time within which the call of a retry must begin, counted from `now`; nothing where it may begin
-  // whenever.
+  // The time within which the call of a retry must begin, counted from `now`; empty where there is no limit.
   std::optional<Microseconds> start_within(const Request& request, Microseconds now) const;
 
-  // The zone whose endpoints alone may get a retry, because only they know the idempotency key.
+  // The only zone whose endpoints may get a retry, because only they know the idempotency key; empty where
+  // any may.
   static std::optional<int> required_zone(const Request& request);
 
-  // Whether the request may end as rejected, so that its client can hand it in again without harm.
+  // Whether the request may end as rejected, because its client can submit it again without harm.
   static bool may_be_rejected(const Request& request);
 
-  // Whether one more attempt could execute a request twice that must not be.
+  // Whether the request must not be executed twice and one more attempt could do so.
   static bool possibly_executed_non_idempotent(const Request& request);
 
  private:
--- a/src/send_rate.cpp
+++ b/src/send_rate.cpp
@@ -11,7 +11,7 @@
 constexpr double kGrowthPerSecond = 0.15;     // share of the rate
 constexpr double kStepPerObjective = 0.25;    // calls a second and second, times the latency objective
 constexpr double kMostOfServedRate = 1.25;    // a cut starts from no more than this times the served rate
-constexpr double kBurstSeconds = 0.3;         // of the rate that may be saved up
+constexpr double kBurstSeconds = 0.3;         // of the rate, as the most tokens that can be saved up
 constexpr double kLeastRaiseSpanSeconds = 1;  // a raise covers no more than this,
 constexpr double kRaiseSpanCalls = 2;         // or the time of so many calls at the present rate
 
@@ -37,7 +37,7 @@
   }
   cut_at_ = now;
   raised_at_ = now;
-  settled_at_ = now;  // what was saved up since the last call is lost with a cut
+  settled_at_ = now;  // a cut discards the tokens earned since the last call
 }
 
 void SendRate::raise(Microseconds now, double shortest_latency_objective_s) {
--- a/src/send_rate.hpp
+++ b/src/send_rate.hpp
@@ -13,16 +13,16 @@
   // Calls a second; kUnbounded where nothing limits them.
   double value() const { return calls_per_s_; }
   bool is_bounded() const { return calls_per_s_ != kUnbounded; }
-  // When a call may go; a moment that is past where one may go at once. Changes nothing: when a request may
-  // go must not depend on how often it was asked for.
+  // When the next call is allowed; not after the present where it is allowed at once. Changes nothing: the
+  // answer must not depend on how often it was asked for.
   Microseconds ready_at() const;
 
-  // After a rejection. `served_per_s`: calls a second that the scope served of late, of this relay.
+  // After a rejection. `served_per_s`: calls a second of this relay that the scope served recently.
   // `least_per_s`: no cut goes below it.
   void cut(Microseconds now, double served_per_s, double least_per_s);
   // After a served call.
   void raise(Microseconds now, double shortest_latency_objective_s);
-  // A call goes out.
+  // A call is sent.
   void consume(Microseconds now);
 
   // Takes the lower of the present rate and a stored one (0: unbounded). `replaces`: the record is newer than
@@ -30,7 +30,7 @@
   void restore(Microseconds now, double calls_per_s, bool replaces);
 
  private:
-  // Settles the tokens that the present rate earned, before the rate changes or a token goes.
+  // Adds the tokens earned at the present rate; required before the rate changes or a token is consumed.
   void settle_tokens(Microseconds now);
 
   double calls_per_s_ = kUnbounded;
--- a/src/slow_start.cpp
+++ b/src/slow_start.cpp
@@ -43,11 +43,12 @@
 
 BudgetGrowth SlowStartPolicy::growth(double baseline_rate, const RecoveryPhase& phase,
                                      Microseconds settled_at) const {
-  // No floor: with hundreds of relays that each see a call a minute, floors of one call each would collapse
-  // it.
+  // The rate has no lower bound: with hundreds of relays that each make one call a minute, a minimum of one
+  // call per relay would collapse the endpoint.
   const double baseline = std::max(baseline_rate, kLeastRate);
   const double full = baseline * settings_.collapse_factor * collapse_margin(settings_);
-  // On trial it may have returned only now: no more than was asked of it before, backlog or not.
+  // An endpoint on trial may have returned only just now: it gets at most the rate from before the outage,
+  // whatever the backlog.
   const double most = phase.is_on_trial ? baseline : kUnbounded;
   const double coldest = settings_.slow_start_min_share;
   if (phase.health != Health::slow_start) return {full, most, coldest, 0};
--- a/src/slow_start.hpp
+++ b/src/slow_start.hpp
@@ -1,5 +1,5 @@
-// How many calls this relay may make to an endpoint that is ejected or returns from an outage: its part of
-// what the endpoint can surely take.
+// How many calls this relay may make to an endpoint that is ejected or returns from an outage: its share of
+// the load that the endpoint can safely take.
 #pragma once
 
 #include "decision_pass.hpp"
@@ -13,9 +13,9 @@
  public:
   BudgetGrowth(double full, double most, double warmth, double rise);
 
-  // Calls allowed in the first `elapsed` seconds.
+  // Calls allowed in the first `elapsed_s` seconds.
   double calls_after(double elapsed_s) const;
-  // The seconds in which so many calls are allowed.
+  // The seconds until `calls` calls are allowed.
   double seconds_until(double calls) const;
 
  private:
@@ -23,7 +23,7 @@
   double most_;
   double warmth_;
   double rise_;
-  double capped_after_s_ = kUnbounded;  // until the rate is `most`
+  double capped_after_s_ = kUnbounded;  // when the rate reaches `most`
 };
 
 // What the growth of an endpoint's budget follows from, apart from its slow start itself.
@@ -33,7 +33,7 @@
   bool is_on_trial = false;  // nothing was served since it was ejected
 };
 
-// The settings' part of it. Refers to the settings, which must outlive it.
+// Derives the growth of budgets from the settings, which must outlive it.
 class SlowStartPolicy {
  public:
   SlowStartPolicy(const Settings& settings, double shortest_latency_objective_s);
@@ -54,18 +54,20 @@
   // Calls a second of this relay before the outage.
   double baseline_rate() const { return baseline_rate_; }
 
-  // An outage begins, or is taken over from another record. `budget`: calls allowed at `moment`, at most 1.
-  // Each relay draws its own, so that those of many do not come together.
+  // Begins the budget of an outage, which may be new, restored or copied from a sibling. `budget`: calls
+  // allowed at `moment`, at most 1. Each relay draws its own at random, so that the first calls of many
+  // relays are spread.
   void begin(Microseconds moment, double baseline_rate, double budget);
   void limit_budget(Microseconds now, double most, const SlowStartPolicy& policy, const RecoveryPhase& phase);
   // While the endpoint is ejected, no call goes there before `moment`.
   void schedule_health_check(Microseconds moment) { health_check_at_ = moment; }
 
-  // Calls allowed at `now`, at most 1; below 0 after calls that nothing could hold back.
+  // Calls allowed at `now`, at most 1; below 0 after calls that were sent regardless of the budget.
   double budget(Microseconds now, const SlowStartPolicy& policy, const RecoveryPhase& phase) const;
-  // When a call may go. Changes nothing: when a request may go must not depend on how often it was asked for.
+  // When the next call is allowed. Changes nothing: the answer must not depend on how often it was asked for.
   Microseconds ready_at(const SlowStartPolicy& policy, const RecoveryPhase& phase) const;
-  // Settles what the budget grew to. Needed before anything of `phase` changes; nothing while healthy.
+  // Adds the growth until `now` to the budget. Required before anything of `phase` changes; does nothing
+  // while healthy.
   void settle(Microseconds now, const SlowStartPolicy& policy, const RecoveryPhase& phase);
   // A call goes out; the budget must have been settled.
   void consume() { budget_ -= 1; }
