--- a/adapter/action_writer.cpp
+++ b/adapter/action_writer.cpp
@@ -63,39 +63,55 @@
  public:
   ActionWriter(const std::string& instance, std::string& lines) : instance_(instance), lines_(lines) {}
 
-  void operator()(const action::Send& a) {
+  void operator()(const action::Send& typed_action) {
     Line("PLACE", instance_)
-        .request(a.id)
-        .text("Endpoint", a.endpoint)
-        .number("GiveUpAfter", a.timeout)
+        .request(typed_action.id)
+        .text("Endpoint", typed_action.endpoint)
+        .number("GiveUpAfter", typed_action.timeout)
         .append_to(lines_);
   }
-  void operator()(const action::Reject& a) {
-    Line("BUSY", instance_).request(a.id).number("ComeBack", a.retry_after).append_to(lines_);
+  void operator()(const action::Reject& typed_action) {
+    Line("BUSY", instance_)
+        .request(typed_action.id)
+        .number("ComeBack", typed_action.retry_after)
+        .append_to(lines_);
+  }
+  void operator()(const action::Fail& typed_action) {
+    Line("END_FAILED", instance_).request(typed_action.id).append_to(lines_);
   }
-  void operator()(const action::Fail& a) { Line("END_FAILED", instance_).request(a.id).append_to(lines_); }
-  void operator()(const action::Cancel& a) {
-    Line("ABANDON", instance_).request(a.id).number("SendNo", a.attempt).append_to(lines_);
+  void operator()(const action::Cancel& typed_action) {
+    Line("ABANDON", instance_)
+        .request(typed_action.id)
+        .number("SendNo", typed_action.attempt)
+        .append_to(lines_);
   }
-  void operator()(const action::CloseIdle& a) {
-    Line("CLOSE", instance_).text("Endpoint", a.endpoint).append_to(lines_);
+  void operator()(const action::CloseIdle& typed_action) {
+    Line("CLOSE", instance_).text("Endpoint", typed_action.endpoint).append_to(lines_);
   }
-  void operator()(const action::SetTimer& a) {
-    Line("SLEEP", instance_).number("After", a.after).token("Tag", a.token).append_to(lines_);
+  void operator()(const action::SetTimer& typed_action) {
+    Line("SLEEP", instance_)
+        .number("After", typed_action.after)
+        .token("Tag", typed_action.token)
+        .append_to(lines_);
   }
   void operator()(const action::PollEndpointList& /*action*/) {
     Line("QUERY_ALL", instance_).append_to(lines_);
   }
-  void operator()(const action::Subscribe& a) {
-    Line("FOLLOW", instance_).flag("Active", a.on).append_to(lines_);
+  void operator()(const action::Subscribe& typed_action) {
+    Line("FOLLOW", instance_).flag("Active", typed_action.on).append_to(lines_);
+  }
+  void operator()(const action::CheckHealth& typed_action) {
+    Line("SOUND_OUT", instance_).text("Endpoint", typed_action.endpoint).append_to(lines_);
   }
-  void operator()(const action::CheckHealth& a) {
-    Line("SOUND_OUT", instance_).text("Endpoint", a.endpoint).append_to(lines_);
+  void operator()(const action::SendGossip& typed_action) {
+    Line("BROADCAST_TO", instance_)
+        .number("Whom", typed_action.peer)
+        .text("Body", typed_action.body)
+        .append_to(lines_);
   }
-  void operator()(const action::SendGossip& a) {
-    Line("BROADCAST_TO", instance_).number("Whom", a.peer).text("Body", a.body).append_to(lines_);
+  void operator()(const action::Log& typed_action) {
+    Line("PRINT", instance_).text("Msg", typed_action.text).append_to(lines_);
   }
-  void operator()(const action::Log& a) { Line("PRINT", instance_).text("Msg", a.text).append_to(lines_); }
 
  private:
   const std::string& instance_;
--- a/adapter/codec.cpp
+++ b/adapter/codec.cpp
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-bool Codec::take(const std::string& line, std::string& reply) {
+bool Codec::handle_line(const std::string& line, std::string& reply) {
   const rapidjson::Document message = parse(line);
   as_object(message, "message");
   const std::string kind = required_field(message, "kind", "message", as_string);
@@ -43,7 +43,7 @@
   }
   if (!in_batch_) throw_malformed(kind, "no ROUND came before");
   if (kind != kBatchEnd) {
-    take_message(kind, message);
+    handle_message(kind, message);
     return false;
   }
   in_batch_ = false;
@@ -51,7 +51,7 @@
   return true;
 }
 
-void Codec::take_message(const std::string& kind, const Value& message) {
+void Codec::handle_message(const std::string& kind, const Value& message) {
   if (kind == kStart) return start_instance(message, kind);
   if (kind == kStop) return stop_instance(message, kind);
   if (kind == kRoster) return read_roster(message, kind, rosters_);
--- a/adapter/codec.hpp
+++ b/adapter/codec.hpp
@@ -1,4 +1,4 @@
-// The simulator's wire in front of the decision module: lines in, lines out. Makes no decisions.
+// Runs the decision module behind the simulator's line protocol. Makes no decisions.
 #pragma once
 
 #include <map>
@@ -17,12 +17,12 @@
 // ends with YOUR_TURN, which asks for the actions of all instances that the batch names. Not thread-safe.
 class Codec {
  public:
-  // Takes one line, without its line end. Returns true where it ends a batch: `reply` then holds the whole
+  // Handles one line, without its line end. Returns true where it ends a batch: `reply` then holds the whole
   // answer. Throws WireError on malformed input; the codec is not to be used after that.
-  bool take(const std::string& line, std::string& reply);
+  bool handle_line(const std::string& line, std::string& reply);
 
  private:
-  // A dispatcher that could not be made. Reported when the instance would act first.
+  // A dispatcher that could not be constructed. Reported in place of the instance's first actions.
   struct FailedStart {
     std::string reason;
   };
@@ -35,7 +35,7 @@
   };
 
   static DispatcherOrFailure make_dispatcher(const Settings& settings, std::uint64_t seed);
-  void take_message(const std::string& kind, const Value& message);
+  void handle_message(const std::string& kind, const Value& message);
   void start_instance(const Value& message, const std::string& path);
   void stop_instance(const Value& message, const std::string& path);
   // The instance that a message names; it acts at the end of this batch.
--- a/adapter/event_reader.cpp
+++ b/adapter/event_reader.cpp
@@ -6,7 +6,7 @@
 namespace heronvane::dispatch::adapter {
 namespace {
 
-// What a message is read with.
+// A message, and the tables by which its names are resolved.
 struct Source {
   const std::string& kind;
   const Value& message;
--- a/adapter/fields.hpp
+++ b/adapter/fields.hpp
@@ -15,7 +15,7 @@
 
 namespace heronvane::dispatch::adapter {
 
-// A document that can't be read; what() says where and why, as "config.name: missing".
+// A malformed document; what() names the field and the error, such as "config.name: missing".
 class WireError : public std::runtime_error {
  public:
   WireError(const std::string& path, const std::string& reason) : std::runtime_error(path + ": " + reason) {}
@@ -40,8 +40,8 @@
   return value;
 }
 
-// The member, or nullptr where it is absent or null. Throws WireError on what is no object, since rapidjson
-// would read beyond the value.
+// The member, or nullptr where it is absent or null. Throws WireError where `object` is not an object,
+// because rapidjson would read beyond the value.
 inline const Value* find_member(const Value& object, const char* name) {
   if (!object.IsObject()) throw_malformed(name, "stands in what is no object");
   const auto member = object.FindMember(name);
--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -16,7 +16,7 @@
   std::string reply;
   for (std::size_t number = 1; std::getline(std::cin, line); number++) {
     try {
-      if (line.empty() || !codec.take(line, reply)) continue;
+      if (line.empty() || !codec.handle_line(line, reply)) continue;
     } catch (const std::exception& error) {
       std::cerr << "cedarplank_adapter: line " << number << ": " << error.what() << std::endl;
       return 1;
--- a/adapter/settings.cpp
+++ b/adapter/settings.cpp
@@ -8,7 +8,7 @@
 
 constexpr const char* kSubscribe = "subscribe";  // the value of Discovery that has the list watched
 
-// Names whose place in a list of strings is their index. An absent list has none.
+// The index of each name in a list of strings; empty where the list is absent.
 NameIndex read_name_list(const Value& object, const char* field, const std::string& path) {
   NameIndex names;
   const Value* const list = find_member(object, field);
@@ -21,22 +21,23 @@
 }
 
 ClassSettings read_class(const Value& object, const std::string& path) {
-  ClassSettings c;
-  c.priority_weight = required_field(object, "Points", path, as_number);
-  c.weight_at_deadline = optional_field(object, "LateWorth", path, as_number, 0.0);
-  c.latency_objective = required_field(object, "Target", path, as_duration);
-  c.deadline = required_field(object, "Deadline", path, as_duration);
-  c.idempotency = enum_from_name<Idempotency>(required_field(object, "Idempotency", path, as_string),
-                                              {{"read_like", Idempotency::idempotent},
-                                               {"idempotency_key", Idempotency::keyed},
-                                               {"non_idempotent", Idempotency::non_idempotent}},
-                                              path + ".Idempotency");
-  c.key_scope = enum_from_name<KeyScope>(
+  ClassSettings class_settings;
+  class_settings.priority_weight = required_field(object, "Points", path, as_number);
+  class_settings.weight_at_deadline = optional_field(object, "LateWorth", path, as_number, 0.0);
+  class_settings.latency_objective = required_field(object, "Target", path, as_duration);
+  class_settings.deadline = required_field(object, "Deadline", path, as_duration);
+  class_settings.idempotency =
+      enum_from_name<Idempotency>(required_field(object, "Idempotency", path, as_string),
+                                  {{"read_like", Idempotency::idempotent},
+                                   {"idempotency_key", Idempotency::keyed},
+                                   {"non_idempotent", Idempotency::non_idempotent}},
+                                  path + ".Idempotency");
+  class_settings.key_scope = enum_from_name<KeyScope>(
       optional_field(object, "Group", path, as_string, "all"),
       {{"all", KeyScope::all}, {"zone", KeyScope::zone}, {"cell", KeyScope::cell}}, path + ".Group");
-  c.key_window = optional_field(object, "Window", path, as_duration, 0);
-  c.ordered = optional_field(object, "FifoByKey", path, as_bool, false);
-  return c;
+  class_settings.key_window = optional_field(object, "Window", path, as_duration, 0);
+  class_settings.ordered = optional_field(object, "FifoByKey", path, as_bool, false);
+  return class_settings;
 }
 
 void read_classes(const Value& object, const std::string& path, ParsedSettings& parsed) {
@@ -63,7 +64,7 @@
   }
 }
 
-// An array, or nullptr where it is absent.
+// An array, or nullptr where found is absent.
 const Value* find_array(const Value& object, const char* field, const std::string& path) {
   const Value* const value = find_member(object, field);
   return value == nullptr ? nullptr : &as_array(*value, path + "." + field);
@@ -131,7 +132,7 @@
       optional_field(rules, "Cold", rules_path, as_duration, settings.slow_start_window);
 }
 
-// What stands beside the sections.
+// The fields outside the sections.
 void read_instance(const Value& object, const std::string& path, const NameIndex& zones, Settings& settings) {
   settings.over_quota_weight = optional_field(object, "OverShareWorth", path, as_number, 1.0);
   settings.relays = optional_field(object, "GroupSize", path, as_int, 1);
@@ -153,8 +154,8 @@
 }  // namespace
 
 int index_of(const NameIndex& names, const std::string& name) {
-  const auto it = names.find(name);
-  return it == names.end() ? kUnknownIndex : it->second;
+  const auto found = names.find(name);
+  return found == names.end() ? kUnknownIndex : found->second;
 }
 
 ParsedSettings read_settings(const Value& object, const std::string& path) {
--- a/adapter/settings.hpp
+++ b/adapter/settings.hpp
@@ -21,13 +21,13 @@
   NameIndex kinds;
 };
 
-// Stands for a name that no list has.
+// The index of a name that is not in the list.
 constexpr int kUnknownIndex = -1;
 
 // The index of a name, or kUnknownIndex.
 int index_of(const NameIndex& names, const std::string& name);
 
-// The settings, and the names that they number.
+// The settings, and the names of the positions that they use.
 struct ParsedSettings {
   Settings settings;
   NameTables names;
--- a/src/admission.hpp
+++ b/src/admission.hpp
@@ -1,5 +1,5 @@
-// The share of attempts that all relays together may make at a rate-limit scope after rejections. It stands
-// in for a send rate where each relay calls so seldom that its own rate says little.
+// The share of attempts that all relays together may make at a rate-limit scope after rejections. It replaces
+// the send rate where each relay makes so few calls that its own rate is not meaningful.
 #pragma once
 
 #include "heronvane/dispatch/dispatcher.hpp"
@@ -12,7 +12,7 @@
  public:
   // The share of attempts admitted at `now`, in (0, 1]; recovers with time.
   double probability(Microseconds now) const;
-  // A share of attempts, as it has recovered after `age`.
+  // The share that `probability` has recovered to after `age`.
   static double recovered(double probability, Microseconds age);
   // Whether it was ever cut, whatever it recovered to since.
   bool was_cut() const { return probability_ < 1; }
@@ -24,9 +24,9 @@
   Microseconds held_until() const { return held_until_; }
   void hold_until(Microseconds moment) { held_until_ = moment; }
 
-  // After a rejection that this relay or a peer met. `served_after_rejection`: ServedAfterRejection::share().
-  // False where nothing was cut: the rejection belongs to the last cut's event, or waiting out the backoff is
-  // enough.
+  // Cuts the share after a rejection of a call of this relay or a peer. `served_after_rejection`:
+  // ServedAfterRejection::share(). Returns false where nothing was cut: the rejection belongs to the event of
+  // the last cut, or the backoff suffices.
   bool cut(Microseconds now, double served_after_rejection);
 
   // When peers, or a peer this relay, were last told of a cut.
--- a/src/batching.hpp
+++ b/src/batching.hpp
@@ -6,18 +6,18 @@
 
 namespace heronvane::dispatch {
 
-// The batch size that one endpoint is trusted with, and its call that still has room.
+// The batch size allowed for one endpoint, and its call that still has room.
 class Batching {
  public:
   // `most`: requests in one call, by the settings of the destination's kind.
   void set_most(int most) { most_ = most; }
-  // A new endpoint is trusted with full calls.
+  // A new endpoint may get full calls.
   void reset() { trusted_ = most_; }
 
-  // Requests that are trusted to one call now.
+  // The most requests that one call may carry now.
   int trusted() const { return trusted_; }
   void record_served();
-  // A call that carried `requests` failed: they share its fate, so fewer go along with the next one.
+  // A call that carried `requests` failed, and all of them with it: the next call carries fewer.
   void record_failed(int requests);
   // Takes the size that an earlier incarnation had learned; 0: unknown.
   void restore(int trusted);
--- a/src/call_cancellation.cpp
+++ b/src/call_cancellation.cpp
@@ -46,10 +46,10 @@
   const double objective = seconds(request_class.latency_objective);
   const LatencyEstimate& latency = call.endpoint->latency;
   double patience = slots_short ? latency.overdue_seconds() : latency.given_up_seconds();
-  // Beyond its objective a request is worth less; but where all destinations answer slowly, waiting is
-  // cheaper than another attempt.
+  // Past its objective a request loses weight, but where all destinations answer slowly, waiting is cheaper
+  // than another attempt.
   if (slots_short) patience = std::min(patience, objective) * std::max(1.0, endpoints_.slowness());
-  // A cancelled request that must not run twice is lost.
+  // A cancelled request that must not be executed twice is lost.
   const bool is_lost = request_class.idempotency == Idempotency::non_idempotent;
   return call.sent_at + microseconds(std::max(is_lost ? objective : 0, patience));
 }
--- a/src/call_cancellation.hpp
+++ b/src/call_cancellation.hpp
@@ -1,8 +1,8 @@
-// Cancels attempts whose answer is overdue, so that calls that were taken and never answered hold neither the
-// slots nor the requests until their long time-outs.
+// Cancels attempts whose answer is overdue, so that calls that are never answered do not occupy slots and
+// requests until their long time-outs.
 //
 // An attempt is overdue when a later call to its endpoint was served or, while all slots are taken, when the
-// endpoint has served nothing since the attempt was sent. It may be a call that is merely heavy. Owns
+// endpoint has served nothing since the attempt was sent. The call may merely be slow to process. Owns
 // nothing.
 #pragma once
 
@@ -16,7 +16,7 @@
 
 namespace heronvane::dispatch {
 
-// Finds overdue attempts and cancels them. Refers to its owners, keeps nothing.
+// Finds overdue attempts and cancels them. Refers to the owners of requests and endpoints, keeps no state.
 class CallCancellation {
  public:
   // Both must outlive it.
@@ -27,7 +27,7 @@
   std::vector<MessageId> overdue(bool slots_short) const;
 
   // Cancels the request's first attempt in flight, of which there must be one, if it has been overdue for
-  // long enough and was not cancelled yet; else sees to it that it is looked at again in time.
+  // long enough and was not cancelled yet; otherwise schedules a pass in time to check it again.
   void cancel_if_overdue(Request& request, bool slots_short, DecisionPass& pass) const;
 
  private:
--- a/src/call_rate.hpp
+++ b/src/call_rate.hpp
@@ -29,8 +29,7 @@
   }
   double per_second(Microseconds now) const {
     if (started_at_ < 0) return 0;
-    // The part of the memory that has been filled; a second more keeps the first calls from counting as a
-    // burst.
+    // The filled share of the memory. The additional second keeps the first calls from counting as a burst.
     const double filled = 1 - std::exp(-(seconds(now - started_at_) + 1) / memory_s_);
     return weight_ * std::exp(-seconds(now - last_at_) / memory_s_) / memory_s_ / filled;
   }
--- a/src/concurrency.cpp
+++ b/src/concurrency.cpp
@@ -26,8 +26,8 @@
   const double slots = settings.max_concurrent_calls;
   const double most =
       std::max(1.0, load.is_doubtful ? slots * kShareOfSlotsInDoubt : std::ceil(slots * kShareOfSlots));
-  // A slot is free again only in the pass after the answer: without the interval, calls that are answered at
-  // once would justify no slots.
+  // A slot is free again only in the pass after the answer. Without the decision interval, endpoints that
+  // answer at once would get no slots.
   const double slot_turnaround_s = load.latency_s + seconds(settings.min_decision_interval);
   double limit =
       std::min(most, kCallsWithoutServedRate + kServedRateMargin * load.served_per_s * slot_turnaround_s);
--- a/src/concurrency.hpp
+++ b/src/concurrency.hpp
@@ -32,7 +32,7 @@
 // The call limit of one endpoint.
 class ConcurrencyLimit {
  public:
-  // What the limit follows from, of the endpoint.
+  // The inputs of limit(): the state of the endpoint.
   struct Load {
     bool is_doubtful = false;  // calls are overdue, or the last one failed
     double served_per_s = 0;   // calls of this relay
--- a/src/connection_reuse.cpp
+++ b/src/connection_reuse.cpp
@@ -18,7 +18,7 @@
 }
 
 bool ConnectionReuse::is_rarely_used(const Settings& settings) const {
-  constexpr double kIdleConnectionsSpared = 8;  // of all relays, that an endpoint can spare
+  constexpr double kIdleConnectionsSpared = 8;  // of all relays, that an endpoint can afford
   return mean_gap_s_ * settings.relays > seconds(settings.connection_idle_timeout) * kIdleConnectionsSpared;
 }
 
--- a/src/connection_reuse.hpp
+++ b/src/connection_reuse.hpp
@@ -9,18 +9,18 @@
 // How often one endpoint is called, and so whether its idle connections are worth keeping.
 class ConnectionReuse {
  public:
-  // A new endpoint: until calls tell more, the fleet is taken to make one call a second.
+  // For a new endpoint: assumes that all relays together make one call a second until calls are measured.
   void start(int relays) { mean_gap_s_ = relays; }
 
   void record_call_began(Microseconds now);
   void record_call_ended(Microseconds now) { used_at_ = now; }
   void record_served() { closed_in_doubt_ = false; }
 
-  // Closes them once until the next served call: a fresh connection fails before anything is sent, an old one
-  // may lose a call in silence.
+  // Closes idle connections once until the next served call: a new connection fails before anything is sent,
+  // while an old one may lose a call without an error.
   void close_in_doubt(DecisionPass& pass, const EndpointId& endpoint);
-  // A connection will hardly be used again before it times out, and the idle ones of all relays could fill
-  // the endpoint's table.
+  // Whether a connection is unlikely to be used again before it times out, while the idle connections of all
+  // relays could fill the endpoint's connection table.
   bool is_rarely_used(const Settings& settings) const;
 
  private:
--- a/src/endpoint_calls.hpp
+++ b/src/endpoint_calls.hpp
@@ -21,12 +21,12 @@
   // A call that was sent at `sent_at` was served.
   void record_served(Microseconds now, Microseconds sent_at);
 
-  // Calls that are out for longer than `patience` and were sent since the last one was served: one lost among
-  // many that are answered is no sign of silence.
+  // The number of calls in flight for longer than `patience` and sent since the last served answer. Earlier
+  // ones do not count: one lost call among many answered ones does not show that the endpoint is silent.
   int overdue(Microseconds now, Microseconds patience) const;
-  // A call sent after one of `sent_at` was served.
+  // Whether a call sent after `sent_at` was served.
   bool is_overtaken(Microseconds sent_at) const { return sent_at < newest_served_sent_at_; }
-  // Nothing was served since `sent_at`; else the endpoint is slow, but at work.
+  // Whether nothing was served since `sent_at`. Otherwise the endpoint is slow but working.
   bool is_silent_since(Microseconds sent_at) const { return sent_at >= served_at_; }
 
  private:
--- a/src/endpoint_health.hpp
+++ b/src/endpoint_health.hpp
@@ -27,7 +27,7 @@
   bool is_healthy() const { return state_ == Health::healthy; }
   bool is_ejected() const { return state_ == Health::ejected; }
   bool is_slow_start() const { return state_ == Health::slow_start; }
-  // When the present health was entered; an ejection that is confirmed counts anew.
+  // When the present health was entered; a confirmed ejection counts from its confirmation.
   Microseconds since() const { return since_; }
   // When the present health ends by time alone, where `window` is its longest time.
   Microseconds ends_at(Microseconds window) const { return since_ + window; }
--- a/src/fleet_size.hpp
+++ b/src/fleet_size.hpp
@@ -5,8 +5,8 @@
 
 namespace heronvane::dispatch {
 
-// Whether signs that every relay has to see by itself add up to too many calls, so that a relay acts on
-// fewer.
+// Whether there are so many relays that each must act on fewer signs of an outage: the calls by which every
+// relay learns of it would add up to too many.
 inline bool is_large_fleet(const Settings& settings) {
   constexpr int kMostRelaysOfSmallFleet = 8;
   return settings.relays > kMostRelaysOfSmallFleet;
--- a/src/latency.hpp
+++ b/src/latency.hpp
@@ -1,4 +1,4 @@
-// How long an endpoint takes to answer, and what follows for time-outs.
+// How long an endpoint takes to answer, and the time-outs that follow from it.
 #pragma once
 
 #include "heronvane/dispatch/dispatcher.hpp"
@@ -9,7 +9,7 @@
 // Assumed before the first answer, in seconds.
 constexpr double kAssumedLatencySeconds = 0.25;
 
-// Recent latencies of all endpoints, as a multiple of what is usual for each of them: 1 on an ordinary day.
+// Recent latencies of all endpoints, as a multiple of the usual latency of each; 1 when all answer as usual.
 class Slowness {
  public:
   double value() const { return value_; }
@@ -22,12 +22,12 @@
 // The latency of one endpoint, recent and in the long run.
 class LatencyEstimate {
  public:
-  // In seconds; stretched by calls that timed out.
+  // In seconds; raised by calls without an answer.
   double recent() const { return recent_; }
-  // How long a call may be out before it counts as overdue.
+  // How long a call may be in flight before it counts as overdue.
   Microseconds overdue_after() const { return microseconds(overdue_seconds()); }
   double overdue_seconds() const { return kOverdueLatencies * recent_ + kOverdueMarginSeconds; }
-  // The same for a call that nothing but its own silence makes suspect: as patient as the time-out.
+  // The same for a call whose missing answer is the only evidence against it: about as long as the time-out.
   double given_up_seconds() const { return kTimeoutLatencies * recent_ + kOverdueMarginSeconds; }
   double timeout_seconds() const { return kTimeoutLatencies * recent_; }
 
--- a/src/list_polling.hpp
+++ b/src/list_polling.hpp
@@ -9,15 +9,16 @@
 // When to poll for the endpoint list.
 class ListPolling {
  public:
-  // A list or a change of it came. It does not put off a poll that is due: it may be one of several parts, or
+  // A list or an update arrived. A scheduled poll stays scheduled: the list may be one of several parts, or
   // the answer to an earlier poll.
   void record_list() { gap_s_ = kFirstGapSeconds; }
-  // Polls in the next pass: what is known comes from a cache.
+  // Schedules a poll at `moment`, because the present list comes from a cache.
   void poll_at(Microseconds moment) { next_at_ = moment; }
   // Draws the time of the next poll; the gap doubles with each failure.
   void record_failure(DecisionPass& pass);
 
-  // Polls if it is time, or asks to be woken then. After a poll nothing is due until a failure comes.
+  // Polls if the time has come, else requests a wake-up. After a poll none is scheduled until a failure is
+  // recorded.
   void poll_when_due(DecisionPass& pass);
 
  private:
--- a/src/load_shedding.hpp
+++ b/src/load_shedding.hpp
@@ -1,5 +1,5 @@
-// Which requests go back to their clients when the relay is nearly full, so that those that come next need
-// not be turned away.
+// Which requests are rejected when the relay is nearly full, so that the next ones need not be refused on
+// arrival.
 //
 // Pure; refers to the settings, which must outlive it.
 #pragma once
@@ -11,16 +11,16 @@
 
 namespace heronvane::dispatch {
 
-// How many requests are too many, and which of them may be rejected for that.
+// How many requests are to be shed, and which may be.
 class LoadShedding {
  public:
   explicit LoadShedding(const Settings& settings) : settings_(settings) {}
 
-  // How many of so many requests in flight are too many.
+  // How many of `in_flight` requests exceed the limit.
   std::size_t excess(std::size_t in_flight) const;
 
-  // Whether the request may go back for want of room: only where its client can hand it in again without
-  // harm, and not before the first attempt of what a previous incarnation took on.
+  // Whether the request may be shed: only where its client can submit it again without harm, and never a
+  // recovered request before its first attempt.
   static bool may_shed(const Request& request);
 
  private:
--- a/src/reevaluation_queue.hpp
+++ b/src/reevaluation_queue.hpp
@@ -1,5 +1,5 @@
-// Which requests have to be looked at in this decision pass, and when time alone makes it necessary to look
-// at the others.
+// Which requests are to be evaluated in this decision pass, and when the others are to be evaluated because
+// of time alone.
 //
 // Keeps a mark and a moment in each request that it knows (reevaluation_queued, reevaluate_at), which nothing
 // else writes. A request must be removed before it is erased. Not synchronised, used on the dispatcher's
@@ -15,14 +15,14 @@
 
 namespace heronvane::dispatch {
 
-// The requests to look at in this pass, and the moments at which to look at others.
+// The requests to evaluate in this pass, and the scheduled evaluations of others.
 class ReevaluationQueue {
  public:
-  // Something happened to the request: it is looked at in this pass.
+  // Something happened to the request: it is evaluated in this pass.
   void add(Request& request);
 
-  // The request is looked at in the pass at `moment`, unless something happens to it before; kNever: only
-  // then. Replaces what was scheduled.
+  // Schedules an evaluation at `moment`; kNever: only when something happens to the request. Replaces what
+  // was scheduled.
   void schedule(Request& request, Microseconds moment);
 
   // Drops what was scheduled. The request's id may still be in pending().
@@ -31,10 +31,10 @@
   // Adds the requests that are scheduled for `now` or before.
   void add_due(Microseconds now);
 
-  // The ids of those that were added, in that order. Some may be unknown by now, or stand here twice.
+  // The ids of those that were added, in that order. Some may be unknown by now or occur twice.
   const std::vector<MessageId>& pending() const { return pending_; }
 
-  // Ends the pass: nothing is pending. The marks are taken off with mark_evaluated.
+  // Ends the pass: nothing is pending. The marks are removed by mark_evaluated().
   void clear_pending() { pending_.clear(); }
   static void mark_evaluated(Request& request) { request.reevaluation_queued = false; }
 
--- a/src/rejection_gossip.cpp
+++ b/src/rejection_gossip.cpp
@@ -7,7 +7,8 @@
 
 // Version and kind; the endpoint's id follows.
 constexpr std::string_view kPrefix = "1r";
-// Between two hints of all relays together: each costs every relay that receives it.
+// Least mean time between two hints of all relays together: each hint costs work at every relay that receives
+// it.
 constexpr double kFleetGapSeconds = 0.03;
 constexpr int kEveryPeer = -1;
 
--- a/src/request.hpp
+++ b/src/request.hpp
@@ -16,7 +16,7 @@
 
 namespace heronvane::dispatch {
 
-// The first attempt that a destination may have executed without our knowing its outcome.
+// The first attempt that a destination may have executed.
 struct PossibleExecution {
   int zone = 0;  // of the endpoint
   Microseconds sent_at = 0;
--- a/src/request_scheduler.hpp
+++ b/src/request_scheduler.hpp
@@ -1,4 +1,4 @@
-// The step of a decision pass that chooses which requests are sent, cancelled, failed or handed back.
+// The step of a decision pass that chooses which requests are sent, cancelled, failed or rejected.
 #pragma once
 
 #include <functional>
--- a/src/request_sender.hpp
+++ b/src/request_sender.hpp
@@ -1,4 +1,4 @@
-// What sends requests to endpoints, as far as the choice of the next request needs to know it.
+// The interface through which the scheduler sends requests to endpoints.
 #pragma once
 
 #include <cstddef>
@@ -12,11 +12,11 @@
 
 struct EndpointState;
 
-// What became of a request that was to be sent.
+// The result of trying to send a request.
 struct SendResult {
   enum class Kind {
     sent,
-    // Nothing can be said of a later pass: it is tried again in the next one.
+    // Not sent, for a reason that need not hold in the next pass, in which it is tried again.
     retry_next_pass,
     // This request cannot be sent for a reason of its own; others of its subqueue may.
     request_blocked,
@@ -26,7 +26,7 @@
     awaiting_health_check,
   };
   Kind kind = Kind::subqueue_blocked;
-  // Nothing changes before, but by what happens at the destination.
+  // The result stays the same until then, unless something happens at the destination.
   Microseconds retry_at = kNever;
 
   bool is_sent() const { return kind == Kind::sent; }
--- a/src/request_state.hpp
+++ b/src/request_state.hpp
@@ -1,5 +1,5 @@
-// The owners of what the dispatcher knows of requests, made together because they refer to each other's
-// order.
+// The owners of the state of requests, constructed together because the later ones depend on the earlier
+// ones.
 //
 // `settings` must outlive it and be valid. Each owner guards its own state; this struct adds nothing to them.
 #pragma once
@@ -17,7 +17,7 @@
 
 namespace heronvane::dispatch {
 
-// The owners of the request side, in the order in which they are made.
+// The owners of the request side, in the order of their construction.
 struct RequestState {
   explicit RequestState(const Settings& settings)
       : priority(settings),
--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -39,17 +39,17 @@
   std::string round(const std::vector<std::string>& lines) {
     clock_ += 5000;
     std::string reply;
-    EXPECT_FALSE(codec_.take(R"({"kind":"ROUND","Clock":)" + std::to_string(clock_) + "}", reply));
-    for (const auto& line : lines) EXPECT_FALSE(codec_.take(line, reply));
-    EXPECT_TRUE(codec_.take(R"({"kind":"YOUR_TURN"})", reply));
+    EXPECT_FALSE(codec_.handle_line(R"({"kind":"ROUND","Clock":)" + std::to_string(clock_) + "}", reply));
+    for (const auto& line : lines) EXPECT_FALSE(codec_.handle_line(line, reply));
+    EXPECT_TRUE(codec_.handle_line(R"({"kind":"YOUR_TURN"})", reply));
     return reply;
   }
   // What is said of a line that is malformed.
   std::string complaint(const std::string& line) {
     std::string reply;
-    codec_.take(R"({"kind":"ROUND","Clock":1})", reply);
+    codec_.handle_line(R"({"kind":"ROUND","Clock":1})", reply);
     try {
-      codec_.take(line, reply);
+      codec_.handle_line(line, reply);
     } catch (const WireError& e) {
       return e.what();
     }
