--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -1,4 +1,4 @@
-// The wire, on hand-written lines.
+// Tests of the adapter's line protocol on hand-written lines.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -44,7 +44,7 @@
     EXPECT_TRUE(codec_.handle_line(R"({"kind":"YOUR_TURN"})", reply));
     return reply;
   }
-  // What is said of a line that is malformed.
+  // The error message for a malformed line.
   std::string complaint(const std::string& line) {
     std::string reply;
     codec_.handle_line(R"({"kind":"ROUND","Clock":1})", reply);
@@ -61,7 +61,7 @@
 
 bool has(const std::string& text, const std::string& part) { return text.find(part) != std::string::npos; }
 
-TEST_F(Wire, AnEmptyRound) { EXPECT_EQ(round({}), "{\"kind\":\"OK\"}\n"); }
+TEST_F(Wire, AnEmptyBatch) { EXPECT_EQ(round({}), "{\"kind\":\"OK\"}\n"); }
 
 TEST_F(Wire, AMessageIsSentAndServed) {
   const auto reply =
@@ -74,14 +74,14 @@
              R"("Result":10,"DelaySeen":5000,"Closed":true,"RemarkMs":null,"HealthInfo":null})"});
   EXPECT_FALSE(has(done, "PLACE"));
 }
-TEST_F(Wire, AToldWaitIsInMilliseconds) {
+TEST_F(Wire, RetryAfterIsInMilliseconds) {
   round({start("relay-0"), pool(0, "a:1"), sync("relay-0", 0), knock("relay-0", 1)});
   round(
       {R"({"kind":"RETURNED","Who":"relay-0","Rid":1,"SendNo":0,"Endpoint":"a:1","Result":30,"RemarkMs":900})"});
   clock_ += 890'000;
   EXPECT_FALSE(has(round({R"({"kind":"REMINDER","Who":"relay-0","Tag":0})", knock("relay-0", 2)}), "PLACE"));
   bool sent = false;
-  for (int i = 0; i < 10 && !sent; i++) {  // what was set at the refusal counts too
+  for (int i = 0; i < 10 && !sent; i++) {  // the backoff of the rejection counts, too
     clock_ += 500'000;
     sent = has(round({R"({"kind":"REMINDER","Who":"relay-0","Tag":0})"}), "PLACE");
   }
@@ -98,13 +98,13 @@
   EXPECT_EQ(round({knock("relay-0", 1), R"({"kind":"POWER_OFF","Who":"relay-0"})"}), "{\"kind\":\"OK\"}\n");
   EXPECT_TRUE(has(complaint(knock("relay-0", 2)), "never started"));
 }
-TEST_F(Wire, StartsAgainUnderTheSameNumberInOneRound) {
+TEST_F(Wire, AnInstanceCanBeStartedAgainUnderItsNameInOneBatch) {
   round({start("relay-0"), pool(0, "a:1"), sync("relay-0", 0), knock("relay-0", 1)});
   const auto reply = round({R"({"kind":"POWER_OFF","Who":"relay-0"})", start("relay-0"), pool(3, "b:1"),
                             sync("relay-0", 3), knock("relay-0", 2)});
   EXPECT_TRUE(has(reply, R"("Rid":2,"Endpoint":"b:1")"));
 }
-TEST_F(Wire, SettingsThatMakeNoSenseAreFatal) {
+TEST_F(Wire, InvalidSettingsAreFatal) {
   std::string line = start("relay-0");
   line.replace(line.find("\"Workers\":4"), 11, "\"Workers\":0");
   const auto reply = round({line});
--- a/tests/dispatcher_test.cpp
+++ b/tests/dispatcher_test.cpp
@@ -1,4 +1,5 @@
-// The ordinary path (LIMD delay, pace) and the departures from it, on scripted events.
+// Tests of Dispatcher on scripted events: backoff, send rate, slots, batches, cancellation, ejection, gossip,
+// endpoint list.
 #include <optional>
 #include <random>
 #include <set>
@@ -11,7 +12,7 @@
 
 std::optional<Outcome> serve(const Sent&) { return Outcome::served; }
 
-// The waits between outcome and next try of one message that fails again and again.
+// The delays between each outcome and the next attempt of one message that fails repeatedly.
 std::vector<Microseconds> waits(Relay& r, int tries, Outcome o) {
   std::vector<Microseconds> w;
   const auto id = r.arrive(kSafe, 1, "", 60 * kS);
@@ -25,7 +26,7 @@
   return w;
 }
 
-TEST(Delay, GrowsByAStepAndIsJittered) {
+TEST(RetryDelay, GrowsByAStepAndIsJittered) {
   std::set<Microseconds> firsts;
   for (std::uint64_t seed = 1; seed <= 8; seed++) {
     Relay r(plain(), seed);
@@ -38,7 +39,7 @@
   }
   EXPECT_GT(firsts.size(), 3u);
 }
-TEST(Delay, FailuresToldInOneRoundAreOneStep) {
+TEST(RetryDelay, FailuresReportedInOnePassAreOneStep) {
   Relay r;
   r.list({{.id = "a", .destination = 1}});
   const auto a = r.arrive(kSafe), b = r.arrive(kSafe);
@@ -47,7 +48,7 @@
   r.run_to(from + 260 * kMs);
   EXPECT_GE(r.sends_of(a) + r.sends_of(b), 3);  // the initial delay, not the next step
 }
-TEST(Delay, FirstTriesSkipIt) {
+TEST(RetryDelay, DoesNotApplyToFirstAttempts) {
   Relay r;
   r.list({{.id = "a", .destination = 1}});
   const auto a = r.arrive(kSafe);
@@ -55,7 +56,7 @@
   const auto b = r.arrive(kSafe);
   EXPECT_EQ(r.sends_of(b), 1);
 }
-TEST(Delay, ARetryThatWouldComeTooLateEndsAtOnce) {
+TEST(RetryDelay, ARequestWhoseRetryWouldBeTooLateEndsAtOnce) {
   Relay r;
   r.list({{.id = "a", .destination = 1}});
   const auto a = r.arrive(kSafe, 1, "", 250 * kMs);
@@ -64,16 +65,16 @@
   EXPECT_EQ(r.failed.count(a), 1u);
 }
 
-TEST(Pace, UnboundedUntilTheFirstRefusal) {
+TEST(SendRateLimit, IsUnboundedUntilTheFirstRejection) {
   Relay r;
   r.list({{.id = "a", .destination = 1}});
   r.live(5 * kS, 20, kSafe, 1, serve);
   EXPECT_GE(r.sends_between(r.now - 4 * kS, r.now), 76);
 }
-TEST(Pace, RefusalsFadeAtALimit) {
+TEST(SendRateLimit, RejectionsBecomeRareAtALimit) {
   Relay r;
   r.list({{.id = "a", .destination = 1}});
-  // Takes ten calls a second, sent twenty.
+  // The destination accepts ten calls a second; twenty requests a second arrive.
   double room = 3;
   Microseconds last = r.now;
   int refused = 0, late_refused = 0;
@@ -88,10 +89,10 @@
   });
   EXPECT_GT(refused, 0);
   EXPECT_LT(late_refused, 30);                            // of 150 calls that the limit takes in that time
-  EXPECT_GT(r.sends_between(r.now - 5 * kS, r.now), 38);  // and what it takes is used
+  EXPECT_GT(r.sends_between(r.now - 5 * kS, r.now), 38);  // and the limit is used up
 }
 
-TEST(Bulkhead, ASilentEndpointCannotHoldTheSlotsOfOthers) {
+TEST(CallSlots, ASilentEndpointCannotOccupyTheSlotsOfOthers) {
   Relay r;
   r.list({{.id = "a", .destination = 1}, {.id = "b", .destination = 2}});
   for (int i = 0; i < 40; i++) r.arrive(kSafe, 1);
@@ -101,7 +102,7 @@
   EXPECT_EQ(r.sends_of(other), 1);
   EXPECT_LE(r.out.size(), 9u);
 }
-TEST(Bulkhead, SlotsAreNeverExceeded) {
+TEST(CallSlots, AreNeverExceeded) {
   auto s = plain();
   s.max_concurrent_calls = 3;
   Relay r(s);
@@ -109,8 +110,8 @@
   for (int i = 0; i < 9; i++) r.arrive(kSafe, 1 + i % 3);
   EXPECT_EQ(r.out.size(), 3u);
 }
-// Its end must be told by the deadline, also after a stall of a few rounds.
-TEST(Bulkhead, AFastEndpointGetsAllThatItServes) {
+// The endpoint answers far faster than the relay decides, and must not be limited by that.
+TEST(CallSlots, AFastEndpointGetsAllThatItServes) {
   Settings s = plain();
   s.max_concurrent_calls = 128;
   s.max_in_flight = 1'000;
@@ -135,13 +136,14 @@
     r.round(std::move(events));
     r.now += s.min_decision_interval;
   }
-  // The first second may be spent on getting under way.
+  // The first second, in which the limit grows, does not count.
   EXPECT_GE(r.sends_between(2 * kS, r.now), (kRounds - 200) * kEach * 99 / 100);
   EXPECT_TRUE(r.failed.empty()) << r.failed.size();
   EXPECT_TRUE(r.refused.empty()) << r.refused.size();
 }
 
-TEST(Delay, AMessageWithoutAChanceEndsSomeRoundsBeforeItsDeadline) {
+// The client must learn of the end by the deadline, even after a stall of a few passes.
+TEST(RetryDelay, AnUndeliverableRequestEndsSomePassesBeforeItsDeadline) {
   Relay r;
   r.list({{.id = "a", .destination = 1}});
   const Microseconds deadline = r.now + 6 * kS;
@@ -152,7 +154,7 @@
   EXPECT_GE(r.failed[unsent], deadline - 100 * kMs);
   EXPECT_LE(r.failed[out], deadline - 10 * kMs);
 }
-TEST(Bundles, ShareOneCallAndOneSlot) {
+TEST(Batches, ShareOneCallAndOneSlot) {
   auto s = plain();
   s.max_concurrent_calls = 1;
   s.kinds[0].max_batch_size = 4;
@@ -169,7 +171,7 @@
   r.round(events);
   EXPECT_EQ(r.out.size(), 4u);  // one call of four; the slot is taken
 }
-TEST(Bundles, StaySoWhereOneCallInFourIsResetEverywhere) {
+TEST(Batches, KeepTheirSizeWhereOneCallInFourIsResetEverywhere) {
   auto s = plain();
   s.max_concurrent_calls = 1;  // one call at a time
   s.kinds[0].max_batch_size = 8;
@@ -193,9 +195,9 @@
     r.round(ends);
   }
   EXPECT_GE(calls, 100u);
-  EXPECT_GE(messages, 7 * calls);  // by halves and steps of one it was 4.5
+  EXPECT_GE(messages, 7 * calls);  // 4.5 when a failed call halved the size and a served one added one
 }
-TEST(Bundles, ShrinkWhenCallsFail) {
+TEST(Batches, ShrinkWhenCallsFail) {
   auto s = plain();
   s.kinds[0].max_batch_size = 8;
   Relay r(s);
@@ -226,7 +228,7 @@
   burst();
   EXPECT_LE(r.out.size(), 4u);  // two calls of two
 }
-TEST(GiveUp, ACallThatLaterOnesOvertookIsCancelled) {
+TEST(Cancellation, CancelsACallThatLaterOnesOvertook) {
   auto s = plain();
   s.cancellation = true;
   Relay r(s);
@@ -243,7 +245,7 @@
   r.run_to(r.now + 1 * kS);
   EXPECT_EQ(r.sends_of(lost), 2);  // and tried again
 }
-TEST(GiveUp, OverdueCallsFreeTheSlotsThatOthersNeed) {
+TEST(Cancellation, OfOverdueCallsFreesSlotsThatOthersNeed) {
   auto s = plain();
   s.cancellation = true;
   s.max_concurrent_calls = 3;
@@ -251,12 +253,12 @@
   r.list({{.id = "a", .destination = 1}, {.id = "b", .destination = 2}, {.id = "c", .destination = 3}});
   for (int i = 0; i < 3; i++) r.arrive(kSafe, 1);
   for (int i = 0; i < 3; i++) r.arrive(kUnsafe, 2);
-  ASSERT_EQ(r.out.size(), 3u);  // all slots taken by what stays silent
+  ASSERT_EQ(r.out.size(), 3u);  // all slots are taken by unanswered calls
   r.arrive(kSafe, 3);
   r.run_to(r.now + 4 * kS);
   EXPECT_GE(r.cancelled.size(), 3u);
 }
-TEST(GiveUp, CallsAtASlowEndpointThatStillAnswersAreKept) {
+TEST(Cancellation, KeepsCallsToASlowEndpointThatStillAnswers) {
   auto s = plain();
   s.cancellation = true;
   s.max_concurrent_calls = 3;
@@ -267,20 +269,20 @@
   const auto late = r.arrive(kSafe, 1);
   for (int i = 0; i < 3; i++) r.arrive(kSafe, 2);  // slots are short from here
   r.run_to(r.now + 300 * kMs);
-  r.end(early, Outcome::served);  // slow, but at work
+  r.end(early, Outcome::served);  // slow, but answering
   r.run_to(r.now + 1100 * kMs);
   EXPECT_EQ(r.cancelled.count(late), 0u);
 }
-TEST(Bulkhead, TrialsOfManySilentEndpointsHoldAPartOfTheSlots) {
+TEST(CallSlots, HealthChecksOfManySilentEndpointsOccupyAPartOnly) {
   auto s = plain();
-  s.max_concurrent_calls = 8, s.slow_start_window = 300 * kS;  // what is known of them stays
+  s.max_concurrent_calls = 8, s.slow_start_window = 300 * kS;  // long enough to keep the ejections
   Relay r(s);
   std::vector<Endpoint> endpoints;
   for (int d = 1; d <= 12; d++) endpoints.push_back({.id = std::to_string(d), .destination = d});
   r.list(endpoints);
   for (int d = 1; d <= 12; d++) {
     for (int i = 0; i < 4; i++) r.arrive(kSafe, d, "", 60 * kS);
-    for (int i = 0; i < 8 && !r.out.empty(); i++) {  // every call is reset until the endpoint is closed
+    for (int i = 0; i < 8 && !r.out.empty(); i++) {  // every call is reset until the endpoint is ejected
       for (const auto& sent : std::vector<Sent>(r.out)) r.end(sent.id, Outcome::reset);
       r.run_to(r.now + 1 * kS);
     }
@@ -290,7 +292,7 @@
   EXPECT_GE(r.out.size(), 1u);
   EXPECT_LE(r.out.size(), 2u);
 }
-TEST(Shut, ThePaceCutByItsRefusalsRecovers) {
+TEST(Ejection, TheSendRateCutByItsRejectionsRecovers) {
   auto s = plain();
   s.slow_start_window = 4 * kS;
   Relay r(s);
@@ -300,7 +302,7 @@
   r.live(8 * kS, 20, kSafe, 1, serve);
   EXPECT_GE(r.sends_between(r.now - 2 * kS, r.now), 30);
 }
-TEST(Shut, StrayResetsEverywhereCloseNoSoundEndpointAnOutageStillDoes) {
+TEST(Ejection, FollowsAnOutageButNotOccasionalResetsAtAllEndpoints) {
   auto s = plain();
   s.slow_start_window = 8 * kS, s.max_concurrent_calls = 64;
   Relay r(s);
@@ -320,7 +322,7 @@
       for (int i = 0; i < kEndpoints; i++) r.arrive(kSafe, i);
     }
   };
-  live(10 * kS);  // until the share of strays is known
+  live(10 * kS);  // until the background failure rate is known
   const auto ended = [&] { return r.failed.size() + r.refused.size(); };
   const auto before = ended();
   const Microseconds from = r.now;
@@ -332,11 +334,11 @@
   EXPECT_LE(r.sends_between(r.now - 5 * kS, r.now, "a"), 10);
   EXPECT_GE(r.sends_between(r.now - 5 * kS, r.now), 500);
 }
-TEST(Shut, TrialsOfManyRelaysDoNotAddUp) {
+TEST(Ejection, HealthChecksOfManyRelaysStayBelowWhatCollapsesAnEndpoint) {
   auto s = plain();
   s.relays = 200, s.collapse_factor = 2, s.slow_start_min_share = 0.2, s.slow_start_window = 10 * kS;
   std::size_t trials = 0, asked = 0;
-  for (std::uint64_t seed = 1; seed <= 40; seed++) {  // each asks for a call in five seconds
+  for (std::uint64_t seed = 1; seed <= 40; seed++) {  // each relay gets a request in five seconds
     Relay r(s, seed);
     r.list({{.id = "a", .destination = 1}});
     r.live(30 * kS, 0.2, kUnsafe, 1, serve);
@@ -345,10 +347,10 @@
     r.live(15 * kS, 0.2, kUnsafe, 1, [](const Sent&) { return std::optional(Outcome::connect_failed); });
     trials += r.sent.size() - before, asked += 3;
   }
-  EXPECT_GT(trials, asked / 10);  // they do look for its return,
-  EXPECT_LT(trials, asked / 2);   // but a cold destination stands 0.4 of what they ask
+  EXPECT_GT(trials, asked / 10);  // health checks are sent,
+  EXPECT_LT(trials, asked / 2);   // but a cold destination handles only 0.4 of the requests
 }
-TEST(Shut, OneProvableFailureClosesWhereCallsAreRareOneErrorDoesNot) {
+TEST(Ejection, WhereCallsAreRareFollowsOneConnectFailureButNotOneError) {
   for (auto o : {Outcome::connect_failed, Outcome::error}) {
     auto s = plain();
     s.relays = 200;
@@ -360,7 +362,7 @@
     EXPECT_EQ(r.sends_of(next), o == Outcome::error ? 1 : 0);
   }
 }
-TEST(Shut, AnEndpointListedAnewSharesItsSiblingsState) {
+TEST(Ejection, AppliesToANewEndpointOfTheSameDestination) {
   Relay r;
   r.list({{.id = "a", .destination = 1}});
   r.live(10 * kS, 10, kSafe, 1, serve);
@@ -368,9 +370,9 @@
   const Microseconds at = r.now;
   r.change({.id = "b", .destination = 1});
   r.run_to(at + 1 * kS);
-  EXPECT_LE(r.sends_between(at, at + 1 * kS, "b"), 6);  // some sixty messages are held
+  EXPECT_LE(r.sends_between(at, at + 1 * kS, "b"), 6);  // about sixty messages wait
 }
-TEST(Pace, ARefusedMessageOfARareRelayIsTriedAgain) {
+TEST(SendRateLimit, ARejectedRequestOfARelayWithFewCallsIsRetried) {
   auto s = plain();
   s.relays = 300;
   Relay r(s);
@@ -381,11 +383,11 @@
   ASSERT_EQ(r.sends_of(id), 2);
   r.end(id, Outcome::rejected);
   r.run_to(r.now + 600 * kMs);
-  EXPECT_EQ(r.sends_of(id), 2);  // and rarer with each refusal
+  EXPECT_EQ(r.sends_of(id), 2);  // and less often with each rejection
 }
-// A destination that refused a relay twice may be shut: of what many such relays are asked, no more goes out
-// than it stands when it returns cold.
-TEST(Shut, TwoRefusalsInARowHoldMostAttemptsWhereRelaysAreMany) {
+// A destination that rejected a relay twice may be unavailable: many such relays together send no more than
+// it can handle when it returns cold.
+TEST(Ejection, InALargeFleetTwoRejectionsInARowBlockMostAttempts) {
   std::map<int, std::size_t> by_relays;
   for (const int relays : {2, 200}) {
     std::size_t sends = 0;
@@ -409,7 +411,7 @@
   EXPECT_LT(by_relays[200], 20u);
   EXPECT_LT(by_relays[200], by_relays[2]);
 }
-TEST(Notes, RefusalsToldByOthersHoldAttemptsBackForAWhile) {
+TEST(Gossip, OfRejectionsBlocksAttemptsForAWhile) {
   auto s = plain();
   s.relays = 300, s.gossip = true;
   std::size_t told_sends = 0, quiet_sends = 0;
@@ -420,7 +422,7 @@
       std::vector<Endpoint> endpoints = {{.id = "a", .destination = 1}};
       for (int d = 2; d < 22; d++) endpoints.push_back({.id = std::to_string(d), .destination = d});
       r.list(endpoints);
-      for (int d = 2; d < 22; d++) {  // this relay met refusals that came again, elsewhere
+      for (int d = 2; d < 22; d++) {  // this relay's calls to other destinations were rejected repeatedly
         r.arrive(kSafe, d);
         for (int i = 0; i < 10; i++) {
           for (const auto& sent : std::vector<Sent>(r.out)) r.end(sent.id, Outcome::rejected);
@@ -440,9 +442,9 @@
   }
   EXPECT_EQ(quiet_sends, 20u);
   EXPECT_LT(told_sends, 10u);
-  EXPECT_GE(back, 35);  // of 40: the effect ages out
+  EXPECT_GE(back, 35);  // of 40: the effect expires
 }
-TEST(Notes, AreSentOnRefusalsOnlyWhereAllowedAndNotMoreThanOneAWhile) {
+TEST(Gossip, IsSentOnRejectionsOnlyWhereEnabledAndNotTooOften) {
   for (const bool gossip : {false, true}) {
     auto s = plain();
     s.relays = 300, s.gossip = gossip;
@@ -459,7 +461,7 @@
     for (const auto& note : r.notes) EXPECT_LE(note.second.size(), 256u);
   }
 }
-TEST(Notes, ThatMakeNoSenseAreIgnored) {
+TEST(Gossip, IsIgnoredWhereItIsMalformed) {
   auto s = plain();
   s.gossip = true;
   Relay r(s), same(s);
@@ -472,7 +474,7 @@
   ASSERT_EQ(r.sent.size(), same.sent.size());
   for (std::size_t i = 0; i < r.sent.size(); i++) EXPECT_EQ(r.sent[i].at, same.sent[i].at);
 }
-TEST(Worth, TheDearerMessageGoesFirst) {
+TEST(RequestWeight, TheHeavierRequestIsSentFirst) {
   auto s = plain();
   s.max_concurrent_calls = 1;
   Relay r(s);
@@ -483,7 +485,7 @@
   EXPECT_EQ(r.sends_of(dear), 1);
   EXPECT_EQ(r.sends_of(cheap), 0);
 }
-TEST(Worth, AFullBufferHandsBackTheLeast) {
+TEST(RequestWeight, AFullBufferRejectsTheLightestRequest) {
   auto s = plain();
   s.max_in_flight = 10;
   s.max_concurrent_calls = 1;
@@ -496,7 +498,7 @@
   for (auto id : dear) EXPECT_EQ(r.refused.count(id), 0u);
 }
 
-TEST(Connections, ThoseHardlyUsedAgainAreClosed) {
+TEST(Connections, AreClosedWhereTheyAreRarelyUsed) {
   auto s = plain();
   s.connection_idle_timeout = 5 * kS, s.relays = 50;
   Relay r(s);
@@ -509,10 +511,10 @@
     r.run_to(r.now + 20 * kS);
   }
   EXPECT_EQ(r.idle_closed["rare"].size(), 3u);
-  for (Microseconds at : r.idle_closed["busy"]) EXPECT_LT(at, 10 * kS);  // until its gaps are known
+  for (Microseconds at : r.idle_closed["busy"]) EXPECT_LT(at, 10 * kS);  // until its call rate is known
 }
 
-TEST(List, IsAskedForAgainWithBackoff) {
+TEST(EndpointList, IsPolledAgainWithBackoff) {
   auto s = plain();
   s.list_subscription = true;
   Relay r(s);
@@ -530,9 +532,10 @@
   r.run_to(r.now + 20 * kS);
   EXPECT_EQ(r.asked.size(), n);
 }
-// Guards against a relay that hears of no change any more: what was told by a list before its watch failed
-// may reach the module behind the failure, in parts or since the folder could not be written meanwhile.
-TEST(List, IsAskedForAgainWhateverIsToldBehindAFailure) {
+// Guards against a relay that receives no more list changes: a list from before the watch failed may reach
+// the module after the failure, because it comes in parts or because the folder could not be written
+// meanwhile.
+TEST(EndpointList, IsPolledAgainAfterAFailureEvenIfAnUpdateFollows) {
   const Endpoint a{.id = "a", .destination = 1};
   for (const Event& told :
        {Event(event::EndpointListSnapshot{{a}, false}), Event(event::EndpointListUpdate{{a}})}) {
@@ -550,7 +553,7 @@
     EXPECT_EQ(r.asked.size(), before + 2);
   }
 }
-TEST(List, TheOldOneServesWhileItIsOutOfReach) {
+TEST(EndpointList, TheOldOneIsUsedWhilePollsFail) {
   auto s = plain();
   s.list_subscription = true;
   Relay r(s);
@@ -560,12 +563,12 @@
   EXPECT_EQ(r.sends_of(id), 1);
 }
 
-TEST(Memory, NothingIsKeptForEver) {
+TEST(Memory, NothingIsKeptForever) {
   auto s = plain();
   s.classes[kSafe].ordered = true, s.key_quiet_period = 700 * kMs;
   Relay r(s);
   std::size_t most = 0;
-  for (int i = 1; i <= 5000; i++) {  // each with an endpoint, a destination and a key of its own
+  for (int i = 1; i <= 5000; i++) {  // each with its own endpoint, destination and key
     Endpoint e{.id = std::to_string(i), .destination = i};
     r.change(e);
     const auto id = r.arrive(kSafe, i, "key" + std::to_string(i));
@@ -583,11 +586,11 @@
   r.change({.id = "last", .destination = 1});
   EXPECT_LE(r.kept(), 2u);
 }
-TEST(Memory, CallsOutToAGoneEndpointEndWell) {
+TEST(Memory, CallsInFlightToARemovedEndpointCanEnd) {
   Relay r;
   r.list({{.id = "a", .destination = 1}});
   const auto served = r.arrive(kSafe), lost = r.arrive(kUnsafe), refused = r.arrive(kSafe);
-  r.list({{.id = "b", .destination = 2}});  // "a" is gone with three calls out
+  r.list({{.id = "b", .destination = 2}});  // "a" is removed with three calls in flight
   r.run_to(r.now + 1 * kS);
   r.list({{.id = "b", .destination = 2}});
   r.end(served, Outcome::served);
@@ -598,18 +601,18 @@
   EXPECT_EQ(r.failed.count(refused) + r.refused.count(refused), 1u);
   r.list({{.id = "b", .destination = 2}});
   EXPECT_LE(r.kept(), 2u);
-  r.change({.id = "a", .destination = 1});  // and comes back
+  r.change({.id = "a", .destination = 1});  // and is listed again
   EXPECT_EQ(r.sends_of(r.arrive(kSafe)), 1);
 }
 
-TEST(Odd, EventsForWhatIsOverOrUnknownAreIgnored) {
+TEST(UnexpectedEvents, ForUnknownOrCompletedRequestsAreIgnored) {
   Relay r;
   r.round({});
   r.round({event::RequestWithdrawn{77}, event::TimerExpired{5}, event::AttemptEnded{},
            event::HealthCheckEnded{}, event::GossipReceived{}});
   r.list({{.id = "a", .destination = 1}});
   const auto id = r.arrive(kSafe);
-  r.change({.id = "a", .destination = 1, .listing = Listing::gone});  // gone while a call is out
+  r.change({.id = "a", .destination = 1, .listing = Listing::gone});  // removed while a call is in flight
   r.end(id, Outcome::served);
   r.round({event::RequestWithdrawn{id}});
   EXPECT_TRUE(r.failed.empty());
@@ -617,7 +620,7 @@
   r.run_to(r.now + 100 * kMs);
   EXPECT_EQ(r.failed.count(none) + r.refused.count(none), 1u);
 }
-TEST(Settings, ThatMakeNoSenseAreNamed) {
+TEST(InvalidSettings, AreNamedInTheError) {
   const auto complaint = [](auto change) {
     auto s = plain();
     change(s);
@@ -635,7 +638,7 @@
   EXPECT_NE(complaint([](Settings& s) { s.classes.clear(); }).find("classes"), std::string::npos);
   EXPECT_NE(complaint([](Settings& s) { s.drain_grace = -1; }).find("drain_grace"), std::string::npos);
 }
-TEST(Determinism, EqualSeedsActAlike) {
+TEST(Determinism, EqualSeedsGiveEqualActions) {
   const auto play = [](std::uint64_t seed) {
     Relay r(plain(), seed);
     r.list({{.id = "a", .destination = 1}, {.id = "b", .destination = 1}});
@@ -651,7 +654,7 @@
   EXPECT_NE(play(3), play(4));
 }
 
-TEST(Waits, AWaitToldWithAServeHoldsToo) {
+TEST(RetryAfter, OfAServedCallAppliesToo) {
   Relay r;
   r.list({{.id = "a", .destination = 1}});
   const auto first = r.arrive(kSafe);
--- a/tests/harness.hpp
+++ b/tests/harness.hpp
@@ -1,4 +1,4 @@
-// Scripted events against the module: fixed seeds, no wall clock, no bench.
+// Drives a Dispatcher with scripted events: fixed seeds, no wall clock.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -52,7 +52,7 @@
   Microseconds at, timeout;
 };
 
-// Drives one dispatcher: keeps the clock, counts attempts, fires timers, collects what was done.
+// Drives one dispatcher: keeps the clock, counts attempts, fires timers and collects the actions.
 class Relay {
  public:
   explicit Relay(const Settings& s = plain(), std::uint64_t seed = 1) : dispatcher_(s, seed) {}
@@ -84,7 +84,7 @@
       }
     }
   }
-  // Fires the timers due up to `until`, then stands there.
+  // Fires the timers due up to `until` and sets the clock to `until`.
   void run_to(Microseconds until) {
     while (true) {
       auto it = std::min_element(timers_.begin(), timers_.end());
@@ -109,7 +109,7 @@
     round({a});
     return a.id;
   }
-  // Ends the oldest attempt of the message that is out.
+  // Ends the oldest attempt of the message in flight.
   void end(MessageId id, Outcome outcome, Microseconds told_wait = 0) {
     round({ending(id, outcome, told_wait)});
   }
@@ -127,8 +127,8 @@
     out.erase(it);
     return e;
   }
-  // Lives through `span` in steps of 50 ms; `decide` ends what is out for 100 ms or more, arrivals come at
-  // `rate`.
+  // Runs for `span` in steps of 50 ms. `decide` gives the outcome of attempts in flight for 100 ms or more;
+  // messages arrive at `rate` per second.
   template <class Decide>
   void live(Microseconds span, double rate, Class c, DestinationId destination, Decide decide) {
     const Microseconds until = now + span;
--- a/tests/memory_test.cpp
+++ b/tests/memory_test.cpp
@@ -1,4 +1,4 @@
-// What the module learned, given out and taken back by another instance.
+// Tests of learned state: returned for storing by one dispatcher and restored by another.
 #include <cmath>
 #include <limits>
 #include <random>
@@ -15,7 +15,7 @@
 std::optional<Outcome> serve(const Sent&) { return Outcome::served; }
 std::optional<Outcome> no_connection(const Sent&) { return Outcome::connect_failed; }
 
-// What a store holds after all that was given out.
+// The records that a store holds after everything that was returned to it.
 struct Store {
   std::map<EndpointId, LearnedState> records;
   void keep(const std::vector<LearnedState>& given) {
@@ -41,7 +41,7 @@
   return s;
 }
 
-// Another instance with the same list, `down` later, that took the records back or not.
+// Another instance with the same list, started `down` later, with or without the stored records.
 Relay reborn(const Relay& before, const Settings& s, const std::vector<Endpoint>& list,
              const std::vector<Event>& memory, Microseconds down = 0) {
   Relay r(s, 99);
@@ -51,7 +51,7 @@
   return r;
 }
 
-TEST(Recall, AToldWaitHoldsInFullOverARestart) {
+TEST(RestoredState, ARetryAfterAppliesInFullAfterARestart) {
   for (const bool apart : {false, true}) {
     for (const bool recall : {false, true}) {
       auto s = plain();
@@ -78,7 +78,8 @@
   }
 }
 
-// Silent for 20 s, then back: calls tried meanwhile, and in the first seconds after the first serve.
+// The endpoint is silent for 20 s, then returns: the calls meanwhile, and in the first seconds after the
+// first served one.
 struct Return {
   int trials = 0, first_second = 0, first_five = 0, served = 0;
 };
@@ -97,7 +98,7 @@
   x.first_five = r.sends_between(first, first + 5 * kS);
   return x;
 }
-TEST(Recall, AClosedEndpointStaysClosedWithTrialsSpacedAsBefore) {
+TEST(RestoredState, AnEjectedEndpointStaysEjectedWithHealthChecksSpacedAsBefore) {
   for (const Microseconds down : {Microseconds{0}, 60 * kS}) {
     Return lived, recalled, forgot;
     for (std::uint64_t seed = 1; seed <= 4; seed++) {
@@ -120,7 +121,7 @@
       Relay again = reborn(r, s, one(), store.events(down), down), fresh = reborn(r, s, one(), {}, down);
       add(recalled, come_back(again, 20));
       add(forgot, come_back(fresh, 20));
-      r.run_to(r.now + down);  // as idle as the others
+      r.run_to(r.now + down);  // idle for as long as the others
       add(lived, come_back(r, 20));
     }
     std::ostringstream all;
@@ -128,16 +129,16 @@
       all << x.trials << " " << x.first_second << " " << x.first_five << " " << x.served << "; ";
     SCOPED_TRACE(all.str());
     EXPECT_GT(recalled.trials, 0);
-    EXPECT_LE(recalled.trials, lived.trials * 6 / 5);  // the end of a trial that was out is not known
+    EXPECT_LE(recalled.trials, lived.trials * 6 / 5);  // the outcome of a health check in flight is lost
     EXPECT_GT(forgot.trials, lived.trials);
-    // A cold destination stands 0.4 of 20 calls a second at first.
+    // A cold destination first handles 0.4 of 20 calls a second.
     EXPECT_LE(recalled.first_second, lived.first_second * 11 / 10);
     EXPECT_LE(recalled.first_five, lived.first_five * 11 / 10);
     EXPECT_GE(recalled.served, lived.served * 9 / 10);
   }
 }
-// The first second after the restart, with many messages waiting: no burst, whatever was held.
-TEST(Recall, AClosedEndpointIsNotTriedAtOnce) {
+// In the first second after the restart, with many messages waiting, there must be no burst.
+TEST(RestoredState, AnEjectedEndpointIsNotCalledAtOnce) {
   for (const bool recall : {false, true}) {
     const auto s = brief();
     Relay r(s);
@@ -146,7 +147,7 @@
     r.live(4 * kS, 20, kSafe, 1, no_connection);
     Store store;
     store.keep(r.learned(kAll));
-    // Down for long: nobody tried meanwhile, so it is not forgotten over that.
+    // After a long time down the ejection still holds, because nobody called the endpoint meanwhile.
     Relay fresh = reborn(r, s, one(), recall ? store.events(3'600 * kS) : std::vector<Event>{}, 3'600 * kS);
     const Microseconds from = fresh.now;
     for (int i = 0; i < 60; i++) fresh.arrive(kUnsafe);
@@ -156,7 +157,7 @@
     EXPECT_EQ(fresh.sends_between(from, from + 150 * kMs) == 0, recall);
   }
 }
-TEST(Recall, ARampGoesOnAtItsAge) {
+TEST(RestoredState, ASlowStartContinuesAtItsAge) {
   const auto ramp = [](std::uint64_t seed) {
     Relay r(brief(8 * kS), seed);
     r.list(one());
@@ -177,8 +178,8 @@
     EXPECT_GT(store.records["a"].time_in_health, 500 * kMs);
     Relay again = reborn(r, brief(8 * kS), one(), store.events()),
           fresh = reborn(r, brief(8 * kS), one(), {});
-    Relay after = reborn(r, brief(8 * kS), one(), store.events(8 * kS), 8 * kS);  // its time is over
-    // More comes in than a returning destination stands.
+    Relay after = reborn(r, brief(8 * kS), one(), store.events(8 * kS), 8 * kS);  // the slow start is over
+    // More requests arrive than a returning destination can handle.
     const auto sends = [](Relay& x) {
       const Microseconds from = x.now;
       x.live(2 * kS, 120, kUnsafe, 1, serve);
@@ -192,7 +193,7 @@
   EXPECT_GT(forgot, lived * 3 / 2);
   EXPECT_GT(late, lived * 3 / 2);
 }
-// Takes `rate` calls a second, with a little room.
+// Accepts `rate` calls a second, with a small margin.
 struct Limit {
   double rate = 5, room = 1;
   Microseconds last = 0;
@@ -206,7 +207,7 @@
     };
   }
 };
-TEST(Recall, ThePaceIsKept) {
+TEST(RestoredState, KeepsTheSendRate) {
   int lived = 0, recalled = 0, forgot = 0;
   for (std::uint64_t seed = 1; seed <= 10; seed++) {
     Relay r(brief(), seed);
@@ -217,7 +218,7 @@
     ASSERT_EQ(store.records.size(), 2u);
     EXPECT_GT(store.records["a"].send_rate, 2);
     EXPECT_LT(store.records["a"].send_rate, 15);
-    EXPECT_EQ(store.records["a"].send_rate, store.records["b"].send_rate);  // one limit, told by both
+    EXPECT_EQ(store.records["a"].send_rate, store.records["b"].send_rate);  // they share one limit
     Relay again = reborn(r, brief(), two(), store.events()), fresh = reborn(r, brief(), two(), {});
     const auto sends = [](Relay& x) {
       const Microseconds from = x.now;
@@ -231,7 +232,7 @@
   EXPECT_GE(recalled, lived / 2);
   EXPECT_GT(forgot, lived * 3 / 2);
 }
-TEST(Recall, TheDelayIsKeptAndAges) {
+TEST(RestoredState, KeepsAndAgesTheBackoffDelay) {
   const auto wait_after = [](const std::vector<Event>& memory, Microseconds down, const Relay& before) {
     Relay r = reborn(before, plain(), one(), memory, down);
     const auto id = r.arrive(kSafe);
@@ -252,7 +253,7 @@
   store.keep(r.learned(kAll));
   ASSERT_EQ(store.records.count("a"), 1u);
   EXPECT_NEAR(store.records["a"].backoff_delay, 0.6, 0.1);
-  EXPECT_GE(wait_after(store.events(), 0, r), 700 * kMs);  // a step on top, less the jitter
+  EXPECT_GE(wait_after(store.events(), 0, r), 700 * kMs);  // one step longer, less the jitter
   EXPECT_LE(wait_after({}, 0, r), 260 * kMs);              // the initial delay
   EXPECT_LE(wait_after(store.events(60 * kS), 60 * kS, r), 260 * kMs);
   const Microseconds half = wait_after(store.events(2 * kS), 2 * kS, r);  // 0.3 s and a step
@@ -266,7 +267,7 @@
   m.baseline_rate = 20, m.consecutive_failures = 3, m.backoff_delay = 1.5, m.send_rate = 2;
   return m;
 }
-TEST(Recall, NothingNewerIsOverwritten) {
+TEST(RestoredState, DoesNotOverwriteNewerState) {
   for (const auto outcome : {Outcome::served, Outcome::rejected, Outcome::error}) {
     const auto run = [&](bool recall) {
       Relay r;
@@ -279,7 +280,7 @@
     };
     EXPECT_EQ(run(true), run(false));
   }
-  // A told wait holds whatever came since.
+  // A Retry-After applies whatever happened since.
   Relay r;
   r.list(one());
   r.end(r.arrive(kSafe), Outcome::served);
@@ -293,38 +294,38 @@
   r.run_to(from + 2 * kS + 100 * kMs);
   EXPECT_EQ(r.sends_of(id), 1);
 }
-TEST(Recall, AnEndpointIsRecalledOnce) {
+TEST(RestoredState, IsAppliedOncePerEndpoint) {
   Relay r(brief());
   r.list(one());
   r.round({event::LearnedStateRestored{closed("a"), 0}});
   const Microseconds from = r.now;
   for (int i = 0; i < 10; i++) r.arrive(kUnsafe);
-  for (int i = 0; i < 60; i++) {  // would put its next trial off for ever
+  for (int i = 0; i < 60; i++) {  // repeated records must not delay the next health check forever
     r.run_to(r.now + 100 * kMs);
     r.round({event::LearnedStateRestored{closed("a"), 0}});
   }
   EXPECT_GT(r.sends_between(from, r.now), 0);
 }
-TEST(Recall, IsIgnoredForWhatIsNotListed) {
+TEST(RestoredState, IsIgnoredForEndpointsThatAreNotListed) {
   Relay r;
   r.round({event::LearnedStateRestored{closed("a"), 0}});
   r.list(one());
   EXPECT_EQ(r.sends_of(r.arrive(kSafe)), 1);
-  Relay moved;  // its destination is another now: the wait was not told for that
+  Relay moved;  // its destination has changed: the Retry-After is not for the new one
   moved.list({{.id = "a", .destination = 2}});
   LearnedState m;
   m.endpoint = "a", m.destination = 1, m.retry_after_left = 3 * kS;
   moved.round({event::LearnedStateRestored{m, 0}});
   EXPECT_EQ(moved.sends_of(moved.arrive(kSafe, 2)), 1);
 }
-TEST(Recall, OfOneTargetTheLatestRecordCountsInAnyOrder) {
+TEST(RestoredState, OfOneScopeTheLatestRecordCountsInAnyOrder) {
   LearnedState a, b, c;
   a.endpoint = "a", b.endpoint = "b", c.endpoint = "c";
   a.destination = b.destination = c.destination = 1;
   a.send_rate = 3, a.backoff_delay = 0.4, a.consecutive_rejections = 1,
   a.first_rejection_age = 2 * kS;  // latest, as c
   b.send_rate = 0.5, b.backoff_delay = 2, b.retry_after_left = 9 * kS,
-  b.admission_probability = 0.1;  // older, but its wait holds
+  b.admission_probability = 0.1;  // older, but its Retry-After applies
   c.send_rate = 2, c.backoff_delay = 0.3, c.consecutive_rejections = 3, c.admission_probability = 0.5;
   std::vector<std::pair<LearnedState, Microseconds>> records = {{a, 1 * kS}, {b, 4 * kS}, {c, 1 * kS}};
   std::vector<int> order = {0, 1, 2};
@@ -353,7 +354,7 @@
   } while (std::next_permutation(order.begin(), order.end()));
   EXPECT_EQ(ends.size(), 1u);
 }
-TEST(Recall, RecordsOutOfRangeDoNoHarm) {
+TEST(RestoredState, RecordsOutOfRangeDoNoHarm) {
   const double nan = std::nan("");
   LearnedState m = closed("a");
   m.time_in_health = -1, m.baseline_rate = nan, m.slow_start_budget = nan, m.consecutive_failures = -7,
@@ -377,13 +378,13 @@
   EXPECT_GT(huge.sends_between(0, huge.now), 0);
 }
 
-TEST(Learned, TellsNothingOfTargetsThatServe) {
+TEST(ChangedState, HasNoRecordsOfEndpointsThatServe) {
   Relay r;
   r.list(two());
   r.live(10 * kS, 20, kSafe, 1, serve);
   EXPECT_TRUE(r.learned(kAll).empty());
 }
-TEST(Learned, HealthAndToldWaitsComeAtOnceTheRestOnceASecond) {
+TEST(ChangedState, HealthAndRetryAftersComeAtOnceTheRestOnceASecond) {
   Relay r;
   r.list(one());
   Limit limit;
@@ -395,7 +396,7 @@
   }
   EXPECT_GE(at.size(), 5u);
   for (std::size_t i = 1; i < at.size(); i++) EXPECT_GE(at[i] - at[i - 1], 1 * kS);
-  // Just given, and yet:
+  // Returned just before, but urgent changes are returned again:
   for (int i = 0; i < 100 && r.learned(kAll).empty(); i++) r.live(50 * kMs, 20, kSafe, 1, limit.of(r));
   for (int i = 0; i < 500 && r.out.empty(); i++) r.arrive(kSafe), r.run_to(r.now + 10 * kMs);
   ASSERT_FALSE(r.out.empty());
@@ -417,7 +418,7 @@
   EXPECT_EQ(seen[0], Health::ejected);
   EXPECT_EQ(seen[1], Health::slow_start);
 }
-TEST(Learned, AChangeOfHealthIsGivenInItsRound) {
+TEST(ChangedState, AChangeOfHealthIsReturnedInItsPass) {
   Relay r;
   r.list(one());
   r.live(5 * kS, 20, kSafe, 1, serve);
@@ -431,8 +432,8 @@
   }
   EXPECT_TRUE(closed_seen);
 }
-TEST(Learned, ATargetBackToNothingIsGivenOnceAsBlank) {
-  // By time alone: a delay, and a wait.
+TEST(ChangedState, AnEndpointThatIsBlankAgainIsReturnedOnce) {
+  // By time alone: a backoff delay and a Retry-After.
   for (const Microseconds wait : {Microseconds{0}, 4 * kS}) {
     Relay r;
     r.list(two());
@@ -462,10 +463,10 @@
   r.live(5 * kS, 20, kSafe, 1, serve);
   store.keep(r.learned(kAll));
   EXPECT_EQ(store.records.size(), 1u);
-  r.run_to(r.now + 20 * kS);  // quiet: the ramp's time is up all the same
+  r.run_to(r.now + 20 * kS);  // without traffic the slow start ends as well
   store.keep(r.learned(kAll));
   EXPECT_TRUE(store.records.empty());
-  // And by a pace that bounds nothing any more.
+  // By a send rate that no longer limits anything.
   Limit limit;
   r.live(5 * kS, 20, kSafe, 1, limit.of(r));
   store.keep(r.learned(kAll));
@@ -474,7 +475,7 @@
   store.keep(r.learned(kAll));
   EXPECT_TRUE(store.records.empty());
 }
-TEST(Learned, ARecalledRecordIsGivenBlankWhenItIsOver) {
+TEST(ChangedState, ARestoredRecordIsReturnedAsBlankWhenItExpires) {
   Relay r;
   r.list(one());
   LearnedState m;
@@ -484,7 +485,7 @@
   ASSERT_EQ(given.size(), 1u);
   EXPECT_TRUE(given[0].blank());
 }
-TEST(Learned, AtMostSoManyComeTheRestWithTheNextCall) {
+TEST(ChangedState, HasAtMostTheRequestedNumberAndTheRestInTheNextCall) {
   Relay r(brief());
   std::vector<Endpoint> endpoints;
   for (int i = 0; i < 20; i++)
@@ -504,7 +505,7 @@
   EXPECT_EQ(seen.size(), 20u);
   EXPECT_TRUE(r.learned(3).empty());
 }
-TEST(Learned, NothingIsKeptOfWhatLeftTheList) {
+TEST(ChangedState, KeepsNothingOfEndpointsThatLeftTheList) {
   for (const bool apart : {false, true}) {
     auto s = plain();
     s.kinds[0].per_endpoint_limits = apart;
@@ -515,7 +516,7 @@
       r.list({{.id = id, .destination = i}});
       r.end(r.arrive(kSafe, i), Outcome::error);
       if (i == 10) before = r.kept();
-      EXPECT_LE(r.kept(), i < 10 ? 1'000 : before);  // also where nobody ever asks
+      EXPECT_LE(r.kept(), i < 10 ? 1'000 : before);  // also where nobody ever reads the changes
       r.run_to(r.now + 10 * kS);
       for (const auto& sent : std::vector<Sent>(r.out)) r.end(sent.id, Outcome::served);
     }
@@ -602,7 +603,7 @@
   }
   return text.str();
 }
-TEST(Learned, ChangesNoDecision) {
+TEST(ChangedState, ReadingItChangesNoDecision) {
   std::size_t given = 0, nothing = 0;
   for (std::uint64_t seed = 1; seed <= 20; seed++)
     ASSERT_EQ(random_life(seed, true, given), random_life(seed, false, nothing)) << "seed " << seed;
--- a/tests/recovered_test.cpp
+++ b/tests/recovered_test.cpp
@@ -1,4 +1,5 @@
-// Messages of an earlier life, against the module: what they may still do, and when they are tried.
+// Tests of messages from an earlier incarnation: what may still be done with them, and when they are
+// attempted.
 #include "harness.hpp"
 
 namespace heronvane::dispatch::testing {
@@ -12,7 +13,7 @@
   if (may_have_run) r.possibly_executed_zone = 0, r.possibly_executed_age = 1 * kS;
   return r;
 }
-TEST(Recovery, AnUnsafeMessageThatMayHaveRunFailsAtOnce) {
+TEST(Recovery, ANonIdempotentMessageThatMayHaveRunFailsAtOnce) {
   Relay r;
   r.list({{.id = "a", .destination = 1}});
   r.round({recovered(1, kUnsafe, 1, true)});
@@ -20,14 +21,14 @@
   r.run_to(r.now + 10 * kS);
   EXPECT_TRUE(r.sent.empty() && r.refused.empty());
 }
-TEST(Recovery, AnUnsafeMessageThatNeverRanIsSent) {
+TEST(Recovery, ANonIdempotentMessageThatNeverRanIsSent) {
   Relay r;
   r.list({{.id = "a", .destination = 1}});
   r.round({recovered(1, kUnsafe, 3, false)});
   EXPECT_EQ(r.sends_of(1), 1);
   EXPECT_TRUE(r.failed.empty());
 }
-TEST(Recovery, ASafeMessageThatMayHaveRunIsSent) {
+TEST(Recovery, AnIdempotentMessageThatMayHaveRunIsSent) {
   Relay r;
   r.list({{.id = "a", .destination = 1}});
   r.round({recovered(1, kSafe, 1, true)});
@@ -57,8 +58,9 @@
   EXPECT_EQ(r.sends_of(1), 0);
   EXPECT_EQ(r.sends_of(2), 1);
 }
-// Guards against a restart that gives its backlog up with no call, since what comes in now is worth more.
-TEST(Recovery, WhatIsUntriedIsNotHandedBackForNewMessages) {
+// Guards against a restart that gives up its backlog without a call, because new messages have a greater
+// weight.
+TEST(Recovery, UnattemptedMessagesAreNotRejectedInFavourOfNewOnes) {
   auto s = plain();
   s.max_in_flight = 10;
   s.max_concurrent_calls = 1;
@@ -73,8 +75,8 @@
   EXPECT_EQ(r.refused.count(109), 1u) << "it was tried, so it is as good as a new one";
   EXPECT_GE(r.refused.size(), 4u) << "room is made all the same";
 }
-// Also of a class that is worth little by now, and when what comes in is worth much.
-TEST(Recovery, WhatIsUntriedGoesBeforeNewWork) {
+// Also where they have little weight by now and the new messages have much.
+TEST(Recovery, UnattemptedMessagesAreSentBeforeNewOnes) {
   auto s = plain();
   s.max_concurrent_calls = 1;
   Relay r(s);
@@ -87,14 +89,14 @@
   EXPECT_EQ(r.sends_of(101), 1);
   EXPECT_EQ(r.sends_of(fresh), 0);
   r.run_to(r.now + 100 * kMs);
-  r.end(101, Outcome::rejected);  // tried: from now on as any other
+  r.end(101, Outcome::rejected);  // attempted: from now on treated as any other
   r.run_to(r.now + 1 * kS);
   EXPECT_EQ(r.sends_of(fresh), 1);
   EXPECT_EQ(r.sends_of(102), 0) << "it had been tried";
 }
 
-// Twenty destinations of which little is let through, a message for each that an earlier life left untried:
-// what became of them in 5 s, over 20 seeds.
+// Twenty destinations with a low admission probability, each with one message that an earlier incarnation
+// left unattempted: what happens to them in 5 s, over 20 seeds.
 struct Tries {
   std::size_t sent = 0;
   int by_second[5] = {};
@@ -132,9 +134,10 @@
   }
   return found;
 }
-// Guards against a restart that gives its backlog up with no call: the share that is let through is the
-// whole fleet's, and far below one call of each relay that came back. And against a stampede of them.
-TEST(Recovery, WhatIsUntriedGetsOneTrySpreadOverItsTime) {
+// Guards against a restart that gives up its backlog without a call, because the admission probability is
+// that of the whole fleet and allows far less than one call of each restarted relay. Also guards against many
+// calls at once.
+TEST(Recovery, UnattemptedMessagesGetOneAttemptAtARandomTimeBeforeTheDeadline) {
   const auto found = tries(0);
   EXPECT_EQ(found.sent, 400u);
   for (const int sent : found.by_second) {
@@ -142,7 +145,7 @@
     EXPECT_LE(sent, 130);
   }
 }
-TEST(Recovery, NoTryIsForcedWhereItIsPerhapsShutOrToldToWait) {
+TEST(Recovery, NoAttemptIsForcedAfterRejectionsOrARetryAfter) {
   EXPECT_LT(tries(2).sent, 100u);
   const auto waiting = tries(0, 3 * kS);
   EXPECT_EQ(waiting.by_second[0] + waiting.by_second[1] + waiting.by_second[2], 0);
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,10 +1,11 @@
-// The six rules, each with events that break it where its guard is taken out.
+// Tests of the six rules, each with events that break the rule if the code that guards it is
+// removed.
 #include "harness.hpp"
 
 namespace heronvane::dispatch::testing {
 namespace {
 
-TEST(Lost, HeldMessageEndsByItsDeadline) {
+TEST(FinalAnswer, AWaitingMessageEndsByItsDeadline) {
   Relay r;
   const auto id = r.arrive(kSafe, 99);  // a destination with no endpoint
   r.run_to(10 * kS);
@@ -13,7 +14,7 @@
   EXPECT_LE(at, 1 * kS + 6 * kS + 20 * kMs);
   EXPECT_EQ(r.sends_of(id), 0);
 }
-TEST(Lost, TimeoutAtTheDeadlineIsAnswered) {
+TEST(FinalAnswer, ATimeoutAtTheDeadlineIsAnswered) {
   Relay r;
   r.list({{.id = "a", .destination = 1}});
   const auto id = r.arrive(kSafe, 1, "", 300 * kMs);
@@ -25,7 +26,7 @@
   r.run_to(r.now + 5 * kS);
   EXPECT_EQ(r.sends_of(id), 1);
 }
-TEST(Lost, NothingIsSentForAMessageThatIsOver) {
+TEST(FinalAnswer, NothingIsSentForACompletedMessage) {
   Relay r;
   r.list({{.id = "a", .destination = 1}});
   const auto id = r.arrive(kSafe);
@@ -35,7 +36,7 @@
   EXPECT_EQ(r.sends_of(id), 1);
   EXPECT_TRUE(r.failed.empty() && r.refused.empty());
 }
-TEST(Lost, AttemptLimitHolds) {
+TEST(FinalAnswer, TheAttemptLimitHolds) {
   auto s = plain();
   s.max_attempts = 2;
   Relay r(s);
@@ -49,7 +50,7 @@
   EXPECT_EQ(r.failed.count(id), 1u);
 }
 
-TEST(Effects, UnsafeIsNotRepeatedWhenItMayHaveRun) {
+TEST(Repeats, ANonIdempotentMessageIsNotRetriedWhenItMayHaveRun) {
   for (auto o : {Outcome::error, Outcome::timeout, Outcome::reset, Outcome::cancelled}) {
     Relay r;
     r.list({{.id = "a", .destination = 1}});
@@ -61,7 +62,7 @@
     EXPECT_EQ(r.refused.count(id), 0u);
   }
 }
-TEST(Effects, UnsafeIsTriedAgainWhenItNeverRan) {
+TEST(Repeats, ANonIdempotentMessageIsRetriedWhenItNeverRan) {
   for (auto o : {Outcome::rejected, Outcome::connect_failed, Outcome::not_sent}) {
     Relay r;
     r.list({{.id = "a", .destination = 1}});
@@ -71,7 +72,7 @@
     EXPECT_EQ(r.sends_of(id), 2);
   }
 }
-TEST(Effects, KeyedIsRepeatedOnlyInItsWindow) {
+TEST(Repeats, AKeyedMessageIsRetriedOnlyInItsKeyWindow) {
   Relay r;
   r.list({{.id = "a", .destination = 1}});
   const auto id = r.arrive(kKeyed);
@@ -80,16 +81,16 @@
   r.end(id, Outcome::timeout);
   r.run_to(r.now + 2 * kS);
   ASSERT_EQ(r.sends_of(id), 2);  // inside the window
-  // A relay may be held up for 150 ms between its decision and its write.
+  // A relay may be delayed for 150 ms between its decision and its write.
   r.run_to(first + 5 * kS - 149 * kMs);
   r.end(id, Outcome::timeout);
   r.run_to(r.now + 15 * kS);
   for (const auto& s : r.sent) EXPECT_LE(s.at, first + 5 * kS - 150 * kMs);
   EXPECT_EQ(r.failed.count(id) + r.refused.count(id), 1u);
 }
-// Whenever the attempt that may have run ends: the last repeats come shortly before the margin, none behind
+// Whenever the attempt that may have run ends, the last retries come shortly before the margin and none after
 // it.
-TEST(Effects, KeyedRepeatsLeaveTimeForALateWrite) {
+TEST(Repeats, RetriesOfAKeyedMessageLeaveTimeForALateWrite) {
   constexpr Microseconds kWindow = 5 * kS, kMargin = 150 * kMs;
   Microseconds latest = 0;
   for (std::uint64_t seed = 1; seed <= 20; seed++)
@@ -106,12 +107,12 @@
   EXPECT_LE(latest, kWindow - kMargin);
   EXPECT_GT(latest, kWindow - 2 * kMargin) << "nothing came near the end of the window";
 }
-TEST(Effects, KeyedWindowCountsFromTheAttemptThatMayHaveRun) {
+TEST(Repeats, TheKeyWindowCountsFromTheAttemptThatMayHaveRun) {
   Relay r;
   r.list({{.id = "a", .destination = 1}});
   const auto id = r.arrive(kKeyed);
   r.run_to(r.now + 4 * kS);
-  r.end(id, Outcome::rejected);  // never ran: no window opens
+  r.end(id, Outcome::rejected);  // not executed: the key window does not begin
   r.run_to(r.now + 4 * kS);
   ASSERT_EQ(r.sends_of(id), 2);
   const Microseconds second = r.sent.back().at;
@@ -119,7 +120,7 @@
   r.run_to(second + 4 * kS + 900 * kMs);
   EXPECT_EQ(r.sends_of(id), 3);
 }
-TEST(Effects, KeyedByZoneStaysInTheZone) {
+TEST(Repeats, AMessageKeyedByZoneStaysInItsZone) {
   auto s = plain();
   s.classes[kKeyed].key_scope = KeyScope::zone;
   for (int seed = 1; seed < 6; seed++) {
@@ -141,7 +142,7 @@
   }
 }
 
-TEST(Drains, NothingNewOnceToldThatItDrainsOrIsGone) {
+TEST(EndpointRemoval, ADrainingOrRemovedEndpointGetsNothingNew) {
   for (auto listing : {Listing::draining, Listing::gone}) {
     Relay r;
     r.list({{.id = "a", .destination = 1}});
@@ -154,7 +155,7 @@
     EXPECT_EQ(r.sends_of(id), 1);
   }
 }
-TEST(Drains, MissingFromAWholeListIsGone) {
+TEST(EndpointRemoval, AnEndpointMissingFromACompleteListIsRemoved) {
   Relay r;
   r.list({{.id = "a", .destination = 1}, {.id = "b", .destination = 1}});
   r.list({{.id = "b", .destination = 1}});
@@ -163,8 +164,9 @@
   EXPECT_FALSE(r.sent.empty());
 }
 
-// After any outage, no window may hold much more than this relay's part of what a cold destination stands.
-void expect_gentle_return(Outcome symptom) {
+// After any outage, no window of time may contain many more calls than this relay's share of what a cold
+// destination can handle.
+void expect_limited_load_after_outage(Outcome symptom) {
   auto s = plain();
   s.collapse_factor = 2, s.slow_start_min_share = 0.2, s.slow_start_window = 8 * kS;
   Relay r(s);
@@ -186,11 +188,13 @@
   }
   EXPECT_GE(r.sends_between(r.now - 2 * kS, r.now), 16) << "served in full again";
 }
-TEST(Return, AfterRefusedConnects) { expect_gentle_return(Outcome::connect_failed); }
-TEST(Return, AfterErrors) { expect_gentle_return(Outcome::error); }
-TEST(Return, AfterBeingShut) { expect_gentle_return(Outcome::rejected); }
+TEST(LoadAfterOutage, IsLimitedAfterFailedConnects) {
+  expect_limited_load_after_outage(Outcome::connect_failed);
+}
+TEST(LoadAfterOutage, IsLimitedAfterErrors) { expect_limited_load_after_outage(Outcome::error); }
+TEST(LoadAfterOutage, IsLimitedAfterRejections) { expect_limited_load_after_outage(Outcome::rejected); }
 
-TEST(Waits, ToldWaitHoldsEverySendToTheDestination) {
+TEST(RetryAfter, BlocksEverySendToTheDestination) {
   Relay r;
   r.list({{.id = "a", .destination = 1}, {.id = "b", .destination = 1}, {.id = "c", .destination = 2}});
   const auto id = r.arrive(kSafe);
@@ -200,12 +204,12 @@
   r.run_to(told + 1500 * kMs);
   r.arrive(kSafe);
   EXPECT_EQ(r.sends_between(told + 1, told + 2 * kS), 0);
-  r.arrive(kSafe, 2);  // others are not held
+  r.arrive(kSafe, 2);  // others are not blocked
   EXPECT_EQ(r.sent.back().endpoint, "c");
   r.run_to(told + 4 * kS);
   EXPECT_GE(r.sends_between(told + 2 * kS, told + 4 * kS), 1);
 }
-TEST(Waits, ToldWaitHoldsOneRouteWhereRoutesAreApart) {
+TEST(RetryAfter, BlocksOneEndpointWhereEndpointsHaveTheirOwnLimits) {
   auto s = plain();
   s.kinds[0].per_endpoint_limits = true;
   Relay r(s);
@@ -226,7 +230,7 @@
   s.key_quiet_period = 700 * kMs;
   return s;
 }
-TEST(Order, OneAtATimeInTheOrderTaken) {
+TEST(OrderKey, OneMessageAtATimeInTheOrderOfArrival) {
   Relay r(ordered());
   r.list({{.id = "a", .destination = 1}, {.id = "b", .destination = 2}});
   const auto first = r.arrive(kSafe, 1, "k");
@@ -241,7 +245,7 @@
   r.end(second, Outcome::served);
   EXPECT_EQ(r.sends_of(third), 1);
 }
-TEST(Order, WithdrawnMessageStillBlocksWhileItsAttemptIsOut) {
+TEST(OrderKey, AWithdrawnMessageStillBlocksWhileItsAttemptIsInFlight) {
   Relay r(ordered());
   r.list({{.id = "a", .destination = 1}});
   const auto first = r.arrive(kSafe, 1, "k");
@@ -251,7 +255,7 @@
   r.end(first, Outcome::served);
   EXPECT_EQ(r.sends_of(second), 1);
 }
-TEST(Order, TheKeyRestsAfterDoubt) {
+TEST(OrderKey, HasAQuietPeriodAfterAnUnknownOutcome) {
   for (auto o : {Outcome::timeout, Outcome::reset, Outcome::cancelled}) {
     Relay r(ordered());
     r.list({{.id = "a", .destination = 1}});
