--- a/tests/policy/index_test.cpp
+++ b/tests/policy/index_test.cpp
@@ -1,4 +1,5 @@
-// The index of what waits chooses what a walk over all messages would, in each round of random streams.
+// Checks that the indexed scheduler chooses what a walk over all messages would, in each round of random
+// streams.
 //
 // HERONVANE_STREAMS (1000): how many; HERONVANE_STREAM_SEED (1): the first of their seeds.
 #include <gtest/gtest.h>
@@ -21,7 +22,7 @@
   return value == nullptr || *value == '\0' ? otherwise : std::strtoull(value, nullptr, 10);
 }
 
-// An action in words; timers have none.
+// An action as text; empty for timers.
 struct Words {
   std::ostringstream& out;
   void operator()(const action::Send& a) const {
@@ -70,9 +71,9 @@
       walk.handle(round.at, round.events, by_walk);
       rounds++;
       ASSERT_EQ(words(by_index), words(by_walk)) << "seed " << seed << " at " << round.at;
-      // Where time alone brought something about, the index had asked for that time itself.
+      // Where time alone caused an action, the indexed scheduler must have requested a wake-up for that time.
       const bool asked = !index_timers.empty() && *index_timers.begin() <= round.at;
-      // (What is handed back while the buffer is full needs no time of its own: any round will do.)
+      // (Rejections while the buffer is full need no wake-up: they may come in any round.)
       std::erase_if(by_walk, [](const Action& a) { return std::holds_alternative<action::Reject>(a); });
       ASSERT_TRUE(asked || !round.timer_alone || words(by_walk).empty())
           << "seed " << seed << " at " << round.at << "\n"
--- a/tests/policy/pass_harness.hpp
+++ b/tests/policy/pass_harness.hpp
@@ -1,4 +1,4 @@
-// A DecisionPass for tests of single owners of state: settings, draws and actions in one place.
+// Provides a DecisionPass, with its settings, random numbers and actions, for tests of single classes.
 #pragma once
 
 #include <vector>
@@ -8,7 +8,7 @@
 namespace heronvane::dispatch::testing {
 
 struct PassHarness {
-  // Calls `step` with a pass at `now` and returns when the pass wants to be woken.
+  // Calls `step` with a pass at `now` and returns the wake-up time that the pass requested.
   template <class Step>
   Microseconds at(Microseconds now, const Step& step) {
     ActionSink sink(actions);
--- a/tests/policy/priority_test.cpp
+++ b/tests/policy/priority_test.cpp
@@ -1,4 +1,4 @@
-// Within a phase the order of two messages of one class never changes, and is the one that the phase tells.
+// Checks that within a phase the order of two messages of one class never changes, and is the phase's order.
 #include "priority.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/policy/random_stream.cpp
+++ b/tests/policy/random_stream.cpp
@@ -92,7 +92,7 @@
     event::EndpointListUpdate changes;
     for (auto n = 1 + roll(3); n > 0; n--) {
       Endpoint& e = endpoints_[roll(endpoints_.size())];
-      // It moves to another destination.
+      // The endpoint moves to another destination.
       if (chance(5)) e.destination = static_cast<DestinationId>(1 + roll(destinations_));
       changes.endpoints.push_back(say(e));
     }
@@ -109,7 +109,7 @@
   if (!attempts_.empty() && chance(2)) {
     auto it = attempts_.begin();
     std::advance(it, static_cast<std::ptrdiff_t>(roll(attempts_.size())));
-    // Only of messages that have nothing out.
+    // Only for messages without an attempt in flight.
     const auto out =
         std::any_of(calls_.begin(), calls_.end(), [&](const Call& c) { return c.id == it->first; });
     if (!out) events.emplace_back(event::RequestWithdrawn{it->first}), attempts_.erase(it);
@@ -172,7 +172,7 @@
     round.events.emplace_back(std::move(e));
     round.timer_alone = false;
   }
-  // Where a timer ends the wait, nothing else comes now and then.
+  // Sometimes a timer that ends the wait is the round's only event.
   if (!round.timer_alone || chance(50)) {
     round.timer_alone = false;
     lists(round.events);
--- a/tests/policy/random_stream.hpp
+++ b/tests/policy/random_stream.hpp
@@ -1,5 +1,5 @@
-// A random stream of events as a relay would see them: messages, outcomes, lists, waits, notes, earlier
-// lives.
+// A random stream of events as a relay would see them: messages, outcomes, endpoint lists, Retry-Afters,
+// gossip, recovered messages.
 #pragma once
 
 #include <map>
@@ -11,7 +11,7 @@
 
 namespace heronvane::dispatch::testing {
 
-// Settings, endpoints and how much comes hang on the seed.
+// The seed determines settings, endpoints and traffic.
 class RandomStream {
  public:
   explicit RandomStream(std::uint64_t seed);
@@ -21,10 +21,10 @@
   struct Round {
     Microseconds at = 0;
     std::vector<Event> events;
-    bool timer_alone = false;  // nothing came but a timer that is due
+    bool timer_alone = false;  // the only event is a timer that is due
   };
   Round next(Microseconds timer);
-  // What was decided in it.
+  // Takes the actions decided in the round.
   void decided(const std::vector<Action>& actions);
   bool done() const { return rounds_ >= most_rounds_; }
   std::size_t sends() const { return sends_; }
--- a/tests/policy/request_harness.hpp
+++ b/tests/policy/request_harness.hpp
@@ -1,4 +1,4 @@
-// The owners of requests and endpoints side by side, for tests of what works with both.
+// The owners of requests and endpoints, for tests of classes that use both.
 #pragma once
 
 #include <gtest/gtest.h>
--- a/tests/policy/wake_up_timer_test.cpp
+++ b/tests/policy/wake_up_timer_test.cpp
@@ -9,8 +9,8 @@
 
 class WakeUpTimerTest : public ::testing::Test {
  protected:
-  // The durations of all timers that were asked for so far, after a pass that wants to be woken at
-  // `wake_up_at`.
+  // Runs a pass that requests a wake-up at `wake_up_at`; returns the durations of all timers requested so
+  // far.
   std::vector<Microseconds> durations_after(Microseconds now, Microseconds wake_up_at) {
     harness_.at(now, [&](DecisionPass& pass) {
       pass.wake_up.no_later_than(wake_up_at);
