--- a/bench/copies/takeover.sh
+++ b/bench/copies/takeover.sh
@@ -50,7 +50,7 @@
     begun = None
     for line in open(path, errors="replace"):
         at = line.split(" ", 1)[0]
-        if "taking over what it owes" in line:
+        if "taking over its messages" in line:
             begun = float(at)
         m = re.search(r"copies: (\d+) messages taken over", line)
         if m and begun is not None:
--- a/relay/copies/copies.cpp
+++ b/relay/copies/copies.cpp
@@ -1,3 +1,5 @@
+#include "copies.hpp"
+
 #include <algorithm>
 #include <boost/asio/ip/address.hpp>
 #include <boost/asio/post.hpp>
@@ -7,7 +9,6 @@
 #include <stdexcept>
 #include <utility>
 
-#include "copies.hpp"
 #include "facts.hpp"
 
 namespace heronvane::copies {
@@ -43,10 +44,11 @@
   boost::system::error_code error;
   const auto ip = net::ip::make_address(text.substr(0, colon), error);
   if (colon == std::string::npos || error || port == 0 || port > 65535)
-    throw std::runtime_error(where + ": \"" + text + "\" is no ip:port");
+    throw std::runtime_error(where + ": \"" + text + "\" is not an ip:port");
   if (!is_private(ip))
-    throw std::runtime_error(where + ": " + text +
-                             " is neither a loopback nor a private address: copies go unencrypted");
+    throw std::runtime_error(
+        where + ": " + text +
+        " is neither a loopback nor a private address; replication traffic is not encrypted");
   return {ip, static_cast<std::uint16_t>(port)};
 }
 
@@ -143,8 +145,8 @@
 // As a replica, this relay becomes another member. As a leader, its claim finds out what its disk lacks.
 void LogReplicator::handle_disk_rollback() {
   options_.log(
-      "copies: this disk is of an earlier moment than others have seen: what it promised as a holder is "
-      "forgotten, and it comes back as another member");
+      "copies: this disk was rolled back to a state older than other members have seen; this relay discards "
+      "the replica logs on it and continues with a new member incarnation");
   rollback_detected_ = false;
   replica_logs_.discard_all();
   self_.incarnation = std::max(new_incarnation(), self_.incarnation + 1);
@@ -163,11 +165,13 @@
   try {
     for (const auto& m : members) address(m.address, "copies.member " + m.name);
   } catch (const std::exception& e) {
-    return options_.log(std::string("copies: the old members stay: ") + e.what());
+    return options_.log(std::string("copies: the new members are rejected and the previous ones kept: ") +
+                        e.what());
   }
   if (std::none_of(members.begin(), members.end(), [&](const auto& m) { return m.name == options_.name; }) &&
       options_.settings.listen.empty())
-    return options_.log("copies: the old members stay: " + options_.name + " is not among the new ones");
+    return options_.log("copies: the new members are rejected and the previous ones kept: " + options_.name +
+                        " is not among the new members");
   options_.settings.members = std::move(members);
   reconnect_at_ = 0;
 }
@@ -214,7 +218,8 @@
   if (log_.incarnation == 0) return;
   if (options_.force_own) {
     options_.log(
-        "copies: forced: a new log with what this folder holds; what another relay took over may run twice");
+        "copies: forced: starting a new log from this folder; messages that another relay took over may run "
+        "twice");
     for (const auto& key : {kLogKey, kConfigKey, kEndKey}) put(key, {});
     log_.incarnation = 0;
     return;
@@ -224,7 +229,7 @@
     if (const auto kept = read_state(it->second)) config_ = kept->config;
   const auto& r = store_.recovery();
   if (!r.damaged.empty() || r.counts.missing > 0) {
-    options_.log("copies: the own folder is damaged: what it held is read from the holders");
+    options_.log("copies: the folder of this relay is damaged; its log is read from the holders");
     return;  // position 0: the replicas have more
   }
   if (const auto it = facts.find(kEndKey); it != facts.end()) {
@@ -299,7 +304,7 @@
   put(kLogKey, std::to_string(log_.incarnation));
   std::string names;
   for (const auto& h : config_.replicas) names += " " + h.name;
-  options_.log("copies: a new log, held by" + (names.empty() ? " none" : names));
+  options_.log("copies: started a new log; holders:" + (names.empty() ? " none" : names));
   claim_.reset();
   leader_.emplace(self_, epoch, config_, last_, last_epoch_, LeaderOptions{acks(), 64});
   start_leading();
@@ -456,8 +461,8 @@
   if (!leader_) return;
   if (leader_->fenced()) {
     options_.log("copies: fenced by " + leader_->fenced()->claimant.name +
-                 ": nothing is acted on until it is "
-                 "known where the log goes");
+                 "; no messages are processed until "
+                 "this relay regains the log or learns which log it moved to");
     return begin_claim(leader_->fenced()->number);
   }
   if (leader_->config().version != config_.version) {
@@ -479,7 +484,7 @@
   leader_->trim(options_.memory_bytes / kRetainedEntriesMemoryDivisor);
   if (moved && short_ && uncommitted_.empty()) {
     short_ = false;
-    options_.log("copies: all that was written stands at enough holders again");
+    options_.log("copies: all written entries are acknowledged by enough holders again");
   }
   if (!ready_ && leader_->durable() > epoch_start_) {
     ready_ = true;
@@ -583,23 +588,24 @@
     const Member* const peer = connections_->peer(m.name);
     const bool another = peer != nullptr && phase_ == Phase::claiming && *peer != m;
     text.append(text.empty() ? "" : ", ").append(m.name);
-    text.append(peer == nullptr ? " (no connection)"
-                : another       ? " (came back without its disk)"
-                                : " (there)");
+    text.append(peer == nullptr ? " (no connection)" : another ? " (returned without its disk)" : " (there)");
   }
   options_.log(phase_ == Phase::choosing
-                   ? "copies: a new log waits for holders: " + text
-                   : "copies: the own log is not known to stand yet; its holders: " + text +
-                         ". Bring back who is missing; --force-own goes on without asking");
+                   ? "copies: waiting for connections to the holders of a new log: " + text
+                   : "copies: waiting for holders of this relay's log to confirm that it still leads the "
+                     "log; its holders: " +
+                         text +
+                         ". Restore the missing holders; --force-own starts without their confirmation");
 }
 
 void LogReplicator::check_commit_delay() {
   if (uncommitted_.empty() || steady() - uncommitted_.front().since < options_.settings.short_after) return;
   if (!std::exchange(short_, true)) {
     shortages_++;
-    options_.log("copies: too few holders: " + std::to_string(uncommitted_.size()) +
-                 " entries wait, the oldest for " +
-                 std::to_string((steady() - uncommitted_.front().since) / 1000) + " ms; nothing is taken on");
+    options_.log("copies: too few holders acknowledge entries: " + std::to_string(uncommitted_.size()) +
+                 " entries are waiting, the oldest for " +
+                 std::to_string((steady() - uncommitted_.front().since) / 1000) +
+                 " ms; new messages are refused");
   }
   hooks_.wait_is_over();
 }
@@ -629,7 +635,7 @@
         }
     }
     if (!replacement || !leader_->replace(h, *replacement)) continue;
-    options_.log("copies: holder " + h.name + " is lost: " + replacement->name + " takes its place");
+    options_.log("copies: holder " + h.name + " is lost; " + replacement->name + " becomes a holder instead");
     replica_health_[replacement->name].away_since = 0;
     return apply_progress();
   }
--- a/relay/copies/copies_claims.cpp
+++ b/relay/copies/copies_claims.cpp
@@ -55,7 +55,7 @@
     if (!own) store_.put(std::move(r));
   });
   if (!sound) {
-    options_.log("copies: what a holder sent of the own log can't be read");
+    options_.log("copies: unreadable records of this relay's log received from a holder");
     read_requested_at_ = 0;
     return;
   }
@@ -70,8 +70,9 @@
   for (const auto& [number, held] : store_.held())
     if (read_numbers_.count(number) == 0) over.push_back(number);
   for (const MessageId number : over) store_.finish(number, false);
-  options_.log("copies: this disk was older than its copies: " + std::to_string(read_numbers_.size()) +
-               " messages read, " + std::to_string(over.size()) + " that were over are dropped");
+  options_.log(
+      "copies: this disk was older than the copies at its holders: " + std::to_string(read_numbers_.size()) +
+      " messages read, " + std::to_string(over.size()) + " finished messages dropped");
   read_numbers_.clear();
 }
 
@@ -80,7 +81,9 @@
     case Claim::State::importing:
       last_ = claim_->last(), last_epoch_ = claim_->last_epoch();
       // Only its leader writes a log, so a running leader can't be older than its replicas.
-      if (ready_) throw std::runtime_error("copies: the holders have more of the own log than was written");
+      if (ready_)
+        throw std::runtime_error(
+            "copies: the holders have more entries of this relay's log than it has written");
       put(kEndKey, std::to_string(last_) + " " + std::to_string(last_epoch_.number) + " " +
                        std::to_string(last_epoch_.claimant.incarnation));
       hooks_.commit();
@@ -96,8 +99,8 @@
       return start_leading();
     }
     case Claim::State::moved:
-      options_.log("copies: what was held here was taken over by " + claim_->into().name +
-                   ": nothing of it is this relay's any more");
+      options_.log("copies: the log of this relay was taken over by " + claim_->into().name +
+                   "; this relay drops the messages of that log");
       return abandon_log();
     case Claim::State::preempted:
       // Retries at a different time than the competing claimant.
--- a/relay/copies/packet.cpp
+++ b/relay/copies/packet.cpp
@@ -108,7 +108,7 @@
 class ArrayReader {
  public:
   explicit ArrayReader(const Value& v) : array_(v) {
-    if (!v.IsArray()) throw UnreadableError("no array");
+    if (!v.IsArray()) throw UnreadableError("not an array");
   }
   const Value& next() {
     if (index_ >= array_.Size()) throw UnreadableError("short");
@@ -125,11 +125,11 @@
 };
 
 std::uint64_t read_number(const Value& v) {
-  if (!v.IsUint64()) throw UnreadableError("no number");
+  if (!v.IsUint64()) throw UnreadableError("not an unsigned integer");
   return v.GetUint64();
 }
 std::string read_text(const Value& v) {
-  if (!v.IsString()) throw UnreadableError("no text");
+  if (!v.IsString()) throw UnreadableError("not a string");
   return {v.GetString(), v.GetStringLength()};
 }
 Member read_member(const Value& v) {
@@ -223,7 +223,7 @@
     }
     if (tag == "move") return protocol::Move{e, read_member(f.next())};
     if (tag == "accepted") return protocol::Accepted{e};
-    throw UnreadableError("unknown word");
+    throw UnreadableError("unknown message tag");
   };
   ProtocolMessage decoded = decode();
   f.done();
@@ -234,7 +234,7 @@
 
 void parse(rapidjson::Document& d, std::string_view json) {
   d.Parse<rapidjson::kParseIterativeFlag>(json.data(), json.size());
-  if (d.HasParseError() || !d.IsObject()) throw UnreadableError("no JSON object");
+  if (d.HasParseError() || !d.IsObject()) throw UnreadableError("not a JSON object");
 }
 const Value* find(const Value& d, const char* key) {
   const auto it = d.FindMember(key);
@@ -336,7 +336,7 @@
     const auto optional_time = [&](const char* key, Microseconds absent) {
       const Value* const v = find(d, key);
       if (v == nullptr) return absent;
-      if (!v->IsInt64()) throw UnreadableError("no time");
+      if (!v->IsInt64()) throw UnreadableError("not an integer time");
       return v->GetInt64();
     };
     if (const Value* v = find(d, "version")) p.version = read_version(*v);
--- a/relay/copies/shelf.cpp
+++ b/relay/copies/shelf.cpp
@@ -1,11 +1,11 @@
+#include "shelf.hpp"
+
 #include <algorithm>
 #include <charconv>
 #include <filesystem>
 #include <sstream>
 #include <utility>
 
-#include "shelf.hpp"
-
 namespace heronvane::copies {
 
 namespace fs = std::filesystem;
@@ -93,12 +93,12 @@
       try {
         folder = open(*replica_log, it->second);
       } catch (const std::exception& e) {
-        options_.log("copies: " + it->second + ": can't be read: " + e.what());
+        options_.log("copies: " + it->second + ": the replica log can't be opened: " + e.what());
         lost_promises_ = true;
         continue;
       }
       if (!folder->store->recovery().damaged.empty() || folder->store->recovery().counts.missing > 0) {
-        options_.log("copies: " + it->second + " is damaged: what was promised for it may be forgotten");
+        options_.log("copies: " + it->second + " is damaged: promises made for this replica log may be lost");
         lost_promises_ = true;
       }
       const auto state_fact = folder->store->facts().find(kStateKey);
@@ -172,9 +172,9 @@
   }
   const std::uint64_t leader_disk_bytes = std::max(packet.leader_disk_bytes, kMinLeaderDiskBytes);
   if (used + leader_disk_bytes > options_.limit_bytes) {
-    error = "no room for a further log of " + std::to_string(leader_disk_bytes) +
+    error = "not enough disk space for another replica log of " + std::to_string(leader_disk_bytes) +
             " bytes: " + std::to_string(used) + " of " + std::to_string(options_.limit_bytes) +
-            " are taken; raise copies.disk_mb";
+            " bytes are reserved; raise copies.disk_mb";
     return nullptr;
   }
   auto replica_log = std::make_unique<ReplicaLog>();
@@ -221,7 +221,7 @@
     case Packet::Kind::chunk_accepted:
     case Packet::Kind::last_contact:
     case Packet::Kind::unavailable:
-      return reply(unavailable(packet, "no word to a holder"));
+      return reply(unavailable(packet, "this message is not valid for a holder"));
   }
 }
 
@@ -238,7 +238,7 @@
 void ReplicaLogs::handle_message(ReplicaLog& replica_log, const Packet& packet, const Reply& reply) {
   const ReplicaState before = replica_log.replica.state();
   auto result = replica_log.replica.handle(*packet.message);
-  if (!result.answer) return reply(unavailable(packet, "no word to a holder"));
+  if (!result.answer) return reply(unavailable(packet, "this message is not valid for a holder"));
   auto& store = *replica_log.current->store;
   // Unreadable records are not what the leader wrote, so they are reported and not acknowledged.
   bool intact = true;
@@ -247,7 +247,7 @@
         read_records(packet.salt, e.bytes, [&](store::Record&& r) { store.put(std::move(r)); }) && intact;
   if (!intact) {
     replica_log.replica = Replica(before);
-    return reply(unavailable(packet, "entries that can't be read"));
+    return reply(unavailable(packet, "unreadable records in the entries"));
   }
   const ReplicaState& now = replica_log.replica.state();
   const bool state_changed = now.promised != before.promised || now.config.version != before.config.version ||
@@ -279,14 +279,15 @@
     return reply(unavailable(packet, e.what()));
   }
   if (!replica_log.staging || packet.chunk != replica_log.next_chunk)
-    return reply(unavailable(packet, "a part out of turn"));
+    return reply(unavailable(packet, "snapshot chunk out of order"));
   replica_log.next_chunk++;
   auto& store = *replica_log.staging->store;
   const bool intact =
       read_records(packet.salt, packet.body, [&](store::Record&& r) { store.put(std::move(r)); });
   if (!intact || !store.commit()) {
     remove(std::exchange(replica_log.staging, nullptr));
-    return reply(unavailable(packet, intact ? "the disk takes no more" : "rows that can't be read"));
+    return reply(unavailable(
+        packet, intact ? "writing the snapshot to disk failed" : "unreadable records in the snapshot chunk"));
   }
   if (!packet.last || !packet.message) {
     Packet taken = answer_to(packet, Packet::Kind::chunk_accepted);
@@ -297,11 +298,11 @@
   if (!result.snapshot_installed) {  // refused, or the replica is newer
     remove(std::exchange(replica_log.staging, nullptr));
     return result.answer ? reply(message_to(packet, std::move(*result.answer)))
-                         : reply(unavailable(packet, "no word to a holder"));
+                         : reply(unavailable(packet, "this message is not valid for a holder"));
   }
   if (!keep_state(replica_log, *replica_log.staging, replica.state())) {
     remove(std::exchange(replica_log.staging, nullptr));
-    return reply(unavailable(packet, "the disk takes no more"));
+    return reply(unavailable(packet, "writing the snapshot to disk failed"));
   }
   replica_log.replica = replica;
   install_staging(replica_log);
@@ -347,7 +348,7 @@
     replica_log.next_read_chunk = 0;
   }
   if (!replica_log.state_reader || replica_log.next_read_chunk != packet.chunk)
-    return reply(unavailable(packet, "a part out of turn"));
+    return reply(unavailable(packet, "read of a chunk out of order"));
   answer.body = replica_log.state_reader->next(kReadChunkBytes);
   answer.last = replica_log.state_reader->done();
   answer.numbered_records = replica_log.state_reader->numbered_records();
--- a/relay/copies/takeover.cpp
+++ b/relay/copies/takeover.cpp
@@ -1,9 +1,10 @@
+#include "takeover.hpp"
+
 #include <algorithm>
 #include <sstream>
 #include <utility>
 
 #include "facts.hpp"
-#include "takeover.hpp"
 
 namespace heronvane::copies {
 
@@ -33,7 +34,8 @@
     auto import = read_import(value);
     if (!import) continue;
     host_.store.reserve_numbers(import->to);
-    host_.log("copies: the take-over of " + log_name(import->log) + " had begun, and goes on");
+    host_.log("copies: the take-over of " + log_name(import->log) +
+              " began before the restart and continues");
     imports_.push_back(std::move(*import));
   }
 }
@@ -63,7 +65,7 @@
 }
 
 std::string Takeover::describe_progress() const {
-  if (!claim_) return imports_.empty() ? "" : "waits to go on with " + log_name(imports_.front().log);
+  if (!claim_) return imports_.empty() ? "" : "waiting to continue with " + log_name(imports_.front().log);
   static constexpr const char* kStateNames[] = {
       "asks the holders", "reads", "imports", "moves", "won", "moved", "beaten"};
   return log_name(claimed_log_) + ": " + kStateNames[static_cast<int>(claim_->state())];
@@ -75,9 +77,9 @@
   for (auto& replica_log : host_.replica_logs.all())
     if (replica_log.log.name == name && !replica_log.state.moved && (!found || found->log < replica_log.log))
       found = replica_log;
-  if (!found) return "this relay holds no copy of a log of " + name + " that is to be taken over";
+  if (!found) return "this relay has no replica of a log of " + name + " that can be taken over";
   by_operator_ = true;
-  host_.log("copies: taking over " + log_name(found->log) + ", as the operator says");
+  host_.log("copies: taking over " + log_name(found->log) + " at the operator's request");
   begin(found->log, found->state.config, found->state.promised.number);
   return {};
 }
@@ -104,7 +106,7 @@
       const auto replica_log = host_.replica_logs.find(i.log);
       if (replica_log && replica_log->state.last_epoch > i.epoch && i.epoch != Epoch{}) {
         claimed_log_ = i.log;
-        abandon_claim("its owner went on");
+        abandon_claim("its leader has written further entries");
         return;
       }
       if (replica_log && host_.takeover_after > 0 && now - replica_log->last_contact < host_.takeover_after)
@@ -118,7 +120,7 @@
   }
   if (now - claim_started_at_ > kClaimTimeout) {
     host_.log("copies: the claim on " + log_name(claimed_log_) +
-              " comes to no end; anew under a higher epoch");
+              " timed out; claiming again in a higher epoch");
     const auto config = claim_->config();
     const auto epoch = claim_->epoch().number;
     return begin(claimed_log_, config, epoch);
@@ -156,9 +158,9 @@
     for (const auto& [m, silence] : silent_leader.silence)
       if (silence < 0 || silence >= host_.takeover_after) unreached_by.insert(m);
     if (enough_claims(config, unreached_by, host_.acks())) {
-      host_.log("copies: " + replica_log.log.name + " was not heard for " +
+      host_.log("copies: " + replica_log.log.name + " has been silent for " +
                 std::to_string((now - replica_log.last_contact) / 1000) +
-                " ms, by enough of its holders: taking over what it owes");
+                " ms according to enough of its holders; taking over its messages");
       silent_leaders_ = std::move(silent_leaders);
       silent_leaders_.erase(replica_log.log);
       by_operator_ = false;
@@ -196,7 +198,8 @@
 
 void Takeover::handle(const Member& from, const Packet& packet) {
   if (packet.kind == Packet::Kind::last_contact && packet.replaced) {
-    host_.log("copies: others hold " + log_name(packet.log) + " in this relay's place: its copy goes");
+    host_.log("copies: this relay was replaced as a holder of " + log_name(packet.log) +
+              "; its copy is deleted");
     host_.replica_logs.discard_entries(packet.log);
     silent_leaders_.erase(packet.log);
     return;
@@ -247,11 +250,11 @@
     case Claim::State::moved: {
       const Import* const i = import_of(claimed_log_);
       if (i != nullptr && i->via && *i->via == claim_->into()) return on_won();
-      host_.log("copies: " + log_name(claimed_log_) + " went to " + log_name(claim_->into()));
-      return abandon_claim("it went elsewhere");
+      host_.log("copies: " + log_name(claimed_log_) + " was moved into " + log_name(claim_->into()));
+      return abandon_claim("the log was moved into another log");
     }
     case Claim::State::preempted:
-      host_.log("copies: the claim on " + log_name(claimed_log_) + " was beaten by " +
+      host_.log("copies: the claim on " + log_name(claimed_log_) + " was preempted by " +
                 claim_->preempted_by().claimant.name);
       // The leader may be alive. What was imported stays parked until it is known where the log moved.
       host_.replica_logs.note_contact(claimed_log_);
@@ -313,7 +316,8 @@
       import_record(std::move(r));
   });
   if (!whole || !fits) {
-    host_.log("copies: " + log_name(claimed_log_) + ": what its holder sent can't be read; again later");
+    host_.log("copies: " + log_name(claimed_log_) +
+              ": unreadable records received from its holder; retrying later");
     retry_at_ = host_.steady() + kPreemptedPause;
     return this->end_claim();
   }
@@ -360,7 +364,7 @@
     }
     if (to > from) ours.emplace_back(from, to);
   }
-  host_.log("copies: " + log_name(claimed_log_) + " is taken over, under epoch " +
+  host_.log("copies: " + log_name(claimed_log_) + " was taken over in epoch " +
             std::to_string(claim.epoch().number));
   completed_++;
   const LogId log = claimed_log_;
@@ -376,7 +380,7 @@
 
 void Takeover::abandon_claim(const std::string& why) {
   if (import_of(claimed_log_) != nullptr) {
-    host_.log("copies: what was read of " + log_name(claimed_log_) + " is dropped: " + why);
+    host_.log("copies: the state read from " + log_name(claimed_log_) + " is dropped: " + why);
     drop_import(claimed_log_);
   }
   end_claim();
