--- a/relay/copies/copies.cpp
+++ b/relay/copies/copies.cpp
@@ -31,10 +31,11 @@
 constexpr std::size_t kSpareReplicas = 2;
 
 std::uint64_t number_fact(const std::map<std::string, std::string>& facts, const std::string& key) {
-  const auto it = facts.find(key);
-  std::uint64_t v = 0;
-  if (it != facts.end()) std::from_chars(it->second.data(), it->second.data() + it->second.size(), v);
-  return v;
+  const auto fact = facts.find(key);
+  std::uint64_t value = 0;
+  if (fact != facts.end())
+    std::from_chars(fact->second.data(), fact->second.data() + fact->second.size(), value);
+  return value;
 }
 
 PeerConnections::Address address(const std::string& text, const std::string& where) {
@@ -59,11 +60,11 @@
                                         .count());
 }
 
-std::string replica_logs_folder(const Options& o) { return o.folder; }
+std::string replica_logs_folder(const Options& options) { return options.folder; }
 
-std::uint64_t replica_logs_limit(const Options& o) {
-  if (o.settings.disk_bytes > 0) return o.settings.disk_bytes;
-  return o.disk_bytes * (2 * static_cast<std::uint64_t>(o.settings.holders) + 4);
+std::uint64_t replica_logs_limit(const Options& options) {
+  if (options.settings.disk_bytes > 0) return options.settings.disk_bytes;
+  return options.disk_bytes * (2 * static_cast<std::uint64_t>(options.settings.holders) + 4);
 }
 
 }  // namespace
@@ -76,53 +77,58 @@
       replica_logs_({replica_logs_folder(options_), replica_logs_limit(options_), options_.durability,
                      [this] { return store_.clock().now(); }, [this] { return steady(); },
                      [this](std::function<void()> done) { net::post(io_, std::move(done)); }, options_.log}),
-      takeover_({store_, replica_logs_, [this] { return self_; }, [this] { return log_; },
-                 [this] { return acks(); }, [this] { return steady(); },
-                 [this](std::uint64_t above) { return next_epoch(above); },
-                 [this](const Member& to, const Packet& p) {
-                   if (to != self_) return connections_->send(to, p);
-                   net::post(io_, [this, p] {
-                     replica_logs_.handle(p, [this](Packet a) { takeover_.handle(self_, a); });
-                   });
-                   return true;
-                 },
-                 [this] { hooks_.commit(); },
-                 [this](MessageId from, MessageId to) { hooks_.taken_over(from, to); }, options_.log,
-                 options_.settings.takeover_after}),
+      takeover_(
+          {store_, replica_logs_, [this] { return self_; }, [this] { return log_; },
+           [this] { return acks(); }, [this] { return steady(); },
+           [this](std::uint64_t above) { return next_epoch(above); },
+           [this](const Member& to, const Packet& message) {
+             if (to != self_) return connections_->send(to, message);
+             net::post(io_, [this, message] {
+               replica_logs_.handle(message, [this](Packet answer) { takeover_.handle(self_, answer); });
+             });
+             return true;
+           },
+           [this] { hooks_.commit(); }, [this](MessageId from, MessageId to) { hooks_.taken_over(from, to); },
+           options_.log, options_.settings.takeover_after}),
       timer_(io),
       send_timer_(io) {
-  const auto* const own = member(options_.name);
-  if (own == nullptr && options_.settings.listen.empty())
+  const auto* const own_entry = member(options_.name);
+  if (own_entry == nullptr && options_.settings.listen.empty())
     throw std::runtime_error("copies: no [[copies.member]] is named " + options_.name +
                              ", and copies.listen is not given");
-  for (const auto& m : options_.settings.members) address(m.address, "copies.member " + m.name);
+  for (const auto& listed_member : options_.settings.members)
+    address(listed_member.address, "copies.member " + listed_member.name);
   own_placement_.member.name = options_.name;
-  if (own != nullptr) own_placement_.machine = own->machine, own_placement_.zone = own->zone;
+  if (own_entry != nullptr)
+    own_placement_.machine = own_entry->machine, own_placement_.zone = own_entry->zone;
   announced_mark_ = store_.locally_durable();
   restore_from_store();
   listen();
 }
 
 void LogReplicator::listen() {
-  const auto* const own = member(options_.name);
-  PeerConnections::Hooks h;
-  h.fill_hello = [this](const std::string& name, Hello& hello) {
+  const auto* const own_entry = member(options_.name);
+  PeerConnections::Hooks hooks;
+  hooks.fill_hello = [this](const std::string& name, Hello& hello) {
     hello.mark = announced_mark_;
-    const auto it = peer_marks_.find(name);
-    if (it != peer_marks_.end())
-      hello.seen_incarnation = it->second.first, hello.seen_mark = it->second.second;
+    const auto mark = peer_marks_.find(name);
+    if (mark != peer_marks_.end())
+      hello.seen_incarnation = mark->second.first, hello.seen_mark = mark->second.second;
   };
-  h.on_hello = [this](const Hello& hello) { on_hello(hello); };
-  h.is_member = [this](const std::string& name) { return member(name) != nullptr && name != options_.name; };
-  h.on_up = [this](const Member& m) { on_peer_connected(m); };
-  h.on_down = [this](const std::string& name) { on_peer_disconnected(name); };
-  h.on_answer = [this](const Member& from, Packet p) { on_answer(from, std::move(p)); };
-  h.on_request = [this](const Member& from, Packet p, PeerConnections::Reply r) {
-    on_request(from, std::move(p), std::move(r));
+  hooks.on_hello = [this](const Hello& hello) { on_hello(hello); };
+  hooks.is_member = [this](const std::string& name) {
+    return member(name) != nullptr && name != options_.name;
   };
-  const auto& text = options_.settings.listen.empty() ? own->address : options_.settings.listen;
-  connections_ = std::make_unique<PeerConnections>(
-      io_, address(text, "copies.listen"), Hello{options_.settings.cluster, self_, 0, 0, 0}, std::move(h));
+  hooks.on_up = [this](const Member& peer) { on_peer_connected(peer); };
+  hooks.on_down = [this](const std::string& name) { on_peer_disconnected(name); };
+  hooks.on_answer = [this](const Member& from, Packet message) { on_answer(from, std::move(message)); };
+  hooks.on_request = [this](const Member& from, Packet message, PeerConnections::Reply reply) {
+    on_request(from, std::move(message), std::move(reply));
+  };
+  const auto& text = options_.settings.listen.empty() ? own_entry->address : options_.settings.listen;
+  connections_ =
+      std::make_unique<PeerConnections>(io_, address(text, "copies.listen"),
+                                        Hello{options_.settings.cluster, self_, 0, 0, 0}, std::move(hooks));
 }
 
 // Members remember each other's marks and report them back, which reveals a disk that was rolled back.
@@ -136,10 +142,10 @@
   });
 }
 
-void LogReplicator::note_mark(const Member& m, store::Sequence mark) {
-  auto& seen = peer_marks_[m.name];
-  if (seen.first != m.incarnation) seen = {m.incarnation, 0};
-  seen.second = std::max(seen.second, mark);
+void LogReplicator::note_mark(const Member& peer, store::Sequence mark) {
+  auto& highest_mark = peer_marks_[peer.name];
+  if (highest_mark.first != peer.incarnation) highest_mark = {peer.incarnation, 0};
+  highest_mark.second = std::max(highest_mark.second, mark);
 }
 
 // As a replica, this relay becomes another member. As a leader, its claim finds out what its disk lacks.
@@ -163,12 +169,14 @@
 
 void LogReplicator::members(std::vector<Settings::Member> members) {
   try {
-    for (const auto& m : members) address(m.address, "copies.member " + m.name);
-  } catch (const std::exception& e) {
+    for (const auto& listed_member : members)
+      address(listed_member.address, "copies.member " + listed_member.name);
+  } catch (const std::exception& error) {
     return options_.log(std::string("copies: the new members are rejected and the previous ones kept: ") +
-                        e.what());
+                        error.what());
   }
-  if (std::none_of(members.begin(), members.end(), [&](const auto& m) { return m.name == options_.name; }) &&
+  if (std::none_of(members.begin(), members.end(),
+                   [&](const auto& listed_member) { return listed_member.name == options_.name; }) &&
       options_.settings.listen.empty())
     return options_.log("copies: the new members are rejected and the previous ones kept: " + options_.name +
                         " is not among the new members");
@@ -185,23 +193,24 @@
 }
 
 const Settings::Member* LogReplicator::member(const std::string& name) const {
-  for (const auto& m : options_.settings.members)
-    if (m.name == name) return &m;
+  for (const auto& listed_member : options_.settings.members)
+    if (listed_member.name == name) return &listed_member;
   return nullptr;
 }
 
 std::vector<Placement> LogReplicator::placements() const {
-  std::vector<Placement> all;
-  for (const auto& m : options_.settings.members) {
-    Placement& p = all.emplace_back();
-    p.member.name = m.name, p.machine = m.machine, p.zone = m.zone;
+  std::vector<Placement> listed_placements;
+  for (const auto& listed_member : options_.settings.members) {
+    Placement& placement = listed_placements.emplace_back();
+    placement.member.name = listed_member.name, placement.machine = listed_member.machine,
+    placement.zone = listed_member.zone;
   }
-  return all;
+  return listed_placements;
 }
 
-bool LogReplicator::connected(const Member& m) const {
-  const Member* const peer = connections_->peer(m.name);
-  return peer != nullptr && *peer == m;
+bool LogReplicator::connected(const Member& replica) const {
+  const Member* const peer = connections_->peer(replica.name);
+  return peer != nullptr && *peer == replica;
 }
 
 // ---- Start. ----
@@ -225,16 +234,16 @@
     return;
   }
   phase_ = Phase::claiming;
-  if (const auto it = facts.find(kConfigKey); it != facts.end())
-    if (const auto kept = read_state(it->second)) config_ = kept->config;
-  const auto& r = store_.recovery();
-  if (!r.damaged.empty() || r.counts.missing > 0) {
+  if (const auto fact = facts.find(kConfigKey); fact != facts.end())
+    if (const auto saved = read_state(fact->second)) config_ = saved->config;
+  const auto& recovery = store_.recovery();
+  if (!recovery.damaged.empty() || recovery.counts.missing > 0) {
     options_.log("copies: the folder of this relay is damaged; its log is read from the holders");
     return;  // position 0: the replicas have more
   }
-  if (const auto it = facts.find(kEndKey); it != facts.end()) {
-    std::istringstream in(it->second);
-    in >> last_ >> last_epoch_.number >> last_epoch_.claimant.incarnation;
+  if (const auto fact = facts.find(kEndKey); fact != facts.end()) {
+    std::istringstream end_fields(fact->second);
+    end_fields >> last_ >> last_epoch_.number >> last_epoch_.claimant.incarnation;
     last_epoch_.claimant.name = options_.name;
   }
 }
@@ -259,40 +268,44 @@
 // Connects to the replicas, to their possible replacements, and to the members that a claim involves.
 void LogReplicator::update_connections() {
   std::set<std::string> wanted_members;
-  const auto want = [&](const std::vector<Member>& all) {
-    for (const auto& m : all)
-      if (m.name != options_.name) wanted_members.insert(m.name);
+  const auto add_wanted = [&](const std::vector<Member>& members) {
+    for (const auto& listed_member : members)
+      if (listed_member.name != options_.name) wanted_members.insert(listed_member.name);
   };
   const auto count = static_cast<std::size_t>(options_.settings.holders);
-  want(config_.replicas), want(config_.next), want(takeover_.wanted_members());
-  if (claim_) want(claim_->config().replicas), want(claim_->config().next);
-  const bool away = std::any_of(config_.replicas.begin(), config_.replicas.end(), [this](const Member& m) {
-    return !connected(m) || !replica_health_[m.name].error.empty();
-  });
-  if (phase_ == Phase::choosing || away)
-    want(choose_replicas(own_placement_, placements(), count == 0 ? 0 : count + kSpareReplicas));
-  for (const auto& m : options_.settings.members) {
-    if (wanted_members.count(m.name) > 0)
-      connections_->connect_to(m.name, address(m.address, "copies.member." + m.name));
+  add_wanted(config_.replicas), add_wanted(config_.next), add_wanted(takeover_.wanted_members());
+  if (claim_) add_wanted(claim_->config().replicas), add_wanted(claim_->config().next);
+  const bool replica_unavailable =
+      std::any_of(config_.replicas.begin(), config_.replicas.end(), [this](const Member& replica) {
+        return !connected(replica) || !replica_health_[replica.name].error.empty();
+      });
+  if (phase_ == Phase::choosing || replica_unavailable)
+    add_wanted(choose_replicas(own_placement_, placements(), count == 0 ? 0 : count + kSpareReplicas));
+  for (const auto& listed_member : options_.settings.members) {
+    if (wanted_members.count(listed_member.name) > 0)
+      connections_->connect_to(listed_member.name,
+                               address(listed_member.address, "copies.member." + listed_member.name));
     else
-      connections_->disconnect_from(m.name);
+      connections_->disconnect_from(listed_member.name);
   }
 }
 
 // Waits for the preferred replicas, then after kPreferredReplicasTimeout also accepts others.
 void LogReplicator::try_choose_replicas() {
   const auto count = static_cast<std::size_t>(options_.settings.holders);
-  const bool late = steady() - phase_since_ > kPreferredReplicasTimeout;
-  const auto first = choose_replicas(own_placement_, placements(), count);
-  std::vector<Placement> there;
-  for (const auto& p : placements()) {
-    const bool chosen =
-        std::any_of(first.begin(), first.end(), [&](const Member& m) { return m.name == p.member.name; });
-    if (const Member* const peer = connections_->peer(p.member.name); peer != nullptr && (late || chosen))
-      there.emplace_back(p).member = *peer;
+  const bool accept_others = steady() - phase_since_ > kPreferredReplicasTimeout;
+  const auto preferred = choose_replicas(own_placement_, placements(), count);
+  std::vector<Placement> available;
+  for (const auto& placement : placements()) {
+    const bool is_preferred = std::any_of(preferred.begin(), preferred.end(), [&](const Member& replica) {
+      return replica.name == placement.member.name;
+    });
+    if (const Member* const peer = connections_->peer(placement.member.name);
+        peer != nullptr && (accept_others || is_preferred))
+      available.emplace_back(placement).member = *peer;
   }
-  const auto replicas = choose_replicas(own_placement_, there, count);
-  if (replicas.size() == first.size()) begin_log(replicas);
+  const auto replicas = choose_replicas(own_placement_, available, count);
+  if (replicas.size() == preferred.size()) begin_log(replicas);
 }
 
 void LogReplicator::begin_log(std::vector<Member> replicas) {
@@ -303,7 +316,7 @@
   last_ = 1, last_epoch_ = epoch;
   put(kLogKey, std::to_string(log_.incarnation));
   std::string names;
-  for (const auto& h : config_.replicas) names += " " + h.name;
+  for (const auto& replica : config_.replicas) names += " " + replica.name;
   options_.log("copies: started a new log; holders:" + (names.empty() ? " none" : names));
   claim_.reset();
   leader_.emplace(self_, epoch, config_, last_, last_epoch_, LeaderOptions{acks(), 64});
@@ -318,7 +331,7 @@
 }
 
 void LogReplicator::written(store::Sequence last, std::string_view frames) {
-  for (auto& [m, t] : transfers_) t.written_since.append(frames);
+  for (auto& [replica, transfer] : transfers_) transfer.written_since.append(frames);
   if (!leader_ || leader_->fenced()) {
     // Facts and outcomes of calls in flight become part of the first entry of the next epoch.
     leaderless_frames_.append(frames);
@@ -354,78 +367,81 @@
 }
 
 Packet LogReplicator::packet(ProtocolMessage message) const {
-  Packet p;
-  p.log = log_, p.message = std::move(message);
-  p.salt = store_.salt(), p.log_time = store_.clock().now(), p.leader_disk_bytes = options_.disk_bytes;
-  return p;
+  Packet outgoing;
+  outgoing.log = log_, outgoing.message = std::move(message);
+  outgoing.salt = store_.salt(), outgoing.log_time = store_.clock().now(),
+  outgoing.leader_disk_bytes = options_.disk_bytes;
+  return outgoing;
 }
 
 void LogReplicator::send_pending() {
   if (!leader_) return;
-  for (const auto& h : leader_->replicas()) send_pending(h);
+  for (const auto& replica : leader_->replicas()) send_pending(replica);
 }
 
-void LogReplicator::send_pending(const Member& h) {
-  if (!leader_ || !connected(h) || steady() < replica_health_[h.name].retry_at) return;
-  if (leader_->needs_snapshot(h)) {
+void LogReplicator::send_pending(const Member& replica) {
+  if (!leader_ || !connected(replica) || steady() < replica_health_[replica.name].retry_at) return;
+  if (leader_->needs_snapshot(replica)) {
     // One snapshot at a time, because it loads both sides.
-    const auto it = transfers_.find(h);
-    if (it == transfers_.end()) {
+    const auto transfer = transfers_.find(replica);
+    if (transfer == transfers_.end()) {
       if (!transfers_.empty()) return;
-      transfers_[h].state_writer = std::make_unique<StateWriter>(store_);
+      transfers_[replica].state_writer = std::make_unique<StateWriter>(store_);
     }
-    return send_snapshot_chunk(h);
+    return send_snapshot_chunk(replica);
   }
-  transfers_.erase(h);
-  if (const auto envelope = leader_->next_append(h))
-    if (!connections_->send(h, packet(envelope->message))) leader_->mark_lost(h);
+  transfers_.erase(replica);
+  if (const auto envelope = leader_->next_append(replica))
+    if (!connections_->send(replica, packet(envelope->message))) leader_->mark_lost(replica);
 }
 
-void LogReplicator::send_snapshot_chunk(const Member& h) {
-  auto& t = transfers_[h];
-  if (t.in_flight) return;
-  if (t.written_since.size() >
+void LogReplicator::send_snapshot_chunk(const Member& replica) {
+  auto& transfer = transfers_[replica];
+  if (transfer.in_flight) return;
+  if (transfer.written_since.size() >
       options_.memory_bytes / kTransferBacklogMemoryDivisor) {  // the transfer is slower than the writes
-    transfers_.erase(h);
-    replica_health_[h.name].retry_at = steady() + kUnavailablePause;
+    transfers_.erase(replica);
+    replica_health_[replica.name].retry_at = steady() + kUnavailablePause;
     return;
   }
-  Packet p;
-  p.kind = Packet::Kind::snapshot_chunk, p.log = log_, p.epoch = leader_->epoch(), p.chunk = t.next_chunk;
-  p.salt = store_.salt(), p.log_time = store_.clock().now(), p.leader_disk_bytes = options_.disk_bytes;
+  Packet outgoing;
+  outgoing.kind = Packet::Kind::snapshot_chunk, outgoing.log = log_, outgoing.epoch = leader_->epoch(),
+  outgoing.chunk = transfer.next_chunk;
+  outgoing.salt = store_.salt(), outgoing.log_time = store_.clock().now(),
+  outgoing.leader_disk_bytes = options_.disk_bytes;
   // Frames written since the last chunk precede the records, which already include them.
-  p.body = std::exchange(t.written_since, {});
-  p.body += t.state_writer->next(kSnapshotChunkBytes);
-  p.last = t.state_writer->done();
-  if (p.last) {
-    leader_->mark_lost(h);
-    if (auto envelope = leader_->snapshot(h)) p.message = std::move(envelope->message);
+  outgoing.body = std::exchange(transfer.written_since, {});
+  outgoing.body += transfer.state_writer->next(kSnapshotChunkBytes);
+  outgoing.last = transfer.state_writer->done();
+  if (outgoing.last) {
+    leader_->mark_lost(replica);
+    if (auto envelope = leader_->snapshot(replica)) outgoing.message = std::move(envelope->message);
   }
-  t.in_flight = true, t.next_chunk++;
-  if (!connections_->send(h, p)) {
-    transfers_.erase(h);
-    leader_->mark_lost(h);
+  transfer.in_flight = true, transfer.next_chunk++;
+  if (!connections_->send(replica, outgoing)) {
+    transfers_.erase(replica);
+    leader_->mark_lost(replica);
   }
 }
 
 // ---- Incoming packets. ----
-void LogReplicator::on_answer(const Member& from, Packet p) {
-  note_mark(from, p.mark);
-  if (p.log != log_) return takeover_.handle(from, p);
-  auto& view = replica_health_[from.name];
-  switch (p.kind) {
+void LogReplicator::on_answer(const Member& from, Packet answer) {
+  note_mark(from, answer.mark);
+  if (answer.log != log_) return takeover_.handle(from, answer);
+  auto& health = replica_health_[from.name];
+  switch (answer.kind) {
     case Packet::Kind::unavailable:
-      if (view.error != p.reason) options_.log("copies: holder " + from.name + ": " + p.reason);
-      if (view.error.empty()) view.failing_since = steady();
-      view.error = p.reason;
-      view.retry_at = steady() + kUnavailablePause;
+      if (health.error != answer.reason) options_.log("copies: holder " + from.name + ": " + answer.reason);
+      if (health.error.empty()) health.failing_since = steady();
+      health.error = answer.reason;
+      health.retry_at = steady() + kUnavailablePause;
       transfers_.erase(from);
       if (leader_) leader_->mark_lost(from);
       return;
     case Packet::Kind::chunk_accepted: {
-      const auto it = transfers_.find(from);
-      if (it == transfers_.end() || it->second.next_chunk != p.chunk + 1) return;
-      it->second.in_flight = false;
+      const auto transfer = transfers_.find(from);
+      if (transfer == transfers_.end() || transfer->second.next_chunk != answer.chunk + 1) return;
+      transfer->second.in_flight = false;
       return send_pending(from);
     }
     case Packet::Kind::message:
@@ -435,24 +451,26 @@
     case Packet::Kind::release:
       return;
   }
-  view.error.clear();
+  health.error.clear();
   if (claim_) {
-    if (std::holds_alternative<protocol::State>(*p.message)) {
-      if (claim_->state() != Claim::State::reading || from != claim_->source() || p.chunk != next_read_chunk_)
+    if (std::holds_alternative<protocol::State>(*answer.message)) {
+      if (claim_->state() != Claim::State::reading || from != claim_->source() ||
+          answer.chunk != next_read_chunk_)
         return;
-      import_chunk(p);
-      if (!p.last) return;
+      import_chunk(answer);
+      if (!answer.last) return;
     }
-    const auto before = claim_->state();
-    claim_->handle(from, *p.message);
-    if (claim_->state() != before) on_claim_state();
+    const auto state_before = claim_->state();
+    claim_->handle(from, *answer.message);
+    if (claim_->state() != state_before) on_claim_state();
     return;
   }
   if (!leader_) return;
-  const auto it = transfers_.find(from);
-  const bool done = it != transfers_.end() && std::holds_alternative<protocol::Appended>(*p.message);
-  leader_->handle(from, *p.message);
-  if (done) transfers_.erase(from);
+  const auto transfer = transfers_.find(from);
+  const bool snapshot_acknowledged =
+      transfer != transfers_.end() && std::holds_alternative<protocol::Appended>(*answer.message);
+  leader_->handle(from, *answer.message);
+  if (snapshot_acknowledged) transfers_.erase(from);
   apply_progress();
   send_pending(from);
 }
@@ -473,43 +491,45 @@
     update_connections();
     send_pending();
   }
-  bool moved = false;
+  bool durable_advanced = false;
   while (!uncommitted_.empty() && uncommitted_.front().position <= leader_->durable()) {
-    const auto last = uncommitted_.front().last;
+    const auto last_sequence = uncommitted_.front().last;
     uncommitted_.pop_front();
     // Records that compaction rewrote meanwhile were committed before.
-    store_.set_replicated(uncommitted_.empty() ? store::Store::kAllRecords : last);
-    moved = true;
+    store_.set_replicated(uncommitted_.empty() ? store::Store::kAllRecords : last_sequence);
+    durable_advanced = true;
   }
   leader_->trim(options_.memory_bytes / kRetainedEntriesMemoryDivisor);
-  if (moved && short_ && uncommitted_.empty()) {
-    short_ = false;
+  if (durable_advanced && replicas_short_ && uncommitted_.empty()) {
+    replicas_short_ = false;
     options_.log("copies: all written entries are acknowledged by enough holders again");
   }
   if (!ready_ && leader_->durable() > epoch_start_) {
     ready_ = true;
     hooks_.ready();
   }
-  if (moved) hooks_.durable_advanced();
+  if (durable_advanced) hooks_.durable_advanced();
 }
 
-void LogReplicator::on_request(const Member& from, Packet p, PeerConnections::Reply reply) {
-  if (p.kind == Packet::Kind::last_contact) {
-    const auto replica_log = replica_logs_.find(p.log);
-    p.last_contact_age = replica_log ? steady() - replica_log->last_contact : -1;
-    if (replica_log && replica_log->state.config.version > p.version &&
+void LogReplicator::on_request(const Member& from, Packet request, PeerConnections::Reply reply) {
+  if (request.kind == Packet::Kind::last_contact) {
+    const auto replica_log = replica_logs_.find(request.log);
+    request.last_contact_age = replica_log ? steady() - replica_log->last_contact : -1;
+    if (replica_log && replica_log->state.config.version > request.version &&
         replica_log->state.config.next.empty()) {
       const auto& replicas = replica_log->state.config.replicas;
-      p.replaced = std::find(replicas.begin(), replicas.end(), from) == replicas.end();
+      request.replaced = std::find(replicas.begin(), replicas.end(), from) == replicas.end();
     }
-    p.mark = announced_mark_ = std::max(announced_mark_, store_.locally_durable());
-    return reply(p);
+    request.mark = announced_mark_ = std::max(announced_mark_, store_.locally_durable());
+    return reply(request);
   }
-  if (from.name == p.log.name) replica_logs_.note_contact(p.log);
-  replica_logs_.handle(p, [this, alive = std::weak_ptr(alive_), reply = std::move(reply)](Packet answer) {
-    if (!alive.expired()) answer.mark = announced_mark_ = std::max(announced_mark_, store_.locally_durable());
-    reply(std::move(answer));
-  });
+  if (from.name == request.log.name) replica_logs_.note_contact(request.log);
+  replica_logs_.handle(
+      request, [this, alive = std::weak_ptr(alive_), reply = std::move(reply)](Packet answer) {
+        if (!alive.expired())
+          answer.mark = announced_mark_ = std::max(announced_mark_, store_.locally_durable());
+        reply(std::move(answer));
+      });
 }
 
 void LogReplicator::on_peer_connected(const Member& peer) {
@@ -522,13 +542,13 @@
 }
 
 void LogReplicator::on_peer_disconnected(const std::string& name) {
-  auto& view = replica_health_[name];
-  if (view.away_since == 0) view.away_since = steady();
-  std::erase_if(transfers_, [&](const auto& t) { return t.first.name == name; });
+  auto& health = replica_health_[name];
+  if (health.away_since == 0) health.away_since = steady();
+  std::erase_if(transfers_, [&](const auto& transfer) { return transfer.first.name == name; });
   read_requested_at_ = 0;
   if (!leader_) return;
-  for (const auto& h : leader_->replicas())
-    if (h.name == name) leader_->mark_lost(h);
+  for (const auto& replica : leader_->replicas())
+    if (replica.name == name) leader_->mark_lost(replica);
 }
 
 // ---- Timer. ----
@@ -553,16 +573,16 @@
         begin_claim(claim_->preempted_by().number);
       break;
     case Phase::leading: {
-      const Microseconds each = options_.settings.takeover_after > 0
-                                    ? std::min(kProbeInterval, options_.settings.takeover_after / 8)
-                                    : kProbeInterval;
-      const bool ask = steady() - last_sent_at_ >= each;
-      if (ask) last_sent_at_ = steady();
-      for (const auto& h : leader_->replicas()) {
-        if (ask && connected(h) && !leader_->needs_snapshot(h))
-          if (const auto envelope = leader_->next_append(h, true))
-            if (!connections_->send(h, packet(envelope->message))) leader_->mark_lost(h);
-        send_pending(h);
+      const Microseconds probe_interval = options_.settings.takeover_after > 0
+                                              ? std::min(kProbeInterval, options_.settings.takeover_after / 8)
+                                              : kProbeInterval;
+      const bool probe = steady() - last_sent_at_ >= probe_interval;
+      if (probe) last_sent_at_ = steady();
+      for (const auto& replica : leader_->replicas()) {
+        if (probe && connected(replica) && !leader_->needs_snapshot(replica))
+          if (const auto envelope = leader_->next_append(replica, true))
+            if (!connections_->send(replica, packet(envelope->message))) leader_->mark_lost(replica);
+        send_pending(replica);
       }
       replace_lost_replicas();
       break;
@@ -579,16 +599,18 @@
   constexpr Microseconds kLogInterval = 5'000'000;
   if (steady() - awaited_logged_at_ < kLogInterval) return;
   awaited_logged_at_ = steady();
-  const auto names =
+  const auto replicas =
       phase_ == Phase::choosing
           ? choose_replicas(own_placement_, placements(), static_cast<std::size_t>(options_.settings.holders))
           : config_.replicas;
   std::string text;
-  for (const auto& m : names) {
-    const Member* const peer = connections_->peer(m.name);
-    const bool another = peer != nullptr && phase_ == Phase::claiming && *peer != m;
-    text.append(text.empty() ? "" : ", ").append(m.name);
-    text.append(peer == nullptr ? " (no connection)" : another ? " (returned without its disk)" : " (there)");
+  for (const auto& replica : replicas) {
+    const Member* const peer = connections_->peer(replica.name);
+    const bool other_incarnation = peer != nullptr && phase_ == Phase::claiming && *peer != replica;
+    text.append(text.empty() ? "" : ", ").append(replica.name);
+    text.append(peer == nullptr     ? " (no connection)"
+                : other_incarnation ? " (returned without its disk)"
+                                    : " (there)");
   }
   options_.log(phase_ == Phase::choosing
                    ? "copies: waiting for connections to the holders of a new log: " + text
@@ -600,7 +622,7 @@
 
 void LogReplicator::check_commit_delay() {
   if (uncommitted_.empty() || steady() - uncommitted_.front().since < options_.settings.short_after) return;
-  if (!std::exchange(short_, true)) {
+  if (!std::exchange(replicas_short_, true)) {
     shortages_++;
     options_.log("copies: too few holders acknowledge entries: " + std::to_string(uncommitted_.size()) +
                  " entries are waiting, the oldest for " +
@@ -614,28 +636,31 @@
 void LogReplicator::replace_lost_replicas() {
   if (!leader_ || leader_->changing() || leader_->fenced()) return;
   const auto replicas = leader_->config().replicas;
-  for (const auto& h : replicas) {
-    const Member* const peer = connections_->peer(h.name);
-    const auto& view = replica_health_[h.name];
-    const bool there = connected(h);
-    if (there && view.error.empty()) continue;
-    const Microseconds since = there ? view.failing_since : view.away_since;
+  for (const auto& replica : replicas) {
+    const Member* const peer = connections_->peer(replica.name);
+    const auto& health = replica_health_[replica.name];
+    const bool is_connected = connected(replica);
+    if (is_connected && health.error.empty()) continue;
+    const Microseconds since = is_connected ? health.failing_since : health.away_since;
     std::optional<Member> replacement;
-    if (peer != nullptr && !there) {
+    if (peer != nullptr && !is_connected) {
       replacement = *peer;  // the same relay, without its disk
     } else if (since != 0 && steady() - since >= options_.settings.replace_after) {
-      std::vector<Placement> others;
-      for (const auto& p : placements())
-        if (const Member* const m = connections_->peer(p.member.name)) others.emplace_back(p).member = *m;
-      for (const auto& m : choose_replicas(own_placement_, others, others.size()))
+      std::vector<Placement> connected_placements;
+      for (const auto& placement : placements())
+        if (const Member* const candidate = connections_->peer(placement.member.name))
+          connected_placements.emplace_back(placement).member = *candidate;
+      for (const auto& candidate :
+           choose_replicas(own_placement_, connected_placements, connected_placements.size()))
         if (std::none_of(replicas.begin(), replicas.end(),
-                         [&](const Member& x) { return x.name == m.name; })) {
-          replacement = m;
+                         [&](const Member& other) { return other.name == candidate.name; })) {
+          replacement = candidate;
           break;
         }
     }
-    if (!replacement || !leader_->replace(h, *replacement)) continue;
-    options_.log("copies: holder " + h.name + " is lost; " + replacement->name + " becomes a holder instead");
+    if (!replacement || !leader_->replace(replica, *replacement)) continue;
+    options_.log("copies: holder " + replica.name + " is lost; " + replacement->name +
+                 " becomes a holder instead");
     replica_health_[replacement->name].away_since = 0;
     return apply_progress();
   }
--- a/relay/copies/copies.hpp
+++ b/relay/copies/copies.hpp
@@ -63,7 +63,7 @@
 
   void start() override;
   bool ready() const override { return ready_; }
-  bool is_short() const override { return short_; }
+  bool is_short() const override { return replicas_short_; }
   void hurry() override { send_pending(); }
   bool parked(MessageId number) const override { return takeover_.parked(number); }
   std::string take_over(const std::string& name) override { return takeover_.begin_by_operator(name); }
@@ -168,7 +168,7 @@
   std::map<std::string, std::pair<std::uint64_t, store::Sequence>>
       peer_marks_;  // reported by others: incarnation and mark
   std::map<std::string, ReplicaHealth> replica_health_;
-  bool ready_ = false, short_ = false, started_ = false, settling_ = false;
+  bool ready_ = false, replicas_short_ = false, started_ = false, settling_ = false;
   std::uint64_t shortages_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // expires before posted callbacks run
 };
--- a/relay/copies/copies_claims.cpp
+++ b/relay/copies/copies_claims.cpp
@@ -35,44 +35,45 @@
   if (now - last_sent_at_ < kResendInterval || !store_.unavailable_reason().empty()) return;
   last_sent_at_ = now;
   for (const auto& envelope : claim_->requests()) {
-    Packet p = packet(envelope.message);
+    Packet request = packet(envelope.message);
     if (std::holds_alternative<protocol::Read>(envelope.message)) {
       if (read_requested_at_ != 0 && now - read_requested_at_ < kReadRetryInterval) continue;
       read_requested_at_ = now;
       next_read_chunk_ = 0;
       read_numbers_.clear();
     }
-    connections_->send(envelope.to, p);
+    connections_->send(envelope.to, request);
   }
 }
 
 // Replaces the own, older state with a replica's. Messages that the replica does not have are complete.
-void LogReplicator::import_chunk(const Packet& p) {
-  const bool sound = read_records(p.salt, p.body, [this](store::Record&& r) {
-    if (const auto* const t = std::get_if<store::record::Accepted>(&r)) read_numbers_.insert(t->number);
-    const auto* const f = std::get_if<store::record::Fact>(&r);
-    const bool own = f != nullptr && f->key.compare(0, kKeyPrefix.size(), kKeyPrefix) == 0;
-    if (!own) store_.put(std::move(r));
+void LogReplicator::import_chunk(const Packet& chunk) {
+  const bool intact = read_records(chunk.salt, chunk.body, [this](store::Record&& record) {
+    if (const auto* const accepted = std::get_if<store::record::Accepted>(&record))
+      read_numbers_.insert(accepted->number);
+    const auto* const fact = std::get_if<store::record::Fact>(&record);
+    const bool replication_fact = fact != nullptr && fact->key.compare(0, kKeyPrefix.size(), kKeyPrefix) == 0;
+    if (!replication_fact) store_.put(std::move(record));
   });
-  if (!sound) {
+  if (!intact) {
     options_.log("copies: unreadable records of this relay's log received from a holder");
     read_requested_at_ = 0;
     return;
   }
-  if (!p.last) {
-    Packet more = packet(protocol::Read{claim_->epoch()});
-    more.chunk = ++next_read_chunk_;
+  if (!chunk.last) {
+    Packet next_read = packet(protocol::Read{claim_->epoch()});
+    next_read.chunk = ++next_read_chunk_;
     read_requested_at_ = steady();
-    connections_->send(claim_->source(), more);
+    connections_->send(claim_->source(), next_read);
     return;
   }
-  std::vector<MessageId> over;
+  std::vector<MessageId> finished;
   for (const auto& [number, held] : store_.held())
-    if (read_numbers_.count(number) == 0) over.push_back(number);
-  for (const MessageId number : over) store_.finish(number, false);
+    if (read_numbers_.count(number) == 0) finished.push_back(number);
+  for (const MessageId number : finished) store_.finish(number, false);
   options_.log(
       "copies: this disk was older than the copies at its holders: " + std::to_string(read_numbers_.size()) +
-      " messages read, " + std::to_string(over.size()) + " finished messages dropped");
+      " messages read, " + std::to_string(finished.size()) + " finished messages dropped");
   read_numbers_.clear();
 }
 
@@ -121,7 +122,7 @@
   uncommitted_.clear();
   transfers_.clear();
   leaderless_frames_.clear(), leaderless_frames_dropped_ = false;
-  ready_ = short_ = false;
+  ready_ = replicas_short_ = false;
   for (const auto& key : {kLogKey, kConfigKey, kEndKey}) put(key, {});
   hooks_.disown();
   store_.set_replicated();
@@ -135,7 +136,8 @@
 void LogReplicator::start_leading() {
   phase_ = Phase::leading, phase_since_ = steady();
   epoch_start_ = leader_->last();
-  for (const auto& h : leader_->replicas()) replica_health_[h.name].away_since = connected(h) ? 0 : steady();
+  for (const auto& replica : leader_->replicas())
+    replica_health_[replica.name].away_since = connected(replica) ? 0 : steady();
   config_ = leader_->config();
   put(kConfigKey, write_state(leader_->epoch(), 0, {}, config_, std::nullopt, 0, 0));
   hooks_.commit();  // writes the first entry of this epoch
--- a/relay/copies/packet.cpp
+++ b/relay/copies/packet.cpp
@@ -18,30 +18,31 @@
 };
 
 // ---- Encoding. Each value is a JSON array of fixed shape. ----
-void put(Json& json, std::uint64_t v) { json.Uint64(v); }
+void put(Json& json, std::uint64_t number) { json.Uint64(number); }
 void put(Json& json, const std::string& text) {
   json.String(text.data(), static_cast<rapidjson::SizeType>(text.size()));
 }
-void put(Json& json, const Member& m) {
-  json.StartArray(), put(json, m.name), put(json, m.incarnation), json.EndArray();
+void put(Json& json, const Member& member) {
+  json.StartArray(), put(json, member.name), put(json, member.incarnation), json.EndArray();
 }
-void put(Json& json, const Epoch& e) {
-  json.StartArray(), put(json, e.number), put(json, e.claimant), json.EndArray();
+void put(Json& json, const Epoch& epoch) {
+  json.StartArray(), put(json, epoch.number), put(json, epoch.claimant), json.EndArray();
 }
-void put(Json& json, const Version& v) {
-  json.StartArray(), put(json, v.epoch), put(json, v.number), json.EndArray();
+void put(Json& json, const Version& version) {
+  json.StartArray(), put(json, version.epoch), put(json, version.number), json.EndArray();
 }
-void put(Json& json, const std::vector<Member>& all) {
+void put(Json& json, const std::vector<Member>& members) {
   json.StartArray();
-  for (const auto& m : all) put(json, m);
+  for (const auto& member : members) put(json, member);
   json.EndArray();
 }
-void put(Json& json, const Config& c) {
-  json.StartArray(), put(json, c.version), put(json, c.replicas), put(json, c.next), json.EndArray();
+void put(Json& json, const Config& config) {
+  json.StartArray(), put(json, config.version), put(json, config.replicas), put(json, config.next),
+      json.EndArray();
 }
-void put(Json& json, const std::optional<Moved>& m) {
+void put(Json& json, const std::optional<Moved>& moved) {
   json.StartArray();
-  if (m) put(json, m->epoch), put(json, m->into);
+  if (moved) put(json, moved->epoch), put(json, moved->into);
   json.EndArray();
 }
 
@@ -53,13 +54,13 @@
     tag("append"), put(json, message.epoch), put(json, message.after), put(json, message.after_epoch),
         put(json, message.config);
     json.StartArray();
-    for (const auto& e : message.entries) {
+    for (const auto& entry : message.entries) {
       json.StartArray();
-      if (e.epoch == message.epoch)
+      if (entry.epoch == message.epoch)
         json.Null();
       else
-        put(json, e.epoch);
-      put(json, static_cast<std::uint64_t>(e.bytes.size()));
+        put(json, entry.epoch);
+      put(json, static_cast<std::uint64_t>(entry.bytes.size()));
       json.EndArray();
     }
     json.EndArray();
@@ -93,22 +94,22 @@
 
 std::string make_frame(const rapidjson::StringBuffer& head, const std::vector<std::string_view>& body) {
   std::uint64_t size = 0;
-  for (const auto& b : body) size += b.size();
+  for (const auto& part : body) size += part.size();
   const std::uint32_t lengths[2] = {static_cast<std::uint32_t>(head.GetSize()),
                                     static_cast<std::uint32_t>(size)};
-  std::string out;
-  out.reserve(kFrameHeaderBytes + head.GetSize() + size);
-  out.append(reinterpret_cast<const char*>(lengths), sizeof lengths);
-  out.append(head.GetString(), head.GetSize());
-  for (const auto& b : body) out.append(b);
-  return out;
+  std::string frame;
+  frame.reserve(kFrameHeaderBytes + head.GetSize() + size);
+  frame.append(reinterpret_cast<const char*>(lengths), sizeof lengths);
+  frame.append(head.GetString(), head.GetSize());
+  for (const auto& part : body) frame.append(part);
+  return frame;
 }
 
 // ---- Decoding. ----
 class ArrayReader {
  public:
-  explicit ArrayReader(const Value& v) : array_(v) {
-    if (!v.IsArray()) throw UnreadableError("not an array");
+  explicit ArrayReader(const Value& value) : array_(value) {
+    if (!value.IsArray()) throw UnreadableError("not an array");
   }
   const Value& next() {
     if (index_ >= array_.Size()) throw UnreadableError("short");
@@ -124,121 +125,124 @@
   rapidjson::SizeType index_ = 0;
 };
 
-std::uint64_t read_number(const Value& v) {
-  if (!v.IsUint64()) throw UnreadableError("not an unsigned integer");
-  return v.GetUint64();
+std::uint64_t read_number(const Value& value) {
+  if (!value.IsUint64()) throw UnreadableError("not an unsigned integer");
+  return value.GetUint64();
 }
-std::string read_text(const Value& v) {
-  if (!v.IsString()) throw UnreadableError("not a string");
-  return {v.GetString(), v.GetStringLength()};
+std::string read_text(const Value& value) {
+  if (!value.IsString()) throw UnreadableError("not a string");
+  return {value.GetString(), value.GetStringLength()};
 }
-Member read_member(const Value& v) {
-  ArrayReader f(v);
-  Member m;
-  m.name = read_text(f.next()), m.incarnation = read_number(f.next());
-  f.done();
-  return m;
+Member read_member(const Value& value) {
+  ArrayReader fields(value);
+  Member member;
+  member.name = read_text(fields.next()), member.incarnation = read_number(fields.next());
+  fields.done();
+  return member;
 }
-Epoch read_epoch(const Value& v) {
-  ArrayReader f(v);
-  Epoch e;
-  e.number = read_number(f.next()), e.claimant = read_member(f.next());
-  f.done();
-  return e;
+Epoch read_epoch(const Value& value) {
+  ArrayReader fields(value);
+  Epoch epoch;
+  epoch.number = read_number(fields.next()), epoch.claimant = read_member(fields.next());
+  fields.done();
+  return epoch;
 }
-Version read_version(const Value& v) {
-  ArrayReader f(v);
-  Version message;
-  message.epoch = read_epoch(f.next()), message.number = read_number(f.next());
-  f.done();
-  return message;
+Version read_version(const Value& value) {
+  ArrayReader fields(value);
+  Version version;
+  version.epoch = read_epoch(fields.next()), version.number = read_number(fields.next());
+  fields.done();
+  return version;
 }
-std::vector<Member> read_members(const Value& v) {
-  std::vector<Member> all;
-  for (ArrayReader f(v); f.more();) all.push_back(read_member(f.next()));
-  return all;
+std::vector<Member> read_members(const Value& value) {
+  std::vector<Member> members;
+  for (ArrayReader elements(value); elements.more();) members.push_back(read_member(elements.next()));
+  return members;
 }
-Config read_config(const Value& v) {
-  ArrayReader f(v);
-  Config c;
-  c.version = read_version(f.next()), c.replicas = read_members(f.next()), c.next = read_members(f.next());
-  f.done();
-  return c;
+Config read_config(const Value& value) {
+  ArrayReader fields(value);
+  Config config;
+  config.version = read_version(fields.next()), config.replicas = read_members(fields.next()),
+  config.next = read_members(fields.next());
+  fields.done();
+  return config;
 }
-std::optional<Moved> read_moved(const Value& v) {
-  ArrayReader f(v);
-  if (!f.more()) return std::nullopt;
-  Moved m;
-  m.epoch = read_epoch(f.next()), m.into = read_member(f.next());
-  f.done();
-  return m;
+std::optional<Moved> read_moved(const Value& value) {
+  ArrayReader fields(value);
+  if (!fields.more()) return std::nullopt;
+  Moved moved;
+  moved.epoch = read_epoch(fields.next()), moved.into = read_member(fields.next());
+  fields.done();
+  return moved;
 }
 
-ProtocolMessage read_message(const Value& v, const std::string& body) {
-  ArrayReader f(v);
-  const std::string tag = read_text(f.next());
-  const Epoch e = read_epoch(f.next());
+ProtocolMessage read_message(const Value& value, const std::string& body) {
+  ArrayReader fields(value);
+  const std::string tag = read_text(fields.next());
+  const Epoch epoch = read_epoch(fields.next());
   const auto decode = [&]() -> ProtocolMessage {
     if (tag == "append") {
       protocol::Append message;
-      message.epoch = e, message.after = read_number(f.next()), message.after_epoch = read_epoch(f.next()),
-      message.config = read_config(f.next());
-      std::size_t at = 0;
-      for (ArrayReader entries(f.next()); entries.more();) {
-        ArrayReader one(entries.next());
-        const Value& written = one.next();
-        const std::size_t size = read_number(one.next());
-        if (size > body.size() - at) throw UnreadableError("entries are longer than the body");
-        message.entries.push_back({written.IsNull() ? e : read_epoch(written), body.substr(at, size)});
-        at += size;
+      message.epoch = epoch, message.after = read_number(fields.next()),
+      message.after_epoch = read_epoch(fields.next()), message.config = read_config(fields.next());
+      std::size_t offset = 0;
+      for (ArrayReader entries(fields.next()); entries.more();) {
+        ArrayReader entry(entries.next());
+        const Value& entry_epoch = entry.next();
+        const std::size_t size = read_number(entry.next());
+        if (size > body.size() - offset) throw UnreadableError("entries are longer than the body");
+        message.entries.push_back(
+            {entry_epoch.IsNull() ? epoch : read_epoch(entry_epoch), body.substr(offset, size)});
+        offset += size;
       }
-      if (at != body.size()) throw UnreadableError("the body is longer than the entries");
+      if (offset != body.size()) throw UnreadableError("the body is longer than the entries");
       return message;
     }
     if (tag == "appended") {
-      const Position last = read_number(f.next());
-      return protocol::Appended{e, last, read_version(f.next())};
+      const Position last = read_number(fields.next());
+      return protocol::Appended{epoch, last, read_version(fields.next())};
     }
     if (tag == "behind") {
-      const Position last = read_number(f.next());
-      return protocol::Behind{e, last, read_epoch(f.next())};
+      const Position last = read_number(fields.next());
+      return protocol::Behind{epoch, last, read_epoch(fields.next())};
     }
     if (tag == "snapshot") {
-      protocol::Snapshot message{e, read_number(f.next()), {}, {}};
-      message.last_epoch = read_epoch(f.next()), message.config = read_config(f.next());
+      protocol::Snapshot message{epoch, read_number(fields.next()), {}, {}};
+      message.last_epoch = read_epoch(fields.next()), message.config = read_config(fields.next());
       return message;
     }
-    if (tag == "refused") return protocol::Refused{e};
-    if (tag == "claim") return protocol::Claim{e};
+    if (tag == "refused") return protocol::Refused{epoch};
+    if (tag == "claim") return protocol::Claim{epoch};
     if (tag == "promised") {
       protocol::Promised message;
-      message.epoch = e, message.last = read_number(f.next()), message.last_epoch = read_epoch(f.next());
-      message.config = read_config(f.next()), message.moved = read_moved(f.next());
+      message.epoch = epoch, message.last = read_number(fields.next()),
+      message.last_epoch = read_epoch(fields.next());
+      message.config = read_config(fields.next()), message.moved = read_moved(fields.next());
       return message;
     }
-    if (tag == "read") return protocol::Read{e};
+    if (tag == "read") return protocol::Read{epoch};
     if (tag == "state") {
-      const Position last = read_number(f.next());
-      return protocol::State{e, last, read_epoch(f.next())};
+      const Position last = read_number(fields.next());
+      return protocol::State{epoch, last, read_epoch(fields.next())};
     }
-    if (tag == "move") return protocol::Move{e, read_member(f.next())};
-    if (tag == "accepted") return protocol::Accepted{e};
+    if (tag == "move") return protocol::Move{epoch, read_member(fields.next())};
+    if (tag == "accepted") return protocol::Accepted{epoch};
     throw UnreadableError("unknown message tag");
   };
   ProtocolMessage decoded = decode();
-  f.done();
+  fields.done();
   return decoded;
 }
 
 constexpr const char* kKindNames[] = {"word", "part", "part_taken", "heard", "full", "release"};
 
-void parse(rapidjson::Document& d, std::string_view json) {
-  d.Parse<rapidjson::kParseIterativeFlag>(json.data(), json.size());
-  if (d.HasParseError() || !d.IsObject()) throw UnreadableError("not a JSON object");
+void parse(rapidjson::Document& document, std::string_view json) {
+  document.Parse<rapidjson::kParseIterativeFlag>(json.data(), json.size());
+  if (document.HasParseError() || !document.IsObject()) throw UnreadableError("not a JSON object");
 }
-const Value* find(const Value& d, const char* key) {
-  const auto it = d.FindMember(key);
-  return it == d.MemberEnd() ? nullptr : &it->value;
+const Value* find(const Value& object, const char* key) {
+  const auto member = object.FindMember(key);
+  return member == object.MemberEnd() ? nullptr : &member->value;
 }
 
 }  // namespace
@@ -250,8 +254,8 @@
 }
 
 std::string write_hello(const Hello& hello) {
-  rapidjson::StringBuffer out;
-  Json json(out);
+  rapidjson::StringBuffer buffer;
+  Json json(buffer);
   json.StartObject();
   json.Key("heronvane"), json.String("copies 1");
   json.Key("cluster"), put(json, hello.cluster);
@@ -260,160 +264,165 @@
   json.Key("seen"), json.StartArray(), put(json, hello.seen_incarnation), put(json, hello.seen_mark),
       json.EndArray();
   json.EndObject();
-  return make_frame(out, {});
+  return make_frame(buffer, {});
 }
 
 std::optional<Hello> read_hello(std::string_view head) {
   try {
-    rapidjson::Document d;
-    parse(d, head);
-    const Value *format = find(d, "heronvane"), *cluster = find(d, "cluster"), *self = find(d, "self");
-    const Value *mark = find(d, "mark"), *seen = find(d, "seen");
+    rapidjson::Document document;
+    parse(document, head);
+    const Value *format = find(document, "heronvane"), *cluster = find(document, "cluster"),
+                *self = find(document, "self");
+    const Value *mark = find(document, "mark"), *seen = find(document, "seen");
     if (format == nullptr || cluster == nullptr || self == nullptr || mark == nullptr || seen == nullptr ||
         read_text(*format) != "copies 1")
       return std::nullopt;
-    Hello h;
-    h.cluster = read_text(*cluster), h.self = read_member(*self), h.mark = read_number(*mark);
-    ArrayReader f(*seen);
-    h.seen_incarnation = read_number(f.next()), h.seen_mark = read_number(f.next());
-    f.done();
-    return h;
+    Hello hello;
+    hello.cluster = read_text(*cluster), hello.self = read_member(*self), hello.mark = read_number(*mark);
+    ArrayReader seen_fields(*seen);
+    hello.seen_incarnation = read_number(seen_fields.next()),
+    hello.seen_mark = read_number(seen_fields.next());
+    seen_fields.done();
+    return hello;
   } catch (const UnreadableError&) {
     return std::nullopt;
   }
 }
 
-std::string write_packet(const Packet& p) {
-  rapidjson::StringBuffer out;
-  Json json(out);
+std::string write_packet(const Packet& packet) {
+  rapidjson::StringBuffer buffer;
+  Json json(buffer);
   json.StartObject();
-  json.Key("kind"), json.String(kKindNames[static_cast<int>(p.kind)]);
-  json.Key("log"), put(json, p.log);
-  std::vector<std::string_view> body{p.body};
-  if (p.message) {
-    json.Key("say"), json.StartArray(), std::visit(MessageWriter{json}, *p.message), json.EndArray();
-    if (const auto* const a = std::get_if<protocol::Append>(&*p.message)) {
+  json.Key("kind"), json.String(kKindNames[static_cast<int>(packet.kind)]);
+  json.Key("log"), put(json, packet.log);
+  std::vector<std::string_view> body{packet.body};
+  if (packet.message) {
+    json.Key("say"), json.StartArray(), std::visit(MessageWriter{json}, *packet.message), json.EndArray();
+    if (const auto* const append = std::get_if<protocol::Append>(&*packet.message)) {
       body.clear();
-      for (const auto& e : a->entries) body.push_back(e.bytes);
+      for (const auto& entry : append->entries) body.push_back(entry.bytes);
     }
   }
-  if (p.epoch != Epoch{}) json.Key("epoch"), put(json, p.epoch);
-  const auto optional_number = [&](const char* key, std::uint64_t v) {
-    if (v != 0) json.Key(key), json.Uint64(v);
+  if (packet.epoch != Epoch{}) json.Key("epoch"), put(json, packet.epoch);
+  const auto optional_number = [&](const char* key, std::uint64_t number) {
+    if (number != 0) json.Key(key), json.Uint64(number);
   };
-  if (p.kind == Packet::Kind::last_contact) json.Key("version"), put(json, p.version);
-  optional_number("replaced", p.replaced), optional_number("part", p.chunk), optional_number("last", p.last),
-      optional_number("numbered", p.numbered_records), optional_number("salt", p.salt);
-  optional_number("disk", p.leader_disk_bytes), optional_number("mark", p.mark);
-  if (p.log_time != 0) json.Key("now"), json.Int64(p.log_time);
-  if (p.last_contact_age >= 0) json.Key("ago"), json.Int64(p.last_contact_age);
-  if (!p.reason.empty()) json.Key("text"), put(json, p.reason);
+  if (packet.kind == Packet::Kind::last_contact) json.Key("version"), put(json, packet.version);
+  optional_number("replaced", packet.replaced), optional_number("part", packet.chunk),
+      optional_number("last", packet.last), optional_number("numbered", packet.numbered_records),
+      optional_number("salt", packet.salt);
+  optional_number("disk", packet.leader_disk_bytes), optional_number("mark", packet.mark);
+  if (packet.log_time != 0) json.Key("now"), json.Int64(packet.log_time);
+  if (packet.last_contact_age >= 0) json.Key("ago"), json.Int64(packet.last_contact_age);
+  if (!packet.reason.empty()) json.Key("text"), put(json, packet.reason);
   json.EndObject();
-  return make_frame(out, body);
+  return make_frame(buffer, body);
 }
 
 std::optional<Packet> read_packet(std::string_view head, std::string body) {
   try {
-    rapidjson::Document d;
-    parse(d, head);
-    Packet p;
-    const Value *kind = find(d, "kind"), *log = find(d, "log");
+    rapidjson::Document document;
+    parse(document, head);
+    Packet packet;
+    const Value *kind = find(document, "kind"), *log = find(document, "log");
     if (kind == nullptr || log == nullptr) return std::nullopt;
     const std::string name = read_text(*kind);
-    int at = 0;
-    while (at < 6 && name != kKindNames[at]) at++;
-    if (at == 6) return std::nullopt;
-    p.kind = static_cast<Packet::Kind>(at);
-    p.log = read_member(*log);
-    p.body = std::move(body);
-    if (const Value* v = find(d, "say")) p.message = read_message(*v, p.body);
-    if (p.message && std::holds_alternative<protocol::Append>(*p.message)) p.body.clear();
-    if (const Value* v = find(d, "epoch")) p.epoch = read_epoch(*v);
+    int kind_index = 0;
+    while (kind_index < 6 && name != kKindNames[kind_index]) kind_index++;
+    if (kind_index == 6) return std::nullopt;
+    packet.kind = static_cast<Packet::Kind>(kind_index);
+    packet.log = read_member(*log);
+    packet.body = std::move(body);
+    if (const Value* value = find(document, "say")) packet.message = read_message(*value, packet.body);
+    if (packet.message && std::holds_alternative<protocol::Append>(*packet.message)) packet.body.clear();
+    if (const Value* value = find(document, "epoch")) packet.epoch = read_epoch(*value);
     const auto optional_number = [&](const char* key) {
-      const Value* const v = find(d, key);
-      return v == nullptr ? 0 : read_number(*v);
+      const Value* const value = find(document, key);
+      return value == nullptr ? 0 : read_number(*value);
     };
     const auto optional_time = [&](const char* key, Microseconds absent) {
-      const Value* const v = find(d, key);
-      if (v == nullptr) return absent;
-      if (!v->IsInt64()) throw UnreadableError("not an integer time");
-      return v->GetInt64();
+      const Value* const value = find(document, key);
+      if (value == nullptr) return absent;
+      if (!value->IsInt64()) throw UnreadableError("not an integer time");
+      return value->GetInt64();
     };
-    if (const Value* v = find(d, "version")) p.version = read_version(*v);
-    p.replaced = optional_number("replaced") != 0;
-    p.chunk = optional_number("part"), p.last = optional_number("last") != 0,
-    p.numbered_records = optional_number("numbered");
-    p.salt = static_cast<store::Salt>(optional_number("salt"));
-    p.leader_disk_bytes = optional_number("disk"), p.mark = optional_number("mark");
-    p.log_time = optional_time("now", 0), p.last_contact_age = optional_time("ago", -1);
-    if (const Value* v = find(d, "text")) p.reason = read_text(*v);
-    if (p.kind == Packet::Kind::message && !p.message) return std::nullopt;
-    return p;
+    if (const Value* value = find(document, "version")) packet.version = read_version(*value);
+    packet.replaced = optional_number("replaced") != 0;
+    packet.chunk = optional_number("part"), packet.last = optional_number("last") != 0,
+    packet.numbered_records = optional_number("numbered");
+    packet.salt = static_cast<store::Salt>(optional_number("salt"));
+    packet.leader_disk_bytes = optional_number("disk"), packet.mark = optional_number("mark");
+    packet.log_time = optional_time("now", 0), packet.last_contact_age = optional_time("ago", -1);
+    if (const Value* value = find(document, "text")) packet.reason = read_text(*value);
+    if (packet.kind == Packet::Kind::message && !packet.message) return std::nullopt;
+    return packet;
   } catch (const UnreadableError&) {
     return std::nullopt;
   }
 }
 
-std::string write_state(const Epoch& promised, Position last, const Epoch& last_epoch, const Config& c,
-                        const std::optional<Moved>& m, Microseconds clock_offset,
+std::string write_state(const Epoch& promised, Position last, const Epoch& last_epoch, const Config& config,
+                        const std::optional<Moved>& moved, Microseconds clock_offset,
                         std::uint64_t leader_disk_bytes) {
-  rapidjson::StringBuffer out;
-  Json json(out);
+  rapidjson::StringBuffer buffer;
+  Json json(buffer);
   json.StartObject();
   json.Key("promised"), put(json, promised);
   json.Key("last"), put(json, last);
   json.Key("of"), put(json, last_epoch);
-  json.Key("config"), put(json, c);
-  json.Key("moved"), put(json, m);
+  json.Key("config"), put(json, config);
+  json.Key("moved"), put(json, moved);
   json.Key("ahead"), json.Int64(clock_offset);
   json.Key("disk"), json.Uint64(leader_disk_bytes);
   json.EndObject();
-  return {out.GetString(), out.GetSize()};
+  return {buffer.GetString(), buffer.GetSize()};
 }
 
 std::optional<KeptState> read_state(std::string_view json_text) {
   try {
-    rapidjson::Document d;
-    parse(d, json_text);
+    rapidjson::Document document;
+    parse(document, json_text);
     for (const char* key : {"promised", "last", "of", "config", "moved", "ahead", "disk"})
-      if (find(d, key) == nullptr) return std::nullopt;
-    KeptState s;
-    s.promised = read_epoch(d["promised"]), s.last = read_number(d["last"]),
-    s.last_epoch = read_epoch(d["of"]);
-    s.config = read_config(d["config"]), s.moved = read_moved(d["moved"]);
-    if (!d["ahead"].IsInt64()) return std::nullopt;
-    s.clock_offset = d["ahead"].GetInt64(), s.leader_disk_bytes = read_number(d["disk"]);
-    return s;
+      if (find(document, key) == nullptr) return std::nullopt;
+    KeptState state;
+    state.promised = read_epoch(document["promised"]), state.last = read_number(document["last"]),
+    state.last_epoch = read_epoch(document["of"]);
+    state.config = read_config(document["config"]), state.moved = read_moved(document["moved"]);
+    if (!document["ahead"].IsInt64()) return std::nullopt;
+    state.clock_offset = document["ahead"].GetInt64(),
+    state.leader_disk_bytes = read_number(document["disk"]);
+    return state;
   } catch (const UnreadableError&) {
     return std::nullopt;
   }
 }
 
-std::string write_import(const Import& i) {
-  rapidjson::StringBuffer out;
-  Json json(out);
+std::string write_import(const Import& import) {
+  rapidjson::StringBuffer buffer;
+  Json json(buffer);
   json.StartObject();
-  json.Key("log"), put(json, i.log);
-  json.Key("config"), put(json, i.config);
-  json.Key("epoch"), put(json, i.epoch);
-  json.Key("from"), put(json, i.from);
-  json.Key("to"), put(json, i.to);
-  if (i.via) json.Key("via"), put(json, *i.via);
+  json.Key("log"), put(json, import.log);
+  json.Key("config"), put(json, import.config);
+  json.Key("epoch"), put(json, import.epoch);
+  json.Key("from"), put(json, import.from);
+  json.Key("to"), put(json, import.to);
+  if (import.via) json.Key("via"), put(json, *import.via);
   json.EndObject();
-  return {out.GetString(), out.GetSize()};
+  return {buffer.GetString(), buffer.GetSize()};
 }
 
 std::optional<Import> read_import(std::string_view json_text) {
   try {
-    rapidjson::Document d;
-    parse(d, json_text);
+    rapidjson::Document document;
+    parse(document, json_text);
     for (const char* key : {"log", "config", "epoch", "from", "to"})
-      if (find(d, key) == nullptr) return std::nullopt;
-    Import i;
-    i.log = read_member(d["log"]), i.config = read_config(d["config"]), i.epoch = read_epoch(d["epoch"]);
-    i.from = read_number(d["from"]), i.to = read_number(d["to"]);
-    if (const Value* v = find(d, "via")) i.via = read_member(*v);
-    return i;
+      if (find(document, key) == nullptr) return std::nullopt;
+    Import import;
+    import.log = read_member(document["log"]), import.config = read_config(document["config"]),
+    import.epoch = read_epoch(document["epoch"]);
+    import.from = read_number(document["from"]), import.to = read_number(document["to"]);
+    if (const Value* via = find(document, "via")) import.via = read_member(*via);
+    return import;
   } catch (const UnreadableError&) {
     return std::nullopt;
   }
--- a/relay/copies/rows.cpp
+++ b/relay/copies/rows.cpp
@@ -12,16 +12,16 @@
 std::string StateWriter::next(std::size_t max_bytes) {
   store::Batch batch(store_.salt());
   for (; batch.bytes() < max_bytes && fact_index_ < fact_keys_.size(); fact_index_++)
-    if (const auto it = store_.facts().find(fact_keys_[fact_index_]); it != store_.facts().end())
-      batch.add(store::record::Fact{it->first, it->second});
+    if (const auto fact = store_.facts().find(fact_keys_[fact_index_]); fact != store_.facts().end())
+      batch.add(store::record::Fact{fact->first, fact->second});
   for (; batch.bytes() < max_bytes && over_index_ < over_.size(); over_index_++)
     batch.add(std::move(over_[over_index_]));
-  auto it = store_.held().lower_bound(next_message_);
-  for (; batch.bytes() < max_bytes && it != store_.held().end(); ++it) {
-    batch.add(it->first, it->second);
-    next_message_ = it->first + 1;
+  auto message = store_.held().lower_bound(next_message_);
+  for (; batch.bytes() < max_bytes && message != store_.held().end(); ++message) {
+    batch.add(message->first, message->second);
+    next_message_ = message->first + 1;
   }
-  done_ = fact_index_ == fact_keys_.size() && over_index_ == over_.size() && it == store_.held().end();
+  done_ = fact_index_ == fact_keys_.size() && over_index_ == over_.size() && message == store_.held().end();
   return batch.empty() ? std::string() : batch.stamped(1);
 }
 
--- a/relay/copies/shelf.cpp
+++ b/relay/copies/shelf.cpp
@@ -28,10 +28,10 @@
   std::uint64_t folder_count = 0;
 };
 std::optional<std::uint64_t> parse_number(std::string_view text) {
-  std::uint64_t v = 0;
-  const auto [end, bad] = std::from_chars(text.data(), text.data() + text.size(), v);
-  if (bad != std::errc() || end != text.data() + text.size()) return std::nullopt;
-  return v;
+  std::uint64_t number = 0;
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
+  if (error != std::errc() || end != text.data() + text.size()) return std::nullopt;
+  return number;
 }
 std::optional<FolderName> parse_folder_name(const std::string& name) {
   const auto last = name.rfind('.');
@@ -44,19 +44,19 @@
   return FolderName{{name.substr(0, middle), *number}, *count};
 }
 
-Packet answer_to(const Packet& asked, Packet::Kind kind) {
+Packet answer_to(const Packet& request, Packet::Kind kind) {
   Packet answer;
-  answer.kind = kind, answer.log = asked.log, answer.epoch = asked.epoch, answer.chunk = asked.chunk;
+  answer.kind = kind, answer.log = request.log, answer.epoch = request.epoch, answer.chunk = request.chunk;
   return answer;
 }
-Packet message_to(const Packet& asked, ProtocolMessage message) {
-  Packet answer = answer_to(asked, Packet::Kind::message);
+Packet message_to(const Packet& request, ProtocolMessage message) {
+  Packet answer = answer_to(request, Packet::Kind::message);
   answer.message = std::move(message);
   return answer;
 }
-Packet unavailable(const Packet& asked, const std::string& why) {
-  Packet answer = answer_to(asked, Packet::Kind::unavailable);
-  answer.reason = why;
+Packet unavailable(const Packet& request, const std::string& reason) {
+  Packet answer = answer_to(request, Packet::Kind::unavailable);
+  answer.reason = reason;
   return answer;
 }
 
@@ -75,30 +75,32 @@
 ReplicaLogs::~ReplicaLogs() = default;
 
 void ReplicaLogs::load() {
-  std::map<LogId, std::map<std::uint64_t, std::string>> found;
+  std::map<LogId, std::map<std::uint64_t, std::string>> folders_by_log;
   for (const auto& entry : fs::directory_iterator(options_.folder))
-    if (const auto named = parse_folder_name(entry.path().filename().string()); named && entry.is_directory())
-      found[named->log][named->folder_count] = entry.path().string();
-  for (const auto& [log, folders] : found) {
+    if (const auto parsed_name = parse_folder_name(entry.path().filename().string());
+        parsed_name && entry.is_directory())
+      folders_by_log[parsed_name->log][parsed_name->folder_count] = entry.path().string();
+  for (const auto& [log, folders] : folders_by_log) {
     auto replica_log = std::make_unique<ReplicaLog>();
     replica_log->log = log, replica_log->last_contact = options_.steady();
     replica_log->folder_count = folders.rbegin()->first;
-    for (auto it = folders.rbegin(); it != folders.rend(); ++it) {
+    for (auto folder_it = folders.rbegin(); folder_it != folders.rend(); ++folder_it) {
       if (replica_log->current) {  // older copies of the log
-        fs::remove_all(it->second);
+        fs::remove_all(folder_it->second);
         continue;
       }
       replica_log->leader_disk_bytes = options_.limit_bytes;  // until the saved limit is read
       std::unique_ptr<Folder> folder;
       try {
-        folder = open(*replica_log, it->second);
+        folder = open(*replica_log, folder_it->second);
       } catch (const std::exception& e) {
-        options_.log("copies: " + it->second + ": the replica log can't be opened: " + e.what());
+        options_.log("copies: " + folder_it->second + ": the replica log can't be opened: " + e.what());
         lost_promises_ = true;
         continue;
       }
       if (!folder->store->recovery().damaged.empty() || folder->store->recovery().counts.missing > 0) {
-        options_.log("copies: " + it->second + " is damaged: promises made for this replica log may be lost");
+        options_.log("copies: " + folder_it->second +
+                     " is damaged: promises made for this replica log may be lost");
         lost_promises_ = true;
       }
       const auto state_fact = folder->store->facts().find(kStateKey);
@@ -106,14 +108,15 @@
           state_fact == folder->store->facts().end() ? std::nullopt : read_state(state_fact->second);
       if (!saved) {  // an incomplete snapshot
         folder.reset();
-        fs::remove_all(it->second);
+        fs::remove_all(folder_it->second);
         continue;
       }
       ReplicaState restored{saved->promised, saved->last, saved->last_epoch, saved->config, saved->moved};
-      if (const auto later = folder->store->facts().find(kEndKey); later != folder->store->facts().end()) {
-        std::istringstream in(later->second);
-        in >> restored.last >> restored.last_epoch.number >> restored.last_epoch.claimant.incarnation >>
-            restored.last_epoch.claimant.name;
+      if (const auto end_fact = folder->store->facts().find(kEndKey);
+          end_fact != folder->store->facts().end()) {
+        std::istringstream end_fields(end_fact->second);
+        end_fields >> restored.last >> restored.last_epoch.number >>
+            restored.last_epoch.claimant.incarnation >> restored.last_epoch.claimant.name;
       }
       replica_log->replica = Replica(restored);
       replica_log->clock_offset = saved->clock_offset,
@@ -125,8 +128,8 @@
   }
   if (!lost_promises_) return;
   replica_logs_.clear();
-  for (const auto& [log, folders] : found)
-    for (const auto& [count, path] : folders) fs::remove_all(path);
+  for (const auto& [log, folders] : folders_by_log)
+    for (const auto& [folder_count, path] : folders) fs::remove_all(path);
 }
 
 std::unique_ptr<ReplicaLogs::Folder> ReplicaLogs::open(ReplicaLog& replica_log, const std::string& path) {
@@ -161,7 +164,8 @@
 }
 
 ReplicaLogs::ReplicaLog* ReplicaLogs::find_or_create(const Packet& packet, std::string& error) {
-  if (const auto it = replica_logs_.find(packet.log); it != replica_logs_.end()) return it->second.get();
+  if (const auto found = replica_logs_.find(packet.log); found != replica_logs_.end())
+    return found->second.get();
   std::uint64_t used = 0;
   for (const auto& [log, replica_log] : replica_logs_) {
     // Of a log that moved or has other replicas, only the promises remain.
@@ -242,24 +246,25 @@
   auto& store = *replica_log.current->store;
   // Unreadable records are not what the leader wrote, so they are reported and not acknowledged.
   bool intact = true;
-  for (const auto& e : result.entries)
-    intact =
-        read_records(packet.salt, e.bytes, [&](store::Record&& r) { store.put(std::move(r)); }) && intact;
+  for (const auto& entry : result.entries)
+    intact = read_records(packet.salt, entry.bytes,
+                          [&](store::Record&& record) { store.put(std::move(record)); }) &&
+             intact;
   if (!intact) {
     replica_log.replica = Replica(before);
     return reply(unavailable(packet, "unreadable records in the entries"));
   }
-  const ReplicaState& now = replica_log.replica.state();
-  const bool state_changed = now.promised != before.promised || now.config.version != before.config.version ||
-                             now.moved != before.moved;
+  const ReplicaState& after = replica_log.replica.state();
+  const bool state_changed = after.promised != before.promised ||
+                             after.config.version != before.config.version || after.moved != before.moved;
   if (state_changed || !store.unavailable_reason().empty()) {
-    if (!keep_state(replica_log, *replica_log.current, now))
+    if (!keep_state(replica_log, *replica_log.current, after))
       return reply(unavailable(packet, store.unavailable_reason()));
-  } else if (now != before) {
-    store.put(store::record::Fact{kEndKey, std::to_string(now.last) + " " +
-                                               std::to_string(now.last_epoch.number) + " " +
-                                               std::to_string(now.last_epoch.claimant.incarnation) + " " +
-                                               now.last_epoch.claimant.name});
+  } else if (after != before) {
+    store.put(store::record::Fact{kEndKey, std::to_string(after.last) + " " +
+                                               std::to_string(after.last_epoch.number) + " " +
+                                               std::to_string(after.last_epoch.claimant.incarnation) + " " +
+                                               after.last_epoch.claimant.name});
     if (!store.commit()) return reply(unavailable(packet, store.unavailable_reason()));
   }
   when_durable(replica_log,
@@ -283,15 +288,15 @@
   replica_log.next_chunk++;
   auto& store = *replica_log.staging->store;
   const bool intact =
-      read_records(packet.salt, packet.body, [&](store::Record&& r) { store.put(std::move(r)); });
+      read_records(packet.salt, packet.body, [&](store::Record&& record) { store.put(std::move(record)); });
   if (!intact || !store.commit()) {
     remove(std::exchange(replica_log.staging, nullptr));
     return reply(unavailable(
         packet, intact ? "writing the snapshot to disk failed" : "unreadable records in the snapshot chunk"));
   }
   if (!packet.last || !packet.message) {
-    Packet taken = answer_to(packet, Packet::Kind::chunk_accepted);
-    return reply(taken);
+    Packet accepted = answer_to(packet, Packet::Kind::chunk_accepted);
+    return reply(accepted);
   }
   Replica replica = replica_log.replica;
   auto result = replica.handle(*packet.message);
@@ -315,10 +320,10 @@
 void ReplicaLogs::install_staging(ReplicaLog& replica_log) {
   auto previous = std::exchange(replica_log.current, std::exchange(replica_log.staging, nullptr));
   replica_log.state_reader.reset();
-  for (auto& one : replica_log.pending_replies) one.first = replica_log.current->store->written();
+  for (auto& pending : replica_log.pending_replies) pending.first = replica_log.current->store->written();
   // The earlier copy is deleted once the new one is durable.
-  const auto held = std::make_shared<std::unique_ptr<Folder>>(std::move(previous));
-  when_durable(replica_log, [this, held] { remove(std::move(*held)); });
+  const auto replaced = std::make_shared<std::unique_ptr<Folder>>(std::move(previous));
+  when_durable(replica_log, [this, replaced] { remove(std::move(*replaced)); });
 }
 
 void ReplicaLogs::when_durable(ReplicaLog& replica_log, std::function<void()> callback) {
@@ -367,13 +372,13 @@
 }
 
 void ReplicaLogs::discard_entries(const LogId& log) {
-  const auto it = replica_logs_.find(log);
-  if (it == replica_logs_.end()) return;
+  const auto found = replica_logs_.find(log);
+  if (found == replica_logs_.end()) return;
   // Keeps the promise at position 0, so a leader that writes to this replica again begins with a snapshot.
-  ReplicaState state = it->second->replica.state();
+  ReplicaState state = found->second->replica.state();
   state.last = 0, state.last_epoch = {};
-  it->second->replaced = true;
-  rewrite_state_only(*it->second, state);
+  found->second->replaced = true;
+  rewrite_state_only(*found->second, state);
 }
 
 void ReplicaLogs::rewrite_state_only(ReplicaLog& replica_log, const ReplicaState& state) {
@@ -396,19 +401,20 @@
 }
 
 void ReplicaLogs::note_contact(const LogId& log) {
-  if (const auto it = replica_logs_.find(log); it != replica_logs_.end())
-    it->second->last_contact = options_.steady();
+  if (const auto found = replica_logs_.find(log); found != replica_logs_.end())
+    found->second->last_contact = options_.steady();
 }
 
 bool ReplicaLogs::compact() {
-  bool more = false;
+  bool unfinished = false;
   for (auto& [log, replica_log] : replica_logs_)
-    for (int i = 0; i < kCompactionStepsPerLog && replica_log->current->store->wants_compaction(); i++) {
+    for (int steps = 0; steps < kCompactionStepsPerLog && replica_log->current->store->wants_compaction();
+         steps++) {
       const auto step = replica_log->current->store->compact();
       if (step != store::Store::Step::more) break;
-      more = more || i + 1 == kCompactionStepsPerLog;
+      unfinished = unfinished || steps + 1 == kCompactionStepsPerLog;
     }
-  return more;
+  return unfinished;
 }
 
 ReplicaLogs::View ReplicaLogs::make_view(const ReplicaLog& replica_log) const {
@@ -420,14 +426,14 @@
           replica_log.current->store->unavailable_reason()};
 }
 std::vector<ReplicaLogs::View> ReplicaLogs::all() const {
-  std::vector<View> out;
-  for (const auto& [log, replica_log] : replica_logs_) out.push_back(make_view(*replica_log));
-  return out;
+  std::vector<View> views;
+  for (const auto& [log, replica_log] : replica_logs_) views.push_back(make_view(*replica_log));
+  return views;
 }
 std::optional<ReplicaLogs::View> ReplicaLogs::find(const LogId& log) const {
-  const auto it = replica_logs_.find(log);
-  if (it == replica_logs_.end()) return std::nullopt;
-  return make_view(*it->second);
+  const auto found = replica_logs_.find(log);
+  if (found == replica_logs_.end()) return std::nullopt;
+  return make_view(*found->second);
 }
 
 }  // namespace heronvane::copies
--- a/relay/copies/takeover.cpp
+++ b/relay/copies/takeover.cpp
@@ -42,26 +42,26 @@
 
 bool Takeover::parked(MessageId number) const {
   return std::any_of(imports_.begin(), imports_.end(),
-                     [&](const Import& i) { return i.from <= number && number < i.to; });
+                     [&](const Import& import) { return import.from <= number && number < import.to; });
 }
 
 const Import* Takeover::import_of(const LogId& log) const {
-  const auto it =
-      std::find_if(imports_.begin(), imports_.end(), [&](const Import& i) { return i.log == log; });
-  return it == imports_.end() ? nullptr : &*it;
+  const auto found =
+      std::find_if(imports_.begin(), imports_.end(), [&](const Import& import) { return import.log == log; });
+  return found == imports_.end() ? nullptr : &*found;
 }
 
 std::vector<Member> Takeover::wanted_members() const {
-  std::vector<Member> all;
-  const auto add = [&](const Config& c) {
-    all.insert(all.end(), c.replicas.begin(), c.replicas.end());
-    all.insert(all.end(), c.next.begin(), c.next.end());
+  std::vector<Member> members;
+  const auto add_replicas = [&](const Config& config) {
+    members.insert(members.end(), config.replicas.begin(), config.replicas.end());
+    members.insert(members.end(), config.next.begin(), config.next.end());
   };
-  if (claim_) add(claim_->config());
-  for (const auto& i : imports_) add(i.config);
+  if (claim_) add_replicas(claim_->config());
+  for (const auto& import : imports_) add_replicas(import.config);
   for (const auto& [log, silent_leader] : silent_leaders_)
-    if (const auto replica_log = host_.replica_logs.find(log)) add(replica_log->state.config);
-  return all;
+    if (const auto replica_log = host_.replica_logs.find(log)) add_replicas(replica_log->state.config);
+  return members;
 }
 
 std::string Takeover::describe_progress() const {
@@ -100,21 +100,22 @@
   if (!claim_) {
     if (now < retry_at_) return;
     // Takeovers that an earlier process began come first, unless the leader has written since.
-    for (const auto& i : std::vector<Import>(imports_)) {
+    for (const auto& import : std::vector<Import>(imports_)) {
       // Not before the takeover of the log that contained it is won.
-      if (i.via && import_of(*i.via) != nullptr) continue;
-      const auto replica_log = host_.replica_logs.find(i.log);
-      if (replica_log && replica_log->state.last_epoch > i.epoch && i.epoch != Epoch{}) {
-        claimed_log_ = i.log;
+      if (import.via && import_of(*import.via) != nullptr) continue;
+      const auto replica_log = host_.replica_logs.find(import.log);
+      if (replica_log && replica_log->state.last_epoch > import.epoch && import.epoch != Epoch{}) {
+        claimed_log_ = import.log;
         abandon_claim("its leader has written further entries");
         return;
       }
       if (replica_log && host_.takeover_after > 0 && now - replica_log->last_contact < host_.takeover_after)
         continue;
-      const auto& config = replica_log && replica_log->state.config.version > i.config.version
+      const auto& config = replica_log && replica_log->state.config.version > import.config.version
                                ? replica_log->state.config
-                               : i.config;
-      return begin(i.log, config, replica_log ? replica_log->state.promised.number : i.epoch.number);
+                               : import.config;
+      return begin(import.log, config,
+                   replica_log ? replica_log->state.promised.number : import.epoch.number);
     }
     return check_for_lost_leaders();
   }
@@ -155,8 +156,8 @@
     SilentLeader& silent_leader = silent_leaders[replica_log.log] =
         std::move(silent_leaders_[replica_log.log]);
     std::set<Member> unreached_by{self};
-    for (const auto& [m, silence] : silent_leader.silence)
-      if (silence < 0 || silence >= host_.takeover_after) unreached_by.insert(m);
+    for (const auto& [member, silence] : silent_leader.silence)
+      if (silence < 0 || silence >= host_.takeover_after) unreached_by.insert(member);
     if (enough_claims(config, unreached_by, host_.acks())) {
       host_.log("copies: " + replica_log.log.name + " has been silent for " +
                 std::to_string((now - replica_log.last_contact) / 1000) +
@@ -171,10 +172,10 @@
       continue;
     silent_leader.asked_at = now;
     silent_leader.silence.clear();  // old answers no longer count
-    Packet ask;
-    ask.kind = Packet::Kind::last_contact, ask.log = replica_log.log, ask.version = config.version;
-    for (const auto& m : replicas)
-      if (m != self) host_.send(m, ask);
+    Packet query;
+    query.kind = Packet::Kind::last_contact, query.log = replica_log.log, query.version = config.version;
+    for (const auto& member : replicas)
+      if (member != self) host_.send(member, query);
   }
   silent_leaders_ = std::move(silent_leaders);
 }
@@ -184,15 +185,15 @@
   last_sent_at_ = host_.steady();
   const auto requests = claim_->requests();
   for (const auto& envelope : requests) {
-    Packet p;
-    p.log = claimed_log_, p.message = envelope.message;
+    Packet request;
+    request.log = claimed_log_, request.message = envelope.message;
     if (std::holds_alternative<protocol::Read>(envelope.message)) {
       // Chunk by chunk; restarts if no chunk arrives for kReadRetryInterval.
       if (read_requested_at_ != 0 && last_sent_at_ - read_requested_at_ < kReadRetryInterval) continue;
       read_requested_at_ = last_sent_at_;
-      p.chunk = next_chunk_ = 0;
+      request.chunk = next_chunk_ = 0;
     }
-    host_.send(envelope.to, p);
+    host_.send(envelope.to, request);
   }
 }
 
@@ -205,8 +206,8 @@
     return;
   }
   if (packet.kind == Packet::Kind::last_contact) {
-    if (const auto it = silent_leaders_.find(packet.log); it != silent_leaders_.end())
-      it->second.silence[from] = packet.last_contact_age;
+    if (const auto silent_leader = silent_leaders_.find(packet.log); silent_leader != silent_leaders_.end())
+      silent_leader->second.silence[from] = packet.last_contact_age;
     return;
   }
   if (!claim_ || packet.log != claimed_log_ || packet.kind != Packet::Kind::message) return;
@@ -217,28 +218,30 @@
     import_chunk(packet);
     if (!claim_) return;
     if (!packet.last) {
-      Packet more;
-      more.log = claimed_log_, more.message = protocol::Read{claim_->epoch()}, more.chunk = ++next_chunk_;
+      Packet next_read;
+      next_read.log = claimed_log_, next_read.message = protocol::Read{claim_->epoch()},
+      next_read.chunk = ++next_chunk_;
       read_requested_at_ = host_.steady();
-      host_.send(from, more);
+      host_.send(from, next_read);
       return;
     }
   }
-  const auto before = claim_->state();
+  const auto state_before = claim_->state();
   claim_->handle(from, *packet.message);
-  if (claim_->state() != before) on_claim_state();
+  if (claim_->state() != state_before) on_claim_state();
 }
 
 void Takeover::on_claim_state() {
   switch (claim_->state()) {
     case Claim::State::importing: {
       // Takeovers that the claimed log had begun stay parked after this one is won.
-      for (const auto& c : chained_imports_) {
-        if (c.first == 0 || import_of(c.import.log) != nullptr) continue;
-        Import there = c.import;
-        there.from = c.first, there.to = c.end, there.via = claimed_log_, there.epoch = {};
-        imports_.push_back(std::move(there));
-        persist_import(c.import.log);
+      for (const auto& chained : chained_imports_) {
+        if (chained.first == 0 || import_of(chained.import.log) != nullptr) continue;
+        Import parked_import = chained.import;
+        parked_import.from = chained.first, parked_import.to = chained.end, parked_import.via = claimed_log_,
+        parked_import.epoch = {};
+        imports_.push_back(std::move(parked_import));
+        persist_import(chained.import.log);
       }
       state_complete_ = true;
       host_.commit();
@@ -248,8 +251,8 @@
     case Claim::State::won:
       return on_won();
     case Claim::State::moved: {
-      const Import* const i = import_of(claimed_log_);
-      if (i != nullptr && i->via && *i->via == claim_->into()) return on_won();
+      const Import* const import = import_of(claimed_log_);
+      if (import != nullptr && import->via && *import->via == claim_->into()) return on_won();
       host_.log("copies: " + log_name(claimed_log_) + " was moved into " + log_name(claim_->into()));
       return abandon_claim("the log was moved into another log");
     }
@@ -269,53 +272,55 @@
 }
 
 void Takeover::persist_import(const LogId& log) {
-  const Import* const i = import_of(log);
-  host_.store.put(store::record::Fact{import_key(log), i == nullptr ? std::string() : write_import(*i)});
+  const Import* const import = import_of(log);
+  host_.store.put(
+      store::record::Fact{import_key(log), import == nullptr ? std::string() : write_import(*import)});
 }
 
 // Drops the import, the imports it contained, and their messages.
 void Takeover::drop_import(const LogId& log) {
-  for (const auto& i : std::vector<Import>(imports_)) {
-    if (i.log != log && i.via != log) continue;
-    for (MessageId n = i.from; n < i.to; n++) host_.store.finish(n, false);
-    std::erase_if(imports_, [&](const Import& x) { return x.log == i.log; });
-    persist_import(i.log);
+  for (const auto& import : std::vector<Import>(imports_)) {
+    if (import.log != log && import.via != log) continue;
+    for (MessageId number = import.from; number < import.to; number++) host_.store.finish(number, false);
+    std::erase_if(imports_, [&](const Import& other) { return other.log == import.log; });
+    persist_import(import.log);
   }
 }
 
 void Takeover::import_chunk(const Packet& packet) {
   if (packet.chunk == 0) {
-    const Import* i = import_of(claimed_log_);
+    const Import* import = import_of(claimed_log_);
     // What an earlier claim imported is read again.
-    if (i != nullptr && (i->epoch != claim_->epoch() || i->to - i->from != packet.numbered_records)) {
+    if (import != nullptr &&
+        (import->epoch != claim_->epoch() || import->to - import->from != packet.numbered_records)) {
       drop_import(claimed_log_);
-      i = nullptr;
+      import = nullptr;
     }
-    if (i == nullptr) {
-      Import fresh;
-      fresh.log = claimed_log_, fresh.config = claim_->config(), fresh.epoch = claim_->epoch();
-      fresh.from = host_.store.next_number(), fresh.to = fresh.from + packet.numbered_records;
-      host_.store.reserve_numbers(fresh.to);
-      imports_.push_back(std::move(fresh));
-      i = &imports_.back();
+    if (import == nullptr) {
+      Import new_import;
+      new_import.log = claimed_log_, new_import.config = claim_->config(), new_import.epoch = claim_->epoch();
+      new_import.from = host_.store.next_number(), new_import.to = new_import.from + packet.numbered_records;
+      host_.store.reserve_numbers(new_import.to);
+      imports_.push_back(std::move(new_import));
+      import = &imports_.back();
       persist_import(claimed_log_);
     }
-    next_number_ = i->from;
+    next_number_ = import->from;
     chained_imports_.clear();
     // Offset from the log's clock, as that replica knows it, to this relay's clock.
     clock_shift_ = host_.store.clock().now() - packet.log_time;
   }
   const MessageId end = import_of(claimed_log_)->to;
-  bool fits = true;
-  const bool whole = read_records(packet.salt, packet.body, [&](store::Record&& r) {
-    const bool numbered_records = std::holds_alternative<store::record::Accepted>(r) ||
-                                  std::holds_alternative<store::record::Finished>(r);
-    if (numbered_records && next_number_ >= end)
-      fits = false;
+  bool within_range = true;
+  const bool intact = read_records(packet.salt, packet.body, [&](store::Record&& record) {
+    const bool is_numbered = std::holds_alternative<store::record::Accepted>(record) ||
+                             std::holds_alternative<store::record::Finished>(record);
+    if (is_numbered && next_number_ >= end)
+      within_range = false;
     else
-      import_record(std::move(r));
+      import_record(std::move(record));
   });
-  if (!whole || !fits) {
+  if (!intact || !within_range) {
     host_.log("copies: " + log_name(claimed_log_) +
               ": unreadable records received from its holder; retrying later");
     retry_at_ = host_.steady() + kPreemptedPause;
@@ -325,44 +330,44 @@
 }
 
 void Takeover::import_record(store::Record&& record) {
-  if (auto* const t = std::get_if<store::record::Accepted>(&record)) {
-    for (auto& c : chained_imports_)
-      if (c.import.from <= t->number && t->number < c.import.to) {
-        if (c.first == 0) c.first = next_number_;
-        c.end = next_number_ + 1;
+  if (auto* const accepted = std::get_if<store::record::Accepted>(&record)) {
+    for (auto& chained : chained_imports_)
+      if (chained.import.from <= accepted->number && accepted->number < chained.import.to) {
+        if (chained.first == 0) chained.first = next_number_;
+        chained.end = next_number_ + 1;
       }
-    t->number = next_number_++;
-    t->held.message.deadline += clock_shift_;
-    for (auto& a : t->held.attempts) a.sent += clock_shift_;
+    accepted->number = next_number_++;
+    accepted->held.message.deadline += clock_shift_;
+    for (auto& attempt : accepted->held.attempts) attempt.sent += clock_shift_;
     host_.store.put(std::move(record));
-  } else if (auto* const o = std::get_if<store::record::Finished>(&record)) {
-    o->number = next_number_++;
-    o->remember_until += clock_shift_;
-    if (!host_.store.remembers(o->id)) host_.store.put(std::move(record));
-  } else if (const auto* const f = std::get_if<store::record::Fact>(&record)) {
+  } else if (auto* const finished = std::get_if<store::record::Finished>(&record)) {
+    finished->number = next_number_++;
+    finished->remember_until += clock_shift_;
+    if (!host_.store.remembers(finished->id)) host_.store.put(std::move(record));
+  } else if (const auto* const fact = std::get_if<store::record::Fact>(&record)) {
     // The claimed log had begun takeovers itself. Their outcome has to be asked for later.
-    if (f->key.compare(0, kImportKeyPrefix.size(), kImportKeyPrefix) != 0) return;
-    if (auto import = read_import(f->value)) chained_imports_.push_back({std::move(*import), 0, 0});
+    if (fact->key.compare(0, kImportKeyPrefix.size(), kImportKeyPrefix) != 0) return;
+    if (auto import = read_import(fact->value)) chained_imports_.push_back({std::move(*import), 0, 0});
   }
 }
 
 void Takeover::on_won() {
   const Claim claim = *claim_;
-  std::vector<std::pair<MessageId, MessageId>> ours;
-  if (const Import* const i = import_of(claimed_log_)) {
-    MessageId from = i->from;
-    const MessageId to = i->to;
-    std::erase_if(imports_, [&](const Import& x) { return x.log == claimed_log_; });
+  std::vector<std::pair<MessageId, MessageId>> own_ranges;
+  if (const Import* const won_import = import_of(claimed_log_)) {
+    MessageId from = won_import->from;
+    const MessageId to = won_import->to;
+    std::erase_if(imports_, [&](const Import& import) { return import.log == claimed_log_; });
     persist_import(claimed_log_);
-    std::vector<std::pair<MessageId, MessageId>> still;
-    for (const auto& x : imports_)
-      if (x.via == claimed_log_) still.emplace_back(x.from, x.to);
-    std::sort(still.begin(), still.end());
-    for (const auto& [first, end] : still) {
-      if (first > from) ours.emplace_back(from, first);
+    std::vector<std::pair<MessageId, MessageId>> parked_ranges;
+    for (const auto& import : imports_)
+      if (import.via == claimed_log_) parked_ranges.emplace_back(import.from, import.to);
+    std::sort(parked_ranges.begin(), parked_ranges.end());
+    for (const auto& [first, end] : parked_ranges) {
+      if (first > from) own_ranges.emplace_back(from, first);
       from = end;
     }
-    if (to > from) ours.emplace_back(from, to);
+    if (to > from) own_ranges.emplace_back(from, to);
   }
   host_.log("copies: " + log_name(claimed_log_) + " was taken over in epoch " +
             std::to_string(claim.epoch().number));
@@ -370,17 +375,17 @@
   const LogId log = claimed_log_;
   end_claim();
   host_.commit();
-  for (const auto& [from, to] : ours) host_.taken_over(from, to);
+  for (const auto& [from, to] : own_ranges) host_.taken_over(from, to);
   Packet release;
   release.kind = Packet::Kind::release, release.log = log, release.epoch = claim.epoch();
   std::vector<Member> members = claim.config().replicas;
   members.insert(members.end(), claim.config().next.begin(), claim.config().next.end());
-  for (const auto& m : members) host_.send(m, release);
+  for (const auto& member : members) host_.send(member, release);
 }
 
-void Takeover::abandon_claim(const std::string& why) {
+void Takeover::abandon_claim(const std::string& reason) {
   if (import_of(claimed_log_) != nullptr) {
-    host_.log("copies: the state read from " + log_name(claimed_log_) + " is dropped: " + why);
+    host_.log("copies: the state read from " + log_name(claimed_log_) + " is dropped: " + reason);
     drop_import(claimed_log_);
   }
   end_claim();
@@ -394,8 +399,8 @@
 }
 
 void Takeover::abandon_all() {
-  for (const auto& i : std::exchange(imports_, {}))
-    host_.store.put(store::record::Fact{import_key(i.log), {}});
+  for (const auto& import : std::exchange(imports_, {}))
+    host_.store.put(store::record::Fact{import_key(import.log), {}});
   end_claim();
   silent_leaders_.clear();
 }
--- a/tests/copies/replication_decisions_test.cpp
+++ b/tests/copies/replication_decisions_test.cpp
@@ -1,7 +1,9 @@
-// Copies: groups and quorums; one log among its members in every order of steps, and in random walks; planted
-// defects that both must find.
+// Tests of the decisions of log replication: replica groups and quorums, and a model of one log that is
+// checked by exhaustive search and by random walks. Walks over injected defects check that violations are
+// detected.
 //
-// A sample; bench/copies/run.sh takes the full counts. HERONVANE_COPIES_STATES, _WALKS and _SEED change them.
+// By default only a sample runs; bench/copies/run.sh runs the full counts. HERONVANE_COPIES_STATES, _WALKS
+// and _SEED change the number of states, the number of walks and the first seed.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -28,45 +30,45 @@
 
 struct Exploration {
   std::size_t states = 0, depth = 0;
-  bool complete = false;  // there are no more
+  bool complete = false;  // every reachable state was visited
   std::string violation;
 };
 
-// Breadth first, by hash of states.
+// Breadth-first search. Compares states by their hash.
 Exploration explore(const Bounds& bounds, const HostDefects& defects, std::size_t max_states) {
   struct QueuedState {
     Model model;
     std::size_t depth;
   };
-  Exploration out;
+  Exploration exploration;
   std::unordered_set<std::uint64_t> visited;
   std::deque<QueuedState> queue;
   Model first(bounds, defects);
   visited.insert(first.fingerprint());
   queue.push_back({std::move(first), 0});
   while (!queue.empty()) {
-    const QueuedState known = std::move(queue.front());
+    const QueuedState current = std::move(queue.front());
     queue.pop_front();
-    out.depth = known.depth;
-    for (const auto& [name, step] : known.model.steps()) {
-      Model next = known.model;
+    exploration.depth = current.depth;
+    for (const auto& [name, step] : current.model.steps()) {
+      Model next = current.model;
       step(next);
       if (!next.violation().empty()) {
-        out.violation = next.violation() + "\n" + next.describe();
-        out.states = visited.size();
-        return out;
+        exploration.violation = next.violation() + "\n" + next.describe();
+        exploration.states = visited.size();
+        return exploration;
       }
       if (!visited.insert(next.fingerprint()).second) continue;
       if (visited.size() >= max_states) {
-        out.states = visited.size();
-        return out;
+        exploration.states = visited.size();
+        return exploration;
       }
-      queue.push_back({std::move(next), known.depth + 1});
+      queue.push_back({std::move(next), current.depth + 1});
     }
   }
-  out.states = visited.size();
-  out.complete = true;
-  return out;
+  exploration.states = visited.size();
+  exploration.complete = true;
+  return exploration;
 }
 
 struct WalkResult {
@@ -74,66 +76,69 @@
   std::string violation;
 };
 
-// Each walk has holders, quorums and faults of its own.
+// Each walk draws its own numbers of replicas, quorum rule and faults.
 WalkResult walk(std::size_t walks, std::uint64_t seed, const HostDefects& defects) {
-  WalkResult out;
-  for (; out.walks < walks; out.walks++) {
-    std::mt19937_64 random_engine(seed + out.walks);
-    Bounds b;
-    b.replicas = 1 + random_engine() % 4;
-    b.spares = 1 + random_engine() % 2;
-    b.acks = random_engine() % 3 == 0 ? Acks::all : Acks::majority;
-    b.entries = 1 + random_engine() % 6;
-    b.max_in_flight = 2 + random_engine() % 10;
-    b.epochs = 12;
-    b.crashes = static_cast<int>(random_engine() % 5), b.disk_losses = static_cast<int>(random_engine() % 2);
-    b.changes = static_cast<int>(random_engine() % 3), b.duplicates = static_cast<int>(random_engine() % 6);
-    b.take_overs = static_cast<int>(random_engine() % 4);
-    b.trims = static_cast<int>(random_engine() % 4);
-    const bool one_lost = b.disk_losses > 0;
-    Model m(b, defects);
+  WalkResult result;
+  for (; result.walks < walks; result.walks++) {
+    std::mt19937_64 random_engine(seed + result.walks);
+    Bounds bounds;
+    bounds.replicas = 1 + random_engine() % 4;
+    bounds.spares = 1 + random_engine() % 2;
+    bounds.acks = random_engine() % 3 == 0 ? Acks::all : Acks::majority;
+    bounds.entries = 1 + random_engine() % 6;
+    bounds.max_in_flight = 2 + random_engine() % 10;
+    bounds.epochs = 12;
+    bounds.crashes = static_cast<int>(random_engine() % 5),
+    bounds.disk_losses = static_cast<int>(random_engine() % 2);
+    bounds.changes = static_cast<int>(random_engine() % 3),
+    bounds.duplicates = static_cast<int>(random_engine() % 6);
+    bounds.takeovers = static_cast<int>(random_engine() % 4);
+    bounds.trims = static_cast<int>(random_engine() % 4);
+    const bool disk_may_be_lost = bounds.disk_losses > 0;
+    Model model(bounds, defects);
     const std::size_t max_states = 40 + random_engine() % 260;
     std::string path;
-    for (std::size_t i = 0; i < max_states && m.violation().empty(); i++) {
-      const auto steps = m.steps();
+    for (std::size_t i = 0; i < max_states && model.violation().empty(); i++) {
+      const auto steps = model.steps();
       if (steps.empty()) break;
-      // Faults are rare beside what members do.
-      std::size_t at = random_engine() % steps.size();
+      // Draws again up to three times if the step is a fault, so that faults are rarer than other steps.
+      std::size_t step_index = random_engine() % steps.size();
       for (int tries = 0; tries < 3; tries++) {
-        const auto& name = steps[at].first;
+        const auto& name = steps[step_index].first;
         const bool fault = name.find("crash") != std::string::npos ||
                            name.find("disk") != std::string::npos || name.find("lose") != std::string::npos ||
                            name.find("takes over") != std::string::npos;
         if (!fault) break;
-        at = random_engine() % steps.size();
+        step_index = random_engine() % steps.size();
       }
-      steps[at].second(m);
-      out.steps++;
+      steps[step_index].second(model);
+      result.steps++;
     }
-    if (m.violation().empty() && !one_lost && !m.converges()) {
-      out.unconverged++;
-      if (out.violation.empty())
-        out.violation = "walk " + std::to_string(out.walks) + " came to no end:\n" + m.describe();
+    if (model.violation().empty() && !disk_may_be_lost && !model.converges()) {
+      result.unconverged++;
+      if (result.violation.empty())
+        result.violation = "walk " + std::to_string(result.walks) + " did not converge:\n" + model.describe();
     }
-    if (!m.violation().empty()) {
-      out.violation = "walk " + std::to_string(out.walks) + ": " + m.violation() + "\n" + m.describe();
-      return out;
+    if (!model.violation().empty()) {
+      result.violation =
+          "walk " + std::to_string(result.walks) + ": " + model.violation() + "\n" + model.describe();
+      return result;
     }
   }
-  return out;
+  return result;
 }
 
 // ---- Groups. ----
-TEST(Groups, QuorumsMeet) {
+TEST(Groups, QuorumsIntersect) {
   for (std::size_t replicas = 1; replicas <= 9; replicas++)
     for (const Acks acks : {Acks::majority, Acks::all}) {
-      const auto q = quorum(replicas, acks);
-      EXPECT_GT(q.acks + q.claims, replicas);
-      EXPECT_GT(2 * q.claims, replicas);
-      EXPECT_GE(q.acks, 1u);
-      EXPECT_LE(std::max(q.acks, q.claims), replicas);
+      const auto quorum_sizes = quorum(replicas, acks);
+      EXPECT_GT(quorum_sizes.acks + quorum_sizes.claims, replicas);
+      EXPECT_GT(2 * quorum_sizes.claims, replicas);
+      EXPECT_GE(quorum_sizes.acks, 1u);
+      EXPECT_LE(std::max(quorum_sizes.acks, quorum_sizes.claims), replicas);
     }
-  // One of two is lost: the other one's word is in any claim on the old set.
+  // A change replaces a, one of two replicas: every claim on the old replicas needs an answer of b.
   const Member a{"a", 1}, b{"b", 1}, c{"c", 1};
   Config change, complete;
   change.replicas = {a, b}, change.next = {b, c};
@@ -150,32 +155,33 @@
 std::vector<Placement> placements(std::size_t count) {
   std::vector<Placement> all;
   for (std::size_t i = 0; i < count; i++) {
-    Placement& p = all.emplace_back();
-    p.member.name = "n" + std::to_string(i);
-    p.member.incarnation = 1;
-    p.machine = "m" + std::to_string(i / 2);
-    p.zone = std::string(1, static_cast<char>('a' + i % 3));
+    Placement& placement = all.emplace_back();
+    placement.member.name = "n" + std::to_string(i);
+    placement.member.incarnation = 1;
+    placement.machine = "m" + std::to_string(i / 2);
+    placement.zone = std::string(1, static_cast<char>('a' + i % 3));
   }
   return all;
 }
 
-TEST(Groups, HoldersStandOnOtherMachinesAndInOtherZones) {
+TEST(Groups, ReplicasAreOnOtherMachinesAndInOtherZones) {
   const auto all = placements(30);
   for (const auto& leader : all) {
     const auto replicas = choose_replicas(leader, all, 2);
     ASSERT_EQ(replicas.size(), 2u);
     std::set<std::string> machines{leader.machine}, zones{leader.zone};
-    for (const auto& h : replicas)
-      for (const auto& p : all)
-        if (p.member == h) machines.insert(p.machine), zones.insert(p.zone);
+    for (const auto& replica : replicas)
+      for (const auto& placement : all)
+        if (placement.member == replica) machines.insert(placement.machine), zones.insert(placement.zone);
     EXPECT_EQ(machines.size(), 3u);
     EXPECT_EQ(zones.size(), 3u);
   }
-  EXPECT_EQ(choose_replicas(all[0], placements(2), 2).size(), 0u);  // the other one is on its machine
+  EXPECT_EQ(choose_replicas(all[0], placements(2), 2).size(),
+            0u);  // the only other member is on the same machine
   EXPECT_EQ(choose_replicas(all[0], placements(4), 4).size(), 1u);
 }
 
-TEST(Groups, EqualListsInAnyOrderGiveEqualGroups) {
+TEST(Groups, GroupsDoNotDependOnMemberOrder) {
   auto all = placements(40);
   const auto leader = all[7];
   const auto before = choose_replicas(leader, all, 3);
@@ -186,21 +192,21 @@
   }
 }
 
-TEST(Groups, AMemberThatGoesChangesFewGroups) {
+TEST(Groups, RemovedMemberChangesOnlyItsOwnGroups) {
   const auto all = placements(60);
   auto fewer = all;
   fewer.erase(fewer.begin() + 20);
-  std::size_t changed = 0, held = 0;
+  std::size_t changed = 0, groups_with_member = 0;
   for (const auto& leader : fewer) {
     const auto before = choose_replicas(leader, all, 2), after = choose_replicas(leader, fewer, 2);
-    const bool had = std::count(before.begin(), before.end(), all[20].member) > 0;
-    held += had;
+    const bool was_replica = std::count(before.begin(), before.end(), all[20].member) > 0;
+    groups_with_member += was_replica;
     changed += before != after;
-    if (!had) {
+    if (!was_replica) {
       EXPECT_EQ(before, after) << leader.member.name;
     }
   }
-  EXPECT_EQ(changed, held);
+  EXPECT_EQ(changed, groups_with_member);
   EXPECT_LT(changed, 10u);
 }
 
@@ -210,14 +216,15 @@
   ~LogReplicator() override { injected_defect = {}; }
 };
 
-TEST_F(LogReplicator, EveryOrderOfStepsKeepsWhatWasActedOn) {
+TEST_F(LogReplicator, ExhaustiveSearchPreservesAppliedEntries) {
   const auto out = explore({}, {}, environment("HERONVANE_COPIES_STATES", 60'000));
-  std::printf("%zu states, depth %zu%s\n", out.states, out.depth, out.complete ? ", all there are" : "");
+  std::printf("%zu states, depth %zu%s\n", out.states, out.depth,
+              out.complete ? ", all reachable states" : "");
   EXPECT_EQ(out.violation, "");
   EXPECT_GE(out.states, 50'000u);
 }
 
-TEST_F(LogReplicator, RandomWalksKeepWhatWasActedOnAndComeToAnEnd) {
+TEST_F(LogReplicator, RandomWalksPreserveAppliedEntriesAndConverge) {
   const auto out =
       walk(environment("HERONVANE_COPIES_WALKS", 3'000), environment("HERONVANE_COPIES_SEED", 1), {});
   std::printf("%zu walks, %zu steps\n", out.walks, out.steps);
@@ -225,35 +232,35 @@
   EXPECT_EQ(out.unconverged, 0u);
 }
 
-// A holder is lost with its disk, another takes its place; then the owner is lost: the new group answers.
-TEST_F(LogReplicator, ALostHolderIsReplacedAndTheNewGroupTakesOver) {
-  const Member o{"O", 1}, a{"A", 1}, b{"B", 1}, c{"C", 1};
-  const Epoch first{1, o};
-  std::map<Member, Replica> replicas{{b, Replica()}, {c, Replica()}};  // A answers nothing any more
+// A replica is lost with its disk and replaced; then the leader is lost. The new group completes a takeover.
+TEST_F(LogReplicator, LostReplicaIsReplacedAndNewGroupTakesOver) {
+  const Member old_leader{"O", 1}, a{"A", 1}, b{"B", 1}, c{"C", 1};
+  const Epoch first{1, old_leader};
+  std::map<Member, Replica> replicas{{b, Replica()}, {c, Replica()}};  // A is lost and does not answer
   Config config;
   config.version.epoch = first, config.version.number = 1;
   config.replicas = {a, b};
-  Leader leader(o, first, config, 0, Epoch(), LeaderOptions());
-  const auto settle = [&] {
+  Leader leader(old_leader, first, config, 0, Epoch(), LeaderOptions());
+  const auto exchange_messages = [&] {
     for (int i = 0; i < 20; i++)
-      for (const auto& h : leader.replicas()) {
-        auto envelope = leader.next_append(h, true);
-        if (!envelope) envelope = leader.snapshot(h);
-        if (!envelope || replicas.count(h) == 0) continue;
-        if (auto result = replicas.at(h).handle(envelope->message); result.answer)
-          leader.handle(h, *result.answer);
+      for (const auto& replica : leader.replicas()) {
+        auto envelope = leader.next_append(replica, true);
+        if (!envelope) envelope = leader.snapshot(replica);
+        if (!envelope || replicas.count(replica) == 0) continue;
+        if (auto result = replicas.at(replica).handle(envelope->message); result.answer)
+          leader.handle(replica, *result.answer);
       }
   };
   leader.append("one");
-  settle();
+  exchange_messages();
   EXPECT_EQ(leader.durable(), 1u);
   leader.trim(0);  // C needs a snapshot
   ASSERT_TRUE(leader.replace(a, c));
-  settle();
+  exchange_messages();
   EXPECT_FALSE(leader.changing());
   EXPECT_EQ(leader.config().replicas, (std::vector<Member>{c, b}));
   leader.append("two");
-  settle();
+  exchange_messages();
   EXPECT_EQ(leader.durable(), 2u);
 
   Claim claim(c, Claim::Purpose::take_over, Epoch{2, c}, replicas.at(c).state().config, c, 0, Epoch(),
@@ -266,17 +273,17 @@
   }
   EXPECT_EQ(claim.state(), Claim::State::won);
   EXPECT_EQ(claim.last(), 2u);
-  // And the owner, which was only slow, writes nothing any more.
+  // The old leader was only slow. Its later entries must not be committed.
   leader.append("three");
-  settle();
+  exchange_messages();
   EXPECT_EQ(leader.durable(), 2u);
   EXPECT_TRUE(leader.fenced());
 }
 
 struct InjectedDefect {
-  std::string_view decision;  // in the sources of the decisions; empty: of the host
+  std::string_view decision;  // defect name in the decision sources; empty: a defect of the host
   HostDefects host;
-  std::uint64_t seed;  // from which on a walk finds it soon
+  std::uint64_t seed;  // first seed; a walk soon after it detects the defect
   std::string name;
 };
 
@@ -294,30 +301,30 @@
                                                                {"shortest log read", 100},
                                                                {"snapshot goes back", 4'150}})
     all.push_back({name, {}, seed, std::string(name)});
-  HostDefects d;
-  d.answers_before_writing = true;
-  all.push_back({"", d, 180, "answers before writing"});
-  d = {};
-  d.forgets_promises = true;
-  all.push_back({"", d, 5'970, "forgets promises over a restart"});
-  d = {};
-  d.comes_back_as_the_same = true;
-  all.push_back({"", d, 1, "comes back as the same without its disk"});
-  d = {};
-  d.forgets_import = true;
-  all.push_back({"", d, 1, "moves before the import stands"});
+  HostDefects host_defects;
+  host_defects.answers_before_writing = true;
+  all.push_back({"", host_defects, 180, "answers before writing"});
+  host_defects = {};
+  host_defects.loses_promises = true;
+  all.push_back({"", host_defects, 5'970, "loses promises in a restart"});
+  host_defects = {};
+  host_defects.keeps_identity_without_disk = true;
+  all.push_back({"", host_defects, 1, "returns with the same identity without its disk"});
+  host_defects = {};
+  host_defects.skips_import = true;
+  all.push_back({"", host_defects, 1, "moves before the import is durable"});
   return all;
 }
 
-TEST_F(LogReplicator, PlantedDefectsAreFound) {
-  for (const auto& p : injected_defects()) {
-    injected_defect = p.decision;
-    const auto out = walk(environment("HERONVANE_COPIES_DEFECT_WALKS", 3'000), p.seed, p.host);
+TEST_F(LogReplicator, InjectedDefectsAreDetected) {
+  for (const auto& defect : injected_defects()) {
+    injected_defect = defect.decision;
+    const auto out = walk(environment("HERONVANE_COPIES_DEFECT_WALKS", 3'000), defect.seed, defect.host);
     std::printf(
-        "%s: %s\n", p.name.c_str(),
-        out.violation.empty() ? "not found" : out.violation.substr(0, out.violation.find('\n')).c_str());
+        "%s: %s\n", defect.name.c_str(),
+        out.violation.empty() ? "not detected" : out.violation.substr(0, out.violation.find('\n')).c_str());
     std::fflush(stdout);
-    EXPECT_NE(out.violation, "") << p.name;
+    EXPECT_NE(out.violation, "") << defect.name;
   }
 }
 
--- a/tests/copies/replication_io_test.cpp
+++ b/tests/copies/replication_io_test.cpp
@@ -1,5 +1,5 @@
-// What carries the decisions out: packets as bytes, states as rows, logs held on shelves over restarts and
-// damage, connections against strangers.
+// Tests of the I/O side of log replication: encoding of packets, states as records, replica logs through
+// restarts and damage, and connections, which must reject non-members.
 #include <gtest/gtest.h>
 
 #include <boost/asio/io_context.hpp>
@@ -94,101 +94,105 @@
   std::mt19937_64 random_;
 };
 
-std::string print(const ProtocolMessage& s) {
+std::string print(const ProtocolMessage& message) {
   std::ostringstream out;
-  out << s;
+  out << message;
   return out.str();
 }
 
-TEST(Packet, ComesBackAsItWasWritten) {
+TEST(Packet, DecodesToWhatWasEncoded) {
   for (std::uint64_t seed = 1; seed <= 3'000; seed++) {
-    Random r(seed);
-    Packet p;
-    p.log = r.member();
-    p.message = r.message();
-    p.epoch = r.epoch();
-    p.chunk = r.below(1'000), p.last = r.below(2) != 0, p.numbered_records = r.below(1'000);
-    p.log_time = static_cast<Microseconds>(r.below(1'000'000)),
-    p.last_contact_age = static_cast<Microseconds>(r.below(3)) - 1;
-    p.salt = static_cast<store::Salt>(r.below(1ULL << 32)), p.leader_disk_bytes = r.below(1 << 30);
-    if (!std::holds_alternative<protocol::Append>(*p.message)) p.body = r.text();
-    const std::string frame = write_packet(p);
-    const auto l = read_frame_lengths(frame);
-    ASSERT_EQ(frame.size(), kFrameHeaderBytes + l.head + l.body);
-    const auto back = read_packet(std::string_view(frame).substr(kFrameHeaderBytes, l.head),
-                                  frame.substr(kFrameHeaderBytes + l.head));
-    ASSERT_TRUE(back) << frame;
-    EXPECT_EQ(print(*back->message), print(*p.message));
-    EXPECT_EQ(back->log, p.log);
-    EXPECT_EQ(back->epoch, p.epoch);
-    EXPECT_EQ(std::tie(back->chunk, back->last, back->numbered_records, back->log_time,
-                       back->last_contact_age, back->salt, back->leader_disk_bytes, back->body),
-              std::tie(p.chunk, p.last, p.numbered_records, p.log_time, p.last_contact_age, p.salt,
-                       p.leader_disk_bytes, p.body));
+    Random random(seed);
+    Packet packet;
+    packet.log = random.member();
+    packet.message = random.message();
+    packet.epoch = random.epoch();
+    packet.chunk = random.below(1'000), packet.last = random.below(2) != 0,
+    packet.numbered_records = random.below(1'000);
+    packet.log_time = static_cast<Microseconds>(random.below(1'000'000)),
+    packet.last_contact_age = static_cast<Microseconds>(random.below(3)) - 1;
+    packet.salt = static_cast<store::Salt>(random.below(1ULL << 32)),
+    packet.leader_disk_bytes = random.below(1 << 30);
+    if (!std::holds_alternative<protocol::Append>(*packet.message)) packet.body = random.text();
+    const std::string frame = write_packet(packet);
+    const auto lengths = read_frame_lengths(frame);
+    ASSERT_EQ(frame.size(), kFrameHeaderBytes + lengths.head + lengths.body);
+    const auto decoded = read_packet(std::string_view(frame).substr(kFrameHeaderBytes, lengths.head),
+                                     frame.substr(kFrameHeaderBytes + lengths.head));
+    ASSERT_TRUE(decoded) << frame;
+    EXPECT_EQ(print(*decoded->message), print(*packet.message));
+    EXPECT_EQ(decoded->log, packet.log);
+    EXPECT_EQ(decoded->epoch, packet.epoch);
+    EXPECT_EQ(std::tie(decoded->chunk, decoded->last, decoded->numbered_records, decoded->log_time,
+                       decoded->last_contact_age, decoded->salt, decoded->leader_disk_bytes, decoded->body),
+              std::tie(packet.chunk, packet.last, packet.numbered_records, packet.log_time,
+                       packet.last_contact_age, packet.salt, packet.leader_disk_bytes, packet.body));
   }
 }
 
-TEST(Packet, AnyBytesAreReadOrTurnedAway) {
-  std::size_t read = 0;
+TEST(Packet, MalformedBytesAreDecodedOrRejected) {
+  std::size_t decoded_count = 0;
   for (std::uint64_t seed = 1; seed <= 20'000; seed++) {
-    Random r(seed);
-    Packet p;
-    p.log = r.member(), p.message = r.message();
-    std::string frame = write_packet(p);
-    for (auto i = r.below(4); i > 0; i--)
-      frame[kFrameHeaderBytes + r.below(frame.size() - kFrameHeaderBytes)] = static_cast<char>(r.below(256));
-    read += check_packet(frame);
+    Random random(seed);
+    Packet packet;
+    packet.log = random.member(), packet.message = random.message();
+    std::string frame = write_packet(packet);
+    for (auto i = random.below(4); i > 0; i--)
+      frame[kFrameHeaderBytes + random.below(frame.size() - kFrameHeaderBytes)] =
+          static_cast<char>(random.below(256));
+    decoded_count += check_packet(frame);
   }
-  EXPECT_GT(read, 4'000u);
-  EXPECT_LT(read, 20'000u);
+  EXPECT_GT(decoded_count, 4'000u);
+  EXPECT_LT(decoded_count, 20'000u);
 }
 
-TEST(Packet, TheCorpusOfTheFuzzTargetIsRead) {
+TEST(Packet, FuzzCorpusIsDecoded) {
   std::size_t files = 0, packets = 0;
-  for (const auto& f : fs::directory_iterator(HERONVANE_CORPUS)) {
-    std::ifstream in(f.path(), std::ios::binary);
+  for (const auto& file : fs::directory_iterator(HERONVANE_CORPUS)) {
+    std::ifstream in(file.path(), std::ios::binary);
     packets += check_packet({std::istreambuf_iterator<char>(in), {}});
     files++;
   }
   EXPECT_EQ(files, 15u);
-  EXPECT_EQ(packets, 14u);  // and a hello
+  EXPECT_EQ(packets, 14u);  // the 15th file is a hello
 }
 
-TEST(Packet, StatesAndImportsComeBack) {
+TEST(Packet, StatesAndImportsRoundTrip) {
   for (std::uint64_t seed = 1; seed <= 500; seed++) {
-    Random r(seed);
-    const Epoch promised = r.epoch(), last = r.epoch();
-    const Config c = r.config();
+    Random random(seed);
+    const Epoch promised = random.epoch(), last = random.epoch();
+    const Config config = random.config();
     const std::optional<Moved> moved =
-        r.below(2) ? std::optional(Moved{r.epoch(), r.member()}) : std::nullopt;
-    const auto s = read_state(write_state(promised, seed, last, c, moved, -5, 7));
-    ASSERT_TRUE(s);
-    EXPECT_EQ(s->promised, promised);
-    EXPECT_EQ(s->last, seed);
-    EXPECT_EQ(s->last_epoch, last);
-    EXPECT_EQ(s->config, c);
-    EXPECT_EQ(s->moved, moved);
-    EXPECT_EQ(s->clock_offset, -5);
-    Import i{r.member(), c, last, seed, seed + 9, std::nullopt};
-    if (r.below(2)) i.via = r.member();
-    const auto j = read_import(write_import(i));
-    ASSERT_TRUE(j);
-    EXPECT_EQ(std::tie(j->log, j->config, j->epoch, j->from, j->to, j->via),
-              std::tie(i.log, i.config, i.epoch, i.from, i.to, i.via));
+        random.below(2) ? std::optional(Moved{random.epoch(), random.member()}) : std::nullopt;
+    const auto state = read_state(write_state(promised, seed, last, config, moved, -5, 7));
+    ASSERT_TRUE(state);
+    EXPECT_EQ(state->promised, promised);
+    EXPECT_EQ(state->last, seed);
+    EXPECT_EQ(state->last_epoch, last);
+    EXPECT_EQ(state->config, config);
+    EXPECT_EQ(state->moved, moved);
+    EXPECT_EQ(state->clock_offset, -5);
+    Import import{random.member(), config, last, seed, seed + 9, std::nullopt};
+    if (random.below(2)) import.via = random.member();
+    const auto decoded_import = read_import(write_import(import));
+    ASSERT_TRUE(decoded_import);
+    EXPECT_EQ(std::tie(decoded_import->log, decoded_import->config, decoded_import->epoch,
+                       decoded_import->from, decoded_import->to, decoded_import->via),
+              std::tie(import.log, import.config, import.epoch, import.from, import.to, import.via));
   }
   EXPECT_FALSE(read_state("{}"));
   EXPECT_FALSE(read_import("[]"));
 }
 
-// ---- States as rows. ----
+// ---- States as records. ----
 Message make_message(const std::string& id) {
-  Message m;
-  m.id = id, m.message_class = "pay", m.destination = 3, m.body = "body of " + id;
-  m.deadline = store::system_clocks().wall + 60'000'000;
-  return m;
+  Message message;
+  message.id = id, message.message_class = "pay", message.destination = 3, message.body = "body of " + id;
+  message.deadline = store::system_clocks().wall + 60'000'000;
+  return message;
 }
 
-class LeaderStore {  // a store with a sink that keeps its batches
+class LeaderStore {  // a store whose sink keeps the written batches
  public:
   explicit LeaderStore(const std::string& path) : disk_(folder(path)), store(*disk_, options()), sink_{this} {
     store.set_log_sink(&sink_);
@@ -198,11 +202,11 @@
     return store::open_folder(path);
   }
   static store::Options options() {
-    store::Options o;
-    o.limit_bytes = 40'000'000;
-    return o;
+    store::Options options;
+    options.limit_bytes = 40'000'000;
+    return options;
   }
-  MessageId take(const std::string& id) {
+  MessageId accept_message(const std::string& id) {
     const auto number = store.next_number();
     EXPECT_TRUE(store.admit(make_message(id)));
     store.accept(number, make_message(id));
@@ -218,7 +222,7 @@
 
  private:
   struct Sink : store::LogSink {
-    explicit Sink(LeaderStore* o) : leader_store(o) {}
+    explicit Sink(LeaderStore* owner) : leader_store(owner) {}
     void closing() override {}
     void written(store::Sequence, std::string_view frames) override {
       leader_store->entries.emplace_back(frames);
@@ -241,85 +245,87 @@
   EXPECT_EQ(a.remembered_ids().size(), b.remembered_ids().size());
 }
 
-// A snapshot in parts while the store goes on: whoever is told all batches and all parts in order ends alike.
-TEST(Rows, PartsAndBatchesInOrderMakeTheState) {
+// The store changes while a snapshot is written in chunks. A replica that applies all batches and all chunks
+// in order must end with the same state.
+TEST(StateRecords, ChunksAndBatchesInOrderReproduceTheState) {
   for (std::uint64_t seed = 1; seed <= 60; seed++) {
     Folder folder;
     LeaderStore leader_store(folder / "own"), copy(folder / "copy");
-    Random r(seed);
-    std::vector<MessageId> all;
+    Random random(seed);
+    std::vector<MessageId> numbers;
     const auto change = [&] {
-      for (auto i = r.below(6); i > 0; i--) {
-        const auto what = r.below(6);
-        if (what < 2 || all.empty()) {
-          all.push_back(leader_store.take("m" + std::to_string(seed) + "-" +
-                                          std::to_string(leader_store.store.next_number())));
+      for (auto i = random.below(6); i > 0; i--) {
+        const auto change_kind = random.below(6);
+        if (change_kind < 2 || numbers.empty()) {
+          numbers.push_back(leader_store.accept_message("m" + std::to_string(seed) + "-" +
+                                                        std::to_string(leader_store.store.next_number())));
           continue;
         }
-        const MessageId m = all[r.below(all.size())];
-        const Held* const h = leader_store.store.find(m);
-        if (h == nullptr) continue;
-        if (what == 2) leader_store.store.sent(m, 5, 1);
-        if (what == 3 && !h->attempts.empty()) leader_store.store.outcome(m, 0, Outcome::reset);
-        if (what == 4) leader_store.store.give_up(m, {true, 9});
-        if (what == 5) leader_store.store.finish(m);
-        leader_store.store.set_fact("k" + std::to_string(r.below(5)),
-                                    r.below(3) ? std::to_string(r.below(9)) : "");
+        const MessageId number = numbers[random.below(numbers.size())];
+        const Held* const held = leader_store.store.find(number);
+        if (held == nullptr) continue;
+        if (change_kind == 2) leader_store.store.sent(number, 5, 1);
+        if (change_kind == 3 && !held->attempts.empty())
+          leader_store.store.outcome(number, 0, Outcome::reset);
+        if (change_kind == 4) leader_store.store.give_up(number, {true, 9});
+        if (change_kind == 5) leader_store.store.finish(number);
+        leader_store.store.set_fact("k" + std::to_string(random.below(5)),
+                                    random.below(3) ? std::to_string(random.below(9)) : "");
       }
       ASSERT_TRUE(leader_store.store.commit());
     };
-    const auto put = [&](const std::string& frames) {
+    const auto apply = [&](const std::string& frames) {
       ASSERT_TRUE(read_records(leader_store.store.salt(), frames,
-                               [&](store::Record&& x) { copy.store.put(std::move(x)); }));
+                               [&](store::Record&& record) { copy.store.put(std::move(record)); }));
       ASSERT_TRUE(copy.store.commit());
     };
     for (int i = 0; i < 20; i++) change();
     leader_store.entries.clear();
-    StateWriter rows(leader_store.store);
-    while (!rows.done()) {
+    StateWriter state_writer(leader_store.store);
+    while (!state_writer.done()) {
       change();
-      for (const auto& e : std::exchange(leader_store.entries, {})) put(e);
-      put(rows.next(400));
+      for (const auto& entry : std::exchange(leader_store.entries, {})) apply(entry);
+      apply(state_writer.next(400));
     }
     for (int i = 0; i < 5; i++) change();
-    for (const auto& e : leader_store.entries) put(e);
+    for (const auto& entry : leader_store.entries) apply(entry);
     expect_same_state(leader_store.store, copy.store);
     EXPECT_EQ(copy.store.next_number(), leader_store.store.next_number());
   }
 }
 
-// ---- Shelves. ----
+// ---- Replica logs. ----
 class ReplicaLog : public ::testing::Test {
  protected:
   ReplicaLogsOptions options(std::uint64_t limit = 20'000'000) {
-    ReplicaLogsOptions o;
-    o.folder = folder / "copies";
-    o.limit_bytes = limit;
-    o.now = [] { return Microseconds{1'000'000}; };
-    o.steady = [] { return Microseconds{7}; };
-    return o;
+    ReplicaLogsOptions log_options;
+    log_options.folder = folder / "copies";
+    log_options.limit_bytes = limit;
+    log_options.now = [] { return Microseconds{1'000'000}; };
+    log_options.steady = [] { return Microseconds{7}; };
+    return log_options;
   }
-  Packet word(ProtocolMessage s) {
-    Packet p;
-    p.log = log, p.message = std::move(s), p.salt = leader_store->store.salt(),
-    p.leader_disk_bytes = 2'000'000, p.log_time = 1'500'000;
-    return p;
+  Packet make_packet(ProtocolMessage message) {
+    Packet packet;
+    packet.log = log, packet.message = std::move(message), packet.salt = leader_store->store.salt(),
+    packet.leader_disk_bytes = 2'000'000, packet.log_time = 1'500'000;
+    return packet;
   }
-  static Packet ask(ReplicaLogs& replica_logs, const Packet& p) {
+  static Packet request(ReplicaLogs& replica_logs, const Packet& packet) {
     std::optional<Packet> answer;
-    replica_logs.handle(p, [&](Packet a) {
+    replica_logs.handle(packet, [&](Packet received) {
       EXPECT_FALSE(answer);
-      answer = std::move(a);
+      answer = std::move(received);
     });
     EXPECT_TRUE(answer);
     return answer.value_or(Packet{});
   }
   Packet append(ReplicaLogs& replica_logs, Position after, const std::string& id, Epoch epoch) {
-    leader_store->take(id);
+    leader_store->accept_message(id);
     EXPECT_TRUE(leader_store->store.commit());
-    return ask(
+    return request(
         replica_logs,
-        word(protocol::Append{
+        make_packet(protocol::Append{
             epoch, after, after == 0 ? Epoch{} : epoch, {{epoch, leader_store->entries.back()}}, config}));
   }
   Folder folder;
@@ -330,14 +336,14 @@
   std::unique_ptr<LeaderStore> leader_store = std::make_unique<LeaderStore>(folder / "own");
 };
 
-TEST_F(ReplicaLog, KeepsEntriesAndPromisesOverARestart) {
+TEST_F(ReplicaLog, KeepsEntriesAndPromisesAfterRestart) {
   {
     ReplicaLogs replica_logs(options());
     const auto done = append(replica_logs, 0, "m1", first);
     EXPECT_EQ(std::get<protocol::Appended>(*done.message).last, 1u);
     append(replica_logs, 1, "m2", first);
     EXPECT_TRUE(std::holds_alternative<protocol::Promised>(
-        *ask(replica_logs, word(protocol::Claim{second})).message));
+        *request(replica_logs, make_packet(protocol::Claim{second})).message));
   }
   ReplicaLogs replica_logs(options());
   EXPECT_FALSE(replica_logs.lost_promises());
@@ -348,46 +354,49 @@
   EXPECT_EQ(view->messages, 2u);
   const auto late = append(replica_logs, 2, "m3", first);
   EXPECT_EQ(std::get<protocol::Refused>(*late.message).promised, second);
-  Packet read = word(protocol::Read{second});
-  const auto state = ask(replica_logs, read);
+  Packet read = make_packet(protocol::Read{second});
+  const auto state = request(replica_logs, read);
   EXPECT_TRUE(state.last);
   EXPECT_EQ(state.numbered_records, 2u);
   EXPECT_EQ(state.log_time, 1'500'000);
   std::vector<std::string> ids;
-  EXPECT_TRUE(read_records(state.salt, state.body, [&](store::Record&& x) {
-    if (const auto* const t = std::get_if<store::record::Accepted>(&x)) ids.push_back(t->held.message.id);
+  EXPECT_TRUE(read_records(state.salt, state.body, [&](store::Record&& record) {
+    if (const auto* const accepted = std::get_if<store::record::Accepted>(&record))
+      ids.push_back(accepted->held.message.id);
   }));
   EXPECT_EQ(ids, (std::vector<std::string>{"m1", "m2"}));
 }
 
-TEST_F(ReplicaLog, ASnapshotTakesThePlaceOfTheCopyOnlyOnceItIsWhole) {
-  const auto part = [&](std::uint64_t n, const std::string& body, bool last) {
-    Packet p = word(protocol::Snapshot{second, 9, first, config});
-    if (!last) p.message.reset();
-    p.kind = Packet::Kind::snapshot_chunk, p.chunk = n, p.body = body, p.last = last, p.epoch = second;
-    return p;
+TEST_F(ReplicaLog, SnapshotReplacesReplicaOnlyOnceComplete) {
+  const auto chunk = [&](std::uint64_t index, const std::string& body, bool last) {
+    Packet packet = make_packet(protocol::Snapshot{second, 9, first, config});
+    if (!last) packet.message.reset();
+    packet.kind = Packet::Kind::snapshot_chunk, packet.chunk = index, packet.body = body, packet.last = last,
+    packet.epoch = second;
+    return packet;
   };
-  StateWriter* rows = nullptr;
+  StateWriter* state_writer = nullptr;
   std::unique_ptr<StateWriter> writer;
   {
     ReplicaLogs replica_logs(options());
     append(replica_logs, 0, "old", first);
-    for (int i = 0; i < 30; i++) leader_store->take("m" + std::to_string(i));
+    for (int i = 0; i < 30; i++) leader_store->accept_message("m" + std::to_string(i));
     ASSERT_TRUE(leader_store->store.commit());
     writer = std::make_unique<StateWriter>(leader_store->store);
-    rows = writer.get();
-    EXPECT_EQ(ask(replica_logs, part(0, rows->next(500), false)).kind, Packet::Kind::chunk_accepted);
-    EXPECT_EQ(ask(replica_logs, part(5, rows->next(500), false)).kind, Packet::Kind::unavailable)
-        << "out of turn";
+    state_writer = writer.get();
+    EXPECT_EQ(request(replica_logs, chunk(0, state_writer->next(500), false)).kind,
+              Packet::Kind::chunk_accepted);
+    EXPECT_EQ(request(replica_logs, chunk(5, state_writer->next(500), false)).kind, Packet::Kind::unavailable)
+        << "chunk out of order";
     EXPECT_EQ(replica_logs.find(log)->messages, 1u);
   }
-  // Killed in the middle: the earlier copy stands.
+  // After a restart in the middle of the snapshot, the earlier copy is still in use.
   ReplicaLogs replica_logs(options());
   EXPECT_EQ(replica_logs.find(log)->messages, 1u);
   writer = std::make_unique<StateWriter>(leader_store->store);
-  for (std::uint64_t n = 0; !writer->done(); n++) {
+  for (std::uint64_t index = 0; !writer->done(); index++) {
     const auto body = writer->next(500);
-    const auto answer = ask(replica_logs, part(n, body, writer->done()));
+    const auto answer = request(replica_logs, chunk(index, body, writer->done()));
     if (writer->done()) {
       EXPECT_EQ(std::get<protocol::Appended>(*answer.message).last, 9u);
     }
@@ -399,16 +408,16 @@
   EXPECT_EQ(folders, 1u);
 }
 
-TEST_F(ReplicaLog, DamageIsForgottenPromisesAndAllOfItGoes) {
+TEST_F(ReplicaLog, DamageLosesPromisesAndDiscardsAllReplicas) {
   {
     ReplicaLogs replica_logs(options());
     for (int i = 0; i < 5; i++)
       append(replica_logs, static_cast<Position>(i), "m" + std::to_string(i), first);
   }
-  for (const auto& e : fs::recursive_directory_iterator(folder / "copies")) {
-    if (e.path().extension() != ".hv2") continue;
-    std::fstream file(e.path(), std::ios::in | std::ios::out | std::ios::binary);
-    file.seekp(static_cast<std::streamoff>(e.file_size() / 2));
+  for (const auto& entry : fs::recursive_directory_iterator(folder / "copies")) {
+    if (entry.path().extension() != ".hv2") continue;
+    std::fstream file(entry.path(), std::ios::in | std::ios::out | std::ios::binary);
+    file.seekp(static_cast<std::streamoff>(entry.file_size() / 2));
     file.write("damage", 6);
   }
   ReplicaLogs replica_logs(options());
@@ -416,7 +425,7 @@
   EXPECT_TRUE(replica_logs.all().empty());
 }
 
-TEST_F(ReplicaLog, ALogBeyondTheLimitIsTurnedAwayAndSaysSo) {
+TEST_F(ReplicaLog, LogBeyondDiskLimitIsRejectedWithReason) {
   ReplicaLogs replica_logs(options(3'000'000));
   append(replica_logs, 0, "m1", first);
   log = {"P", 3};
@@ -425,16 +434,16 @@
   EXPECT_NE(answer.reason.find("copies.disk_mb"), std::string::npos) << answer.reason;
 }
 
-TEST_F(ReplicaLog, WhatMovedIsReleasedAndItsPromisesStay) {
+TEST_F(ReplicaLog, ReleaseOfAMovedLogDeletesMessagesAndKeepsPromises) {
   {
     ReplicaLogs replica_logs(options());
     append(replica_logs, 0, "m1", first);
-    ask(replica_logs, word(protocol::Claim{second}));
+    request(replica_logs, make_packet(protocol::Claim{second}));
     EXPECT_TRUE(std::holds_alternative<protocol::Accepted>(
-        *ask(replica_logs, word(protocol::Move{second, {"A", 1}})).message));
+        *request(replica_logs, make_packet(protocol::Move{second, {"A", 1}})).message));
     Packet release;
     release.kind = Packet::Kind::release, release.log = log, release.epoch = second;
-    replica_logs.handle(release, [](const Packet&) { ADD_FAILURE() << "a release is answered by nothing"; });
+    replica_logs.handle(release, [](const Packet&) { ADD_FAILURE() << "a release must not be answered"; });
     EXPECT_EQ(replica_logs.find(log)->messages, 0u);
   }
   ReplicaLogs replica_logs(options());
@@ -443,7 +452,7 @@
   EXPECT_TRUE(std::holds_alternative<protocol::Refused>(*append(replica_logs, 1, "m2", first).message));
 }
 
-TEST_F(ReplicaLog, WhoHoldsALogNoMoreKeepsItsPromisesAlone) {
+TEST_F(ReplicaLog, DiscardedEntriesLeaveOnlyThePromises) {
   ReplicaLogs replica_logs(options());
   append(replica_logs, 0, "m1", first);
   replica_logs.discard_entries(log);
@@ -451,36 +460,38 @@
   EXPECT_EQ(view->messages, 0u);
   EXPECT_EQ(view->state.last, 0u);
   EXPECT_EQ(view->state.promised, first);
-  // Should it be a holder again, it lacks all: it never says that it has what it dropped.
+  // If it becomes a replica again, it must not acknowledge entries that it has dropped.
   const auto answer = append(replica_logs, 1, "m2", first);
   EXPECT_EQ(std::get<protocol::Behind>(*answer.message).last, 0u);
 }
 
-// What it acknowledged is there after a restart; what it could not write it never acknowledged.
-TEST_F(ReplicaLog, AFullShelfAcknowledgesNothingThatItHasNotWritten) {
+// After a restart, a replica log that reached its disk limit has every acknowledged entry. It never
+// acknowledges an entry that it could not write.
+TEST_F(ReplicaLog, FullReplicaLogAcknowledgesOnlyWrittenEntries) {
   Position acknowledged = 0;
-  std::string why;
+  std::string reason;
   {
     ReplicaLogs replica_logs(options());
-    for (int i = 0; i < 4'000 && why.empty(); i++) {
-      auto m = make_message("m" + std::to_string(i));
-      m.body.assign(500, 'x');
-      leader_store->store.put(store::record::Accepted{leader_store->store.next_number(), {m, {}, {}, false}});
+    for (int i = 0; i < 4'000 && reason.empty(); i++) {
+      auto message = make_message("m" + std::to_string(i));
+      message.body.assign(500, 'x');
+      leader_store->store.put(
+          store::record::Accepted{leader_store->store.next_number(), {message, {}, {}, false}});
       ASSERT_TRUE(leader_store->store.commit());
-      Packet p = word(protocol::Append{first,
-                                       acknowledged,
-                                       acknowledged == 0 ? Epoch{} : first,
-                                       {{first, leader_store->entries.back()}},
-                                       config});
-      p.leader_disk_bytes = 1;  // the least there is
-      const auto answer = ask(replica_logs, p);
+      Packet packet = make_packet(protocol::Append{first,
+                                                   acknowledged,
+                                                   acknowledged == 0 ? Epoch{} : first,
+                                                   {{first, leader_store->entries.back()}},
+                                                   config});
+      packet.leader_disk_bytes = 1;  // raised to the minimum
+      const auto answer = request(replica_logs, packet);
       if (answer.kind == Packet::Kind::unavailable)
-        why = answer.reason;
+        reason = answer.reason;
       else
         acknowledged = std::get<protocol::Appended>(*answer.message).last;
     }
   }
-  EXPECT_NE(why.find("limit"), std::string::npos) << why;
+  EXPECT_NE(reason.find("limit"), std::string::npos) << reason;
   EXPECT_GT(acknowledged, 100u);
   ReplicaLogs replica_logs(options());
   EXPECT_FALSE(replica_logs.lost_promises());
@@ -492,60 +503,63 @@
 class Connections : public ::testing::Test {
  protected:
   using Tcp = net::ip::tcp;
-  std::unique_ptr<PeerConnections> member(const std::string& name, const PeerConnections::Address& at,
+  std::unique_ptr<PeerConnections> member(const std::string& name, const PeerConnections::Address& address,
                                           const std::string& cluster) {
-    PeerConnections::Hooks h;
-    h.is_member = [](const std::string& n) { return n != "stranger"; };
-    h.fill_hello = [this](const std::string&, Hello& hello) { hello.seen_mark = seen_mark; };
-    h.on_hello = [this](const Hello& hello) { events.push_back("met " + hello.self.name); };
-    h.on_up = [this](const Member& m) { events.push_back("up " + m.name); };
-    h.on_down = [this](const std::string& n) { events.push_back("down " + n); };
-    h.on_answer = [this](const Member& m, Packet p) {
-      events.push_back("answer " + m.name + " " + p.reason);
+    PeerConnections::Hooks hooks;
+    hooks.is_member = [](const std::string& peer_name) { return peer_name != "stranger"; };
+    hooks.fill_hello = [this](const std::string&, Hello& hello) { hello.seen_mark = seen_mark; };
+    hooks.on_hello = [this](const Hello& hello) { events.push_back("met " + hello.self.name); };
+    hooks.on_up = [this](const Member& peer) { events.push_back("up " + peer.name); };
+    hooks.on_down = [this](const std::string& peer_name) { events.push_back("down " + peer_name); };
+    hooks.on_answer = [this](const Member& peer, Packet packet) {
+      events.push_back("answer " + peer.name + " " + packet.reason);
     };
-    h.on_request = [this](const Member& m, Packet p, PeerConnections::Reply reply) {
-      events.push_back("asked by " + m.name);
-      p.reason = "yes";
-      reply(p);
+    hooks.on_request = [this](const Member& peer, Packet packet, PeerConnections::Reply reply) {
+      events.push_back("asked by " + peer.name);
+      packet.reason = "yes";
+      reply(packet);
     };
-    return std::make_unique<PeerConnections>(io, at, Hello{cluster, {name, 1}, 1, 0, 0}, std::move(h));
+    return std::make_unique<PeerConnections>(io, address, Hello{cluster, {name, 1}, 1, 0, 0},
+                                             std::move(hooks));
   }
   static PeerConnections::Address free_address() {
     net::io_context scratch;
-    Tcp::acceptor a(scratch, Tcp::endpoint(net::ip::make_address("127.0.0.1"), 0));
-    return a.local_endpoint();
+    Tcp::acceptor acceptor(scratch, Tcp::endpoint(net::ip::make_address("127.0.0.1"), 0));
+    return acceptor.local_endpoint();
   }
   bool wait(const std::function<bool()>& done) {
-    const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(20);
-    while (!done() && std::chrono::steady_clock::now() < until) {
+    const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(20);
+    while (!done() && std::chrono::steady_clock::now() < deadline) {
       io.restart();
       io.run_one_for(std::chrono::milliseconds(20));
     }
     return done();
   }
-  bool happened(const std::string& what) const { return std::count(events.begin(), events.end(), what) > 0; }
+  bool happened(const std::string& event) const {
+    return std::count(events.begin(), events.end(), event) > 0;
+  }
   net::io_context io;
   std::vector<std::string> events;
   std::uint64_t seen_mark = 0;
 };
 
-TEST(Addresses, AreLoopbackOrPrivate) {
-  for (const char* a : {"127.0.0.1", "10.1.2.3", "172.16.0.1", "172.31.255.1", "192.168.7.1", "169.254.1.1",
-                        "::1", "fd00::1", "fe80::1"})
-    EXPECT_TRUE(is_private(net::ip::make_address(a))) << a;
-  for (const char* a : {"8.8.8.8", "172.32.0.1", "172.15.0.1", "193.168.0.1", "0.0.0.0", "2001:db8::1"})
-    EXPECT_FALSE(is_private(net::ip::make_address(a))) << a;
+TEST(Addresses, OnlyLoopbackAndPrivateAreAccepted) {
+  for (const char* address : {"127.0.0.1", "10.1.2.3", "172.16.0.1", "172.31.255.1", "192.168.7.1",
+                              "169.254.1.1", "::1", "fd00::1", "fe80::1"})
+    EXPECT_TRUE(is_private(net::ip::make_address(address))) << address;
+  for (const char* address : {"8.8.8.8", "172.32.0.1", "172.15.0.1", "193.168.0.1", "0.0.0.0", "2001:db8::1"})
+    EXPECT_FALSE(is_private(net::ip::make_address(address))) << address;
 }
 
-TEST_F(Connections, MembersAskAndAnswerAndComeBack) {
+TEST_F(Connections, MembersExchangePacketsAndReconnect) {
   const auto at_a = free_address(), at_b = free_address();
   auto a = member("A", at_a, "lab"), b = member("B", at_b, "lab");
   a->connect_to("B", at_b);
   ASSERT_TRUE(wait([&] { return happened("up B"); }));
-  Packet p;
-  p.kind = Packet::Kind::last_contact, p.log = {"C", 1};
-  EXPECT_TRUE(a->send({"B", 1}, p));
-  EXPECT_FALSE(a->send({"B", 2}, p)) << "another life of its disk";
+  Packet packet;
+  packet.kind = Packet::Kind::last_contact, packet.log = {"C", 1};
+  EXPECT_TRUE(a->send({"B", 1}, packet));
+  EXPECT_FALSE(a->send({"B", 2}, packet)) << "different incarnation of its disk";
   ASSERT_TRUE(wait([&] { return happened("answer B yes"); }));
   EXPECT_TRUE(happened("asked by A"));
   b.reset();
@@ -555,22 +569,22 @@
   EXPECT_TRUE(wait([&] { return happened("up B"); }));
 }
 
-TEST_F(Connections, StrangersOtherClustersAndGarbageAreClosedAndCounted) {
+TEST_F(Connections, NonMembersOtherClustersAndMalformedDataAreRejectedAndCounted) {
   const auto at_a = free_address(), at_b = free_address(), at_c = free_address();
   const auto a = member("A", at_a, "lab");
   const auto other = member("B", at_b, "another"), stranger = member("stranger", at_c, "lab");
   other->connect_to("A", at_a), stranger->connect_to("A", at_a);
   ASSERT_TRUE(wait([&] { return a->counts().rejected_hellos >= 2; }));
   const auto closes = [&](const std::string& bytes) {
-    Tcp::socket s(io);
-    s.connect(at_a);
-    net::write(s, net::buffer(bytes));
+    Tcp::socket socket(io);
+    socket.connect(at_a);
+    net::write(socket, net::buffer(bytes));
     bool closed = false;
-    char one = 0;
+    char received_byte = 0;
     std::function<void()> read = [&] {
-      s.async_read_some(net::buffer(&one, 1), [&](boost::system::error_code bad, std::size_t) {
-        bad ? void(closed = true) : read();
-      });
+      socket.async_read_some(
+          net::buffer(&received_byte, 1),
+          [&](boost::system::error_code error, std::size_t) { error ? void(closed = true) : read(); });
     };
     read();
     return wait([&] { return closed; });
@@ -579,7 +593,7 @@
   EXPECT_TRUE(closes(std::string("\xff\xff\xff\xff\xff\xff\xff\xff", 8))) << "oversized";
   EXPECT_EQ(a->counts().malformed_frames, before.malformed_frames + 1);
   EXPECT_TRUE(closes(std::string("\x03\0\0\0\0\0\0\0abc", 11))) << "no hello";
-  // A member that sends what can't be read after its hello.
+  // A member that sends a malformed packet after its hello.
   EXPECT_TRUE(closes(write_hello({"lab", {"B", 1}, 1, 0, 0}) + std::string("\x02\0\0\0\0\0\0\0{}", 10)));
   EXPECT_EQ(a->counts().malformed_frames, before.malformed_frames + 2);
   EXPECT_TRUE(closes("")) << "silence";
