--- a/fuzz/packet_checks.hpp
+++ b/fuzz/packet_checks.hpp
@@ -4,7 +4,7 @@
 #include <cstdlib>
 #include <string>
 
-#include "copies/packet.hpp"
+#include "copies/frame_codec.hpp"
 
 namespace heronvane::copies {
 
--- a/relay/copies/packet.cpp
+++ b/relay/copies/frame_codec.cpp
@@ -1,4 +1,4 @@
-#include "packet.hpp"
+#include "frame_codec.hpp"
 
 #include <rapidjson/document.h>
 #include <rapidjson/stringbuffer.h>
--- a/relay/copies/owner.cpp
+++ b/relay/copies/leader.cpp
@@ -1,4 +1,4 @@
-#include "owner.hpp"
+#include "leader.hpp"
 
 #include <algorithm>
 #include <sstream>
--- a/relay/copies/log.hpp
+++ b/relay/copies/log.hpp
@@ -1,6 +1,6 @@
 // Types of log replication: a relay's log, the members that keep a replica of it, epochs, and the messages
-// that members exchange about one log. Neither this file nor claim, group, holder and owner does I/O or reads
-// a clock (docs/design/copies.md).
+// that members exchange about one log. Neither this file nor claim, group, replica and leader does I/O or
+// reads a clock (docs/design/copies.md).
 //
 // A log has one writer, its leader. Entries are written to the leader's disk and to the replicas. A member
 // that takes the log over, or a leader that resumes it after a restart, claims a higher epoch at a quorum of
--- a/relay/copies/copies.cpp
+++ b/relay/copies/log_replicator.cpp
@@ -1,4 +1,4 @@
-#include "copies.hpp"
+#include "log_replicator.hpp"
 
 #include <algorithm>
 #include <boost/asio/ip/address.hpp>
@@ -9,7 +9,7 @@
 #include <stdexcept>
 #include <utility>
 
-#include "facts.hpp"
+#include "fact_keys.hpp"
 
 namespace heronvane::copies {
 
--- a/relay/copies/copies.hpp
+++ b/relay/copies/log_replicator.hpp
@@ -1,5 +1,5 @@
-// Replicates a relay's own log and keeps replicas of other relays' logs: applies the decisions of owner.hpp,
-// claim.hpp and holder.hpp to connections, the relay's store and the replica logs.
+// Replicates a relay's own log and keeps replicas of other relays' logs: applies the decisions of leader.hpp,
+// claim.hpp and replica.hpp to connections, the relay's store and the replica logs.
 //
 // All calls come from the thread that runs `io`. See docs/design/copies.md.
 #pragma once
@@ -18,12 +18,12 @@
 #include "claim.hpp"
 #include "core/log_replication.hpp"
 #include "group.hpp"
-#include "owner.hpp"
-#include "rows.hpp"
+#include "leader.hpp"
+#include "peer_connections.hpp"
+#include "replica_logs.hpp"
 #include "settings.hpp"
-#include "shelf.hpp"
+#include "state_records.hpp"
 #include "store/store.hpp"
-#include "streams.hpp"
 #include "takeover.hpp"
 
 namespace heronvane::copies {
--- a/relay/copies/copies_claims.cpp
+++ b/relay/copies/log_replicator_claims.cpp
@@ -2,8 +2,8 @@
 #include <stdexcept>
 #include <utility>
 
-#include "copies.hpp"
-#include "facts.hpp"
+#include "fact_keys.hpp"
+#include "log_replicator.hpp"
 
 namespace heronvane::copies {
 
--- a/relay/copies/copies_status.cpp
+++ b/relay/copies/log_replicator_status.cpp
@@ -2,7 +2,7 @@
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
 
-#include "copies.hpp"
+#include "log_replicator.hpp"
 
 namespace heronvane::copies {
 
--- a/relay/copies/streams.cpp
+++ b/relay/copies/peer_connections.cpp
@@ -1,4 +1,4 @@
-#include "streams.hpp"
+#include "peer_connections.hpp"
 
 #include <array>
 #include <boost/asio/read.hpp>
--- a/relay/copies/streams.hpp
+++ b/relay/copies/peer_connections.hpp
@@ -15,7 +15,7 @@
 #include <memory>
 #include <string>
 
-#include "packet.hpp"
+#include "frame_codec.hpp"
 
 namespace heronvane::copies {
 
--- a/relay/copies/holder.cpp
+++ b/relay/copies/replica.cpp
@@ -1,4 +1,4 @@
-#include "holder.hpp"
+#include "replica.hpp"
 
 #include <algorithm>
 
--- a/relay/copies/holder.hpp
+++ b/relay/copies/replica.hpp
@@ -1,5 +1,5 @@
 // A replica's side of one log: its position, its promises and its answers. No I/O, no clock. The caller keeps
-// the state that the entries produce (shelf.hpp).
+// the state that the entries produce (replica_logs.hpp).
 #pragma once
 
 #include <optional>
--- a/relay/copies/shelf.cpp
+++ b/relay/copies/replica_logs.cpp
@@ -1,4 +1,4 @@
-#include "shelf.hpp"
+#include "replica_logs.hpp"
 
 #include <algorithm>
 #include <charconv>
--- a/relay/copies/shelf.hpp
+++ b/relay/copies/replica_logs.hpp
@@ -13,9 +13,9 @@
 #include <string>
 #include <vector>
 
-#include "holder.hpp"
-#include "packet.hpp"
-#include "rows.hpp"
+#include "frame_codec.hpp"
+#include "replica.hpp"
+#include "state_records.hpp"
 #include "store/disk.hpp"
 #include "store/store.hpp"
 #include "store/sync_thread.hpp"
--- a/relay/copies/rows.cpp
+++ b/relay/copies/state_records.cpp
@@ -1,4 +1,4 @@
-#include "rows.hpp"
+#include "state_records.hpp"
 
 #include "store/scan.hpp"
 
--- a/relay/copies/takeover.cpp
+++ b/relay/copies/takeover.cpp
@@ -4,7 +4,7 @@
 #include <sstream>
 #include <utility>
 
-#include "facts.hpp"
+#include "fact_keys.hpp"
 
 namespace heronvane::copies {
 
--- a/relay/copies/takeover.hpp
+++ b/relay/copies/takeover.hpp
@@ -11,8 +11,8 @@
 #include <vector>
 
 #include "claim.hpp"
-#include "packet.hpp"
-#include "shelf.hpp"
+#include "frame_codec.hpp"
+#include "replica_logs.hpp"
 #include "store/store.hpp"
 
 namespace heronvane::copies {
--- a/relay/log_copies_port.cpp
+++ b/relay/log_copies_port.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "copies/copies.hpp"
+#include "copies/log_replicator.hpp"
 #include "log.hpp"
 #include "standalone_log.hpp"
 
--- a/tests/copies/model.hpp
+++ b/tests/copies/model.hpp
@@ -10,8 +10,8 @@
 #include <vector>
 
 #include "copies/claim.hpp"
-#include "copies/holder.hpp"
-#include "copies/owner.hpp"
+#include "copies/leader.hpp"
+#include "copies/replica.hpp"
 
 namespace heronvane::copies::test {
 
--- a/tests/copies/replication_io_test.cpp
+++ b/tests/copies/replication_io_test.cpp
@@ -12,10 +12,10 @@
 #include <random>
 #include <sstream>
 
-#include "copies/packet.hpp"
-#include "copies/rows.hpp"
-#include "copies/shelf.hpp"
-#include "copies/streams.hpp"
+#include "copies/frame_codec.hpp"
+#include "copies/peer_connections.hpp"
+#include "copies/replica_logs.hpp"
+#include "copies/state_records.hpp"
 #include "packet_checks.hpp"
 
 namespace heronvane::copies {
