--- a/relay/copies/copies.hpp
+++ b/relay/copies/log_replicator.hpp
@@ -1,5 +1,5 @@
-// Replicates a relay's own log and keeps replicas of other relays' logs: applies the decisions of owner.hpp,
-// claim.hpp and holder.hpp to connections, the relay's store and the replica logs.
+// Replicates a relay's own log and keeps replicas of other relays' logs: applies the decisions of leader.hpp,
+// claim.hpp and replica.hpp to connections, the relay's store and the replica logs.
 //
 // All calls come from the thread that runs `io`. See docs/design/copies.md.
 #pragma once
@@ -18,12 +18,12 @@
 #include "claim.hpp"
 #include "core/log_replication.hpp"
 #include "group.hpp"
-#include "owner.hpp"
-#include "rows.hpp"
+#include "leader.hpp"
+#include "peer_connections.hpp"
+#include "replica_logs.hpp"
 #include "settings.hpp"
-#include "shelf.hpp"
+#include "state_records.hpp"
 #include "store/store.hpp"
-#include "streams.hpp"
 #include "takeover.hpp"
 
 namespace heronvane::copies {
@@ -63,7 +63,7 @@
 
   void start() override;
   bool ready() const override { return ready_; }
-  bool is_short() const override { return short_; }
+  bool is_short() const override { return replicas_short_; }
   void hurry() override { send_pending(); }
   bool parked(MessageId number) const override { return takeover_.parked(number); }
   std::string take_over(const std::string& name) override { return takeover_.begin_by_operator(name); }
@@ -168,7 +168,7 @@
   std::map<std::string, std::pair<std::uint64_t, store::Sequence>>
       peer_marks_;  // reported by others: incarnation and mark
   std::map<std::string, ReplicaHealth> replica_health_;
-  bool ready_ = false, short_ = false, started_ = false, settling_ = false;
+  bool ready_ = false, replicas_short_ = false, started_ = false, settling_ = false;
   std::uint64_t shortages_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // expires before posted callbacks run
 };
