--- a/standins/behaviour.cpp
+++ b/standins/behaviour.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-void check(bool fits, const char* what) {
-  if (!fits) throw std::invalid_argument(std::string("habits: ") + what);
+void check(bool valid, const char* requirement) {
+  if (!valid) throw std::invalid_argument(std::string("habits: ") + requirement);
 }
 double burst(const Habits& h) { return std::max(1.0, h.limit_per_s / 4); }
 
@@ -23,39 +23,40 @@
       .count();
 }
 
-Microseconds Spell::left(Microseconds since_start) const {
-  if (every <= 0 || since_start < every) return 0;
-  return std::max<Microseconds>(0, lasts - since_start % every);
+Microseconds RecurringPeriod::remaining(Microseconds since_start) const {
+  if (interval <= 0 || since_start < interval) return 0;
+  return std::max<Microseconds>(0, duration - since_start % interval);
 }
 
 Behaviour::Behaviour(const Habits& habits, std::uint64_t seed, Microseconds start)
-    : habits_(habits), random_(seed), start_(start), filled_at_(start), tokens_(burst(habits)) {
-  check(habits.median >= 0, "median below 0");
-  check(habits.spread >= 0 && habits.spread < 5, "spread must be 0 to 5");
-  check(habits.limit_per_s >= 0, "limit_per_s below 0");
+    : habits_(habits), random_(seed), start_(start), refilled_at_(start), tokens_(burst(habits)) {
+  check(habits.median >= 0, "median must not be below 0");
+  check(habits.spread >= 0 && habits.spread < 5, "spread must be at least 0 and below 5");
+  check(habits.limit_per_s >= 0, "limit_per_s must not be below 0");
   for (const double share : {habits.error_share, habits.reset_share})
-    check(share >= 0 && share <= 1, "a share must be 0 to 1");
-  for (const Spell& s : {habits.silent, habits.wait})
-    check(s.every >= 0 && s.lasts >= 0 && (s.every == 0 || s.lasts < s.every),
-          "a spell must end before the next");
+    check(share >= 0 && share <= 1, "error_share and reset_share must be 0 to 1");
+  for (const RecurringPeriod& s : {habits.silent, habits.wait})
+    check(s.interval >= 0 && s.duration >= 0 && (s.interval == 0 || s.duration < s.interval),
+          "the periods silent and wait must be shorter than their intervals");
 }
 
-Fate Behaviour::call(Microseconds now, std::size_t messages) {
-  if (const Microseconds left = habits_.wait.left(now - start_); left > 0) return fate::Wait{left};
-  if (silent(now)) return fate::Silent{draw_time(), drawn(0.5)};
+Fate Behaviour::decide(Microseconds now, std::size_t messages) {
+  if (const Microseconds remaining = habits_.wait.remaining(now - start_); remaining > 0)
+    return fate::Wait{remaining};
+  if (silent(now)) return fate::Silent{draw_time(), draw_bool(0.5)};
   if (habits_.limit_per_s > 0) {
-    const auto passed = static_cast<double>(std::max<Microseconds>(0, now - filled_at_));
-    tokens_ = std::min(burst(habits_), tokens_ + passed * habits_.limit_per_s / 1e6);
-    filled_at_ = std::max(filled_at_, now);
-    // A call with more than may ever come at once goes through when all is there.
-    const double price = std::min(burst(habits_), static_cast<double>(messages));
-    if (tokens_ < price) return fate::Refuse{};
-    tokens_ -= price;
+    const auto elapsed = static_cast<double>(std::max<Microseconds>(0, now - refilled_at_));
+    tokens_ = std::min(burst(habits_), tokens_ + elapsed * habits_.limit_per_s / 1e6);
+    refilled_at_ = std::max(refilled_at_, now);
+    // A call larger than the burst is let through when the token bucket is full.
+    const double cost = std::min(burst(habits_), static_cast<double>(messages));
+    if (tokens_ < cost) return fate::Refuse{};
+    tokens_ -= cost;
   }
-  const Microseconds after = draw_time();
-  if (drawn(habits_.error_share)) return fate::Fail{after, drawn(0.5)};
-  if (drawn(habits_.reset_share)) return fate::Reset{after, drawn(0.5)};
-  return fate::Serve{after};
+  const Microseconds latency = draw_time();
+  if (draw_bool(habits_.error_share)) return fate::Fail{latency, draw_bool(0.5)};
+  if (draw_bool(habits_.reset_share)) return fate::Reset{latency, draw_bool(0.5)};
+  return fate::Serve{latency};
 }
 
 Microseconds Behaviour::draw_time() {
@@ -65,7 +66,7 @@
                                    std::exp(habits_.spread * normal(random_)));
 }
 
-bool Behaviour::drawn(double share) {
+bool Behaviour::draw_bool(double share) {
   return share > 0 && std::uniform_real_distribution<double>()(random_) < share;
 }
 
--- a/standins/behaviour.hpp
+++ b/standins/behaviour.hpp
@@ -1,4 +1,5 @@
-// What an endpoint does with a call. No I/O and no clock: equal habits, seed and calls give equal fates.
+// Decides how a stand-in endpoint treats each call. Does no I/O and reads no clock: equal habits, seeds and
+// calls give equal decisions.
 #pragma once
 
 #include <cstddef>
@@ -8,65 +9,73 @@
 
 namespace heronvane::standins {
 
-using Microseconds = std::int64_t;  // microseconds
-Microseconds steady_time();         // the clock that stands in where none is handed in
+using Microseconds = std::int64_t;
+// Returns the time of std::chrono::steady_clock, the default where the options set no clock.
+Microseconds steady_time();
 
-// Comes back each `every`, first after one whole `every`, and stays for `lasts`. 0: never.
-struct Spell {
-  Microseconds every = 0, lasts = 0;
-  Microseconds left(Microseconds since_start) const;  // of the one that is on; 0: none is
+// A condition that begins once per `interval`, for the first time one `interval` after the start, and holds
+// for `duration`. It never begins if `interval` is 0.
+struct RecurringPeriod {
+  Microseconds interval = 0, duration = 0;
+  // Returns the time until the present occurrence ends; 0 if the condition does not hold at `since_start`.
+  Microseconds remaining(Microseconds since_start) const;
 };
 
 struct Habits {
-  Microseconds median = 8'000;  // of the time that a call takes, which is log-normal
-  double spread = 0.4;          // the logarithm's standard deviation; 0: always the median
-  double limit_per_s =
-      0;  // messages a second, of which a quarter of a second's may come at once; 0: no limit
-  double error_share = 0;  // of calls that end with 500
-  double reset_share = 0;  // of calls whose connection is reset in place of an answer
-  Spell silent;            // calls are taken and never answered
-  Spell wait;              // calls are told to wait until it is over
+  Microseconds median = 8'000;  // of a call's duration, which is log-normal
+  double spread = 0.4;  // standard deviation of the duration's logarithm; 0: every call takes the median
+  // Messages per second; the burst is a quarter of a second's worth, at least 1. 0: no limit.
+  double limit_per_s = 0;
+  double error_share = 0;  // share of calls that are answered 500, 0 to 1
+  double reset_share = 0;  // share of calls whose connection is reset instead of answered, 0 to 1
+  RecurringPeriod silent;  // while it holds, calls are read and never answered
+  RecurringPeriod wait;    // while it holds, calls are answered 429 with the time until it ends
 };
 
 namespace fate {
+// The call takes effect and is answered 200 after the latency.
 struct Serve {
-  Microseconds after;
+  Microseconds latency;
 };
-struct Refuse {};  // above the limit, at once
+struct Refuse {};  // above the limit: answered 503 at once
+// Answered 429 at once, with the time to wait.
 struct Wait {
-  Microseconds left;
+  Microseconds remaining;
 };
+// Answered 500.
 struct Fail {
-  Microseconds after;
-  bool ran;  // whether it took effect all the same
+  Microseconds latency;
+  bool took_effect;  // whether the call takes effect although it is answered 500
 };
+// The call is never answered.
 struct Silent {
-  Microseconds after;  // when it takes effect, where it does
-  bool ran;
+  Microseconds latency;  // until the call takes effect, if it does
+  bool took_effect;      // whether the call takes effect although it is never answered
 };
+// The connection is reset instead of answered.
 struct Reset {
-  Microseconds after;
-  bool ran;
+  Microseconds latency;
+  bool took_effect;  // whether the call takes effect before the reset
 };
 }  // namespace fate
 using Fate = std::variant<fate::Serve, fate::Refuse, fate::Wait, fate::Fail, fate::Silent, fate::Reset>;
 
 class Behaviour {
  public:
-  // Throws std::invalid_argument where a habit is out of range. `start`: when its spells begin to count.
+  // Throws std::invalid_argument if a habit is out of range. The recurring periods are counted from `start`.
   Behaviour(const Habits& habits, std::uint64_t seed, Microseconds start);
-  // Of a call with so many messages that comes at `now`, which never goes back.
-  Fate call(Microseconds now, std::size_t messages);
-  bool silent(Microseconds now) const { return habits_.silent.left(now - start_) > 0; }
-  bool waits(Microseconds now) const { return habits_.wait.left(now - start_) > 0; }
+  // Decides a call of `messages` messages that arrives at `now`. `now` must not decrease from call to call.
+  Fate decide(Microseconds now, std::size_t messages);
+  bool silent(Microseconds now) const { return habits_.silent.remaining(now - start_) > 0; }
+  bool waits(Microseconds now) const { return habits_.wait.remaining(now - start_) > 0; }
 
  private:
   Microseconds draw_time();
-  bool drawn(double share);
+  bool draw_bool(double share);
 
   Habits habits_;
   std::mt19937_64 random_;
-  Microseconds start_, filled_at_;
+  Microseconds start_, refilled_at_;
   double tokens_;
 };
 
--- a/standins/endpoint.cpp
+++ b/standins/endpoint.cpp
@@ -192,7 +192,7 @@
     tell(Stage::came);
     const Fate fate = crowded_            ? Fate(fate::Refuse{})
                       : e.options_.decide ? e.options_.decide(call_)
-                                          : e.behaviour_.call(e.now(), ids_.size());
+                                          : e.behaviour_.decide(e.now(), ids_.size());
     if (const auto& told = e.options_.arrived)
       for (const auto& id : ids_)
         told(id, std::holds_alternative<fate::Refuse>(fate) || std::holds_alternative<fate::Wait>(fate));
@@ -204,7 +204,7 @@
   }
   void meet(const fate::Serve& f) {
     watch_for_end();
-    after(f.after, [this] {
+    after(f.latency, [this] {
       auto& e = *endpoint_;
       took_effect();
       if (gone()) {
@@ -230,12 +230,12 @@
   void meet(const fate::Wait& f) {
     endpoint_->counts_.told_to_wait += ids_.size();
     tell(Stage::turned_away);
-    tell(Stage::told_wait, endpoint_->now() + (f.left + 999) / 1000 * 1000);
-    answer(429, "X-Come-Back-Ms: " + std::to_string((f.left + 999) / 1000) + "\r\n");
+    tell(Stage::told_wait, endpoint_->now() + (f.remaining + 999) / 1000 * 1000);
+    answer(429, "X-Come-Back-Ms: " + std::to_string((f.remaining + 999) / 1000) + "\r\n");
   }
   void meet(const fate::Fail& f) {
     watch_for_end();
-    after(f.after, [this, ran = f.ran] {
+    after(f.latency, [this, ran = f.took_effect] {
       if (ran) took_effect();
       endpoint_->counts_.failed += ids_.size();
       answer(500, "");
@@ -243,7 +243,7 @@
   }
   void meet(const fate::Reset& f) {
     watch_for_end();
-    after(f.after, [this, ran = f.ran] {
+    after(f.latency, [this, ran = f.took_effect] {
       if (ran) took_effect();
       endpoint_->counts_.reset += ids_.size();
       reset();
@@ -251,7 +251,7 @@
   }
   void meet(const fate::Silent& f) {
     endpoint_->counts_.silent += ids_.size();
-    if (f.ran) after(f.after, [this] { took_effect(); });
+    if (f.took_effect) after(f.latency, [this] { took_effect(); });
     // Until the relay gives it up.
     socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code) {
       self->tell(Stage::over);
--- a/standins/latencies.hpp
+++ b/standins/latencies.hpp
@@ -1,4 +1,4 @@
-// The latest of some durations, and what share of them stayed below which.
+// Keeps recent latencies and computes their quantiles.
 #pragma once
 
 #include <deque>
@@ -10,15 +10,17 @@
 
 class Latencies {
  public:
-  // Keeps those of the last `window`, the latest 20,000 of them.
+  // Keeps the latencies of the last `window` microseconds, at most the latest 20,000.
   explicit Latencies(Microseconds window = 10'000'000) : window_(window) {}
+  // Adds a latency measured at `now`, which must not decrease from call to call.
   void add(Microseconds now, Microseconds latency);
-  // The least that `share` (0 to 1) of those kept at `now` do not exceed; -1 where there are none.
+  // Returns the least latency that a share `share` (0 to 1) of the latencies in the window before `now` do
+  // not exceed; -1 if there are none.
   Microseconds quantile(Microseconds now, double share) const;
 
  private:
   Microseconds window_;
-  std::deque<std::pair<Microseconds, Microseconds>> kept_;
+  std::deque<std::pair<Microseconds, Microseconds>> samples_;
 };
 
 }  // namespace heronvane::standins
--- a/tests/standins/traffic_test.cpp
+++ b/tests/standins/traffic_test.cpp
@@ -29,27 +29,27 @@
   }
 }
 
-TEST(TrafficTest, RateAndSharesAreThePlans) {
+TEST(TrafficTest, RateAndSharesFollowThePlan) {
   Traffic t(plan(), 1);
   std::map<std::string, int> classes, tenants;
   std::map<std::int64_t, int> destinations;
   std::set<std::string> ids;
-  Microseconds passed = 0;
+  Microseconds elapsed = 0;
   for (int i = 0; i < 10'000; i++) {
-    passed += t.gap();
+    elapsed += t.gap();
     const auto m = t.draw();
     classes[m.message_class]++, tenants[m.tenant]++, destinations[m.destination]++;
     EXPECT_EQ(m.deadline, m.message_class == "load-status" ? 1'500'000 : 2'500'000);
     ids.insert(m.id);
   }
-  EXPECT_NEAR(static_cast<double>(passed) / 1e6, 10'000 / 150.0, 4);
+  EXPECT_NEAR(static_cast<double>(elapsed) / 1e6, 10'000 / 150.0, 4);
   EXPECT_NEAR(classes["load-status"], 7'500, 300);
   EXPECT_NEAR(tenants["north"], 5'000, 300);
   EXPECT_NEAR(destinations[1], 9'000, 200);
   EXPECT_EQ(ids.size(), 10'000u);
 }
 
-TEST(TrafficTest, APlanOfNothingIsRefused) {
+TEST(TrafficTest, RejectsAPlanWithoutClassesOrRate) {
   EXPECT_THROW(Traffic(TrafficPlan{}, 1), std::invalid_argument);
   auto p = plan();
   p.per_s = 0;
