--- a/bench/faults/soak.sh
+++ b/bench/faults/soak.sh
@@ -1,8 +1,8 @@
 #!/bin/bash
-# The soaks of faults: soak.sh BUILD OUT FIRST LAST [KIND] plays the seeds from FIRST to LAST, JOBS (8) at a time, on the
-# programs of BUILD (configured with -DHERONVANE_TESTS=ON), and prints a line for each. The status is 1 where a run did
-# not pass. KIND: `mixed` faults over a fleet (draw.py, the default), or `restarts` of one relay as its callers meet them
-# (restart_play.py).
+# Usage: soak.sh BUILD OUT FIRST LAST [KIND]
+# Runs the fault soak for the seeds FIRST to LAST, JOBS (default 8) at a time, on the programs of BUILD (configured with
+# -DHERONVANE_TESTS=ON), and prints a line per seed. Exits with 1 if a run did not pass. KIND is `mixed` (faults over a
+# fleet, draw.py, the default) or `restarts` (restarts of one relay, as seen by its callers, restart_play.py).
 set -euo pipefail
 build=$(cd "$1" && pwd) out=$2 first=$3 last=$4 kind=${5:-mixed}
 here=$(cd "$(dirname "$0")" && pwd)
--- a/bench/scale/module.sh
+++ b/bench/scale/module.sh
@@ -1,12 +1,12 @@
 #!/bin/bash
-# Instructions of the decisions for each message and each changed entry, by size (needs valgrind).
-#   bench/scale/module.sh BUILD_FOLDER
+# Usage: bench/scale/module.sh BUILD_FOLDER (needs valgrind)
+# Prints the instructions that the decision module takes per message and per changed entry, by size.
 set -euo pipefail
 program=$1/bench/scale/module_bench
 out=$(mktemp -d)
 trap 'rm -rf "$out"' EXIT
 
-# counted NAME ARGUMENTS...: instructions inside the functions that are measured
+# counted NAME ARGUMENTS...: prints the instructions inside the measured functions
 counted() {
   valgrind --tool=callgrind --callgrind-out-file="$out/$1" --collect-atstart=no --toggle-collect='*measured_*' \
     "$program" "${@:2}" >"$out/$1.said" 2>"$out/$1.log"
--- a/bench/sqlite_side.hpp
+++ b/bench/sqlite_side.hpp
@@ -1,5 +1,5 @@
-// The same work on SQLite, as a relay would do it: one connection that owns the file, prepared statements,
-// one transaction a round, WAL.
+// Does the same work on SQLite as a relay would: one connection that owns the file, prepared statements, one
+// transaction per round, WAL.
 #pragma once
 
 #include <sqlite3.h>
@@ -18,11 +18,11 @@
 enum class Synchronous { off, normal, full };
 std::string to_string(Synchronous s);
 
-// Where attempts stand.
+// Where attempts are stored.
 enum class Attempts {
-  table,    // rows of their own: any number, each with its outcome
-  columns,  // in the message's row, and no outcome of one that ends in the same round: the least SQLite can
-            // do
+  table,    // in a table of their own: any number per message, each with its outcome
+  columns,  // in the message's row, without an outcome if the message ends in the same round: the least work
+            // possible on SQLite
 };
 
 class SqliteSide {
@@ -32,7 +32,7 @@
   void round(std::size_t messages, Phase* phase = nullptr);
   Phase run(std::size_t messages, double seconds);
 
-  // All that is held, and the ids that are remembered until when.
+  // The messages held, and the remembered ids with the time until which they are remembered.
   struct Found {
     std::map<MessageId, Held> held;
     std::unordered_map<std::string, Microseconds> remembered;
--- a/bench/store_side.hpp
+++ b/bench/store_side.hpp
@@ -1,4 +1,4 @@
-// The work of a relay, on the store.
+// Does the work of a relay on the store, for measurements.
 #pragma once
 
 #include <condition_variable>
@@ -14,27 +14,27 @@
 
 namespace heronvane::bench {
 
-// How a side works: the same on both.
+// Parameters of the work, the same for the store and for SQLite.
 struct Rounds {
-  std::size_t lag = 64;                // a message ends so many rounds after it was taken
-  std::size_t in_flight = 1;           // rounds that may wait for their sync
-  Microseconds tick = 100;             // the clock's step for each message
+  std::size_t lag = 64;                // rounds between taking a message and ending it
+  std::size_t in_flight = 1;           // most rounds that may wait for their sync
+  Microseconds tick = 100;             // advance of the clock per message
   Microseconds window = 50'000 * 100;  // how long an id is remembered past its message's deadline
 };
 
-// What came of a phase.
+// Totals of a measured phase.
 struct Phase {
   std::uint64_t messages = 0, bytes = 0;
   double seconds = 0;
-  Samples latency;  // from the begin of a message's round until that is durable, a sample for each round
+  Samples latency;  // from the start of a round until it is durable; one sample per round
 };
 
-// Functions that other threads hand to this one.
+// Functions that other threads post to be run on this one.
 class Posted {
  public:
   store::SyncThread::Post post();
-  void run();   // what is there
-  void wait();  // until there is something, then runs it
+  void run();   // runs the functions posted so far
+  void wait();  // waits until a function is posted, then runs all that are
 
  private:
   void run(std::unique_lock<std::mutex> lock);
@@ -48,8 +48,8 @@
   StoreSide(const std::filesystem::path& folder, store::Options options, Rounds rounds);
 
   void round(std::size_t messages, Phase* phase = nullptr);
-  void settle(Phase* phase = nullptr);  // until all rounds are durable
-  // Rounds of that size until `seconds` are over and what they wrote is durable.
+  void settle(Phase* phase = nullptr);  // waits until all rounds are durable
+  // Runs rounds of `messages` messages for `seconds`, then waits until all of them are durable.
   Phase run(std::size_t messages, double seconds);
   store::Store& store() { return *store_; }
 
@@ -68,7 +68,7 @@
   std::unique_ptr<store::Disk> disk_;
   std::unique_ptr<store::SyncThread> syncs_;
   std::unique_ptr<store::Store> store_;
-  std::deque<std::vector<MessageId>> open_;  // by rounds
+  std::deque<std::vector<MessageId>> open_;  // messages not ended yet, by round
   std::deque<Waiting> waiting_;
   std::uint64_t next_ = 1;
 };
--- a/bench/work.hpp
+++ b/bench/work.hpp
@@ -1,4 +1,4 @@
-// What all measurements share: the messages, the clock they live by, figures of many runs.
+// Shared by all measurements: generated messages, the simulated clock, and statistics over runs.
 #pragma once
 
 #include <chrono>
@@ -16,14 +16,15 @@
 using Clock = std::chrono::steady_clock;
 
 struct Settings {
-  std::filesystem::path folder;  // on the disk that is measured; what the program makes in it it removes
+  std::filesystem::path
+      folder;  // on the disk to measure; the program removes the files that it creates there
   int repeats = 3;
   double seconds = 1.0;  // of each throughput measurement
   std::vector<std::string> parts;
 };
 
-// Where the store's clock stands: it goes on with the work, so that ids are forgotten after the same number
-// of messages on a fast and on a slow side.
+// The clock that the store reads. It advances with the work, so that ids expire after the same number of
+// messages on a fast and on a slow side.
 struct WorkClock {
   Microseconds now = 1'000'000;
   store::ReadClocks read() {
@@ -31,11 +32,11 @@
   }
 };
 
-// An id of 16 characters, a body of `body` bytes; the deadline is `now`, so that its id is remembered for the
-// window from then on.
+// Makes a message with an id of 16 characters and a body of `body` bytes. Its deadline is `now`, so that its
+// id is remembered for the window after `now`.
 Message make_message(std::uint64_t n, Microseconds now, std::size_t body = 200);
 
-// Bytes that this process has handed to write() and its like (wchar of /proc/self/io).
+// Returns the bytes that this process has passed to write() and similar calls (wchar of /proc/self/io).
 std::uint64_t process_wchar();
 
 double seconds_since(Clock::time_point from);
@@ -46,10 +47,10 @@
   void add(double v) { all_.push_back(v), sorted_ = false; }
   bool empty() const { return all_.empty(); }
   std::size_t count() const { return all_.size(); }
-  double quantile(double q) const;  // 0 where there are none
+  double quantile(double q) const;  // 0 if there are no samples
   double median() const { return quantile(0.5); }
   double max() const { return quantile(1); }
-  // "median (min-max)"
+  // Formats the samples as "median (min-max)", each multiplied by `scale`.
   std::string spread(int digits, double scale = 1) const;
 
  private:
@@ -59,7 +60,7 @@
 
 std::string text(double v, int digits);
 
-// A plain table: columns as wide as their widest entry.
+// A text table; each column is as wide as its widest entry.
 class Table {
  public:
   explicit Table(std::vector<std::string> head) : rows_{std::move(head)} {}
@@ -70,7 +71,7 @@
   std::vector<std::vector<std::string>> rows_;
 };
 
-// A folder made anew, that goes with its files.
+// Creates a folder and removes it with its files when destroyed. Throws if the folder exists.
 class Scratch {
  public:
   Scratch(const std::filesystem::path& parent, const std::string& name);
--- a/tests/consumer_test.sh
+++ b/tests/consumer_test.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Usage: consumer_test.sh BUILD SOURCE WORK [FLAGS]: installs the build, then builds and runs the consumer.
+# Usage: consumer_test.sh BUILD SOURCE WORK [FLAGS]
+# Installs the build, then builds and runs a consumer of the installed package.
 set -e
 rm -rf "$3"
 cmake --install "$1" --prefix "$3/prefix" >/dev/null
--- a/tests/lab/killed.sh
+++ b/tests/lab/killed.sh
@@ -1,9 +1,10 @@
 #!/bin/bash
-# All that the lab started ends with it, though it is killed: killed.sh LAB PROGRAM EXPERIMENT FOLDER.
+# Usage: killed.sh LAB PROGRAM EXPERIMENT FOLDER
+# Checks that the relays that the lab started end with it when it is killed with SIGKILL.
 set -euo pipefail
 lab=$1 program=$2 experiment=$3 out=$4
-# Relays of this run, by the folder that they were told. One look at all processes: with hundreds of others beside it,
-# one of each by itself takes longer than the experiment has ten.
+# Counts the relays of this run by the state folder in their environment. All processes are read with one grep: with
+# hundreds of other processes, one grep for each takes longer than the experiment keeps ten relays running.
 relays() { { grep -lzs "^LB_STATE=$out/" /proc/[0-9]*/environ || true; } | wc -l; }
 wait_for() {
   for ((i = 0; i < 300; i++)); do
--- a/tests/program_test.sh
+++ b/tests/program_test.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Usage: program_test.sh ADAPTER: exit status and output of the program itself.
+# Usage: program_test.sh ADAPTER
+# Checks the exit status and output of the adapter program.
 set -e
 empty=$(printf '%s\n' '{"kind":"ROUND","Clock":1}' '{"kind":"YOUR_TURN"}' | "$1")
 test "$empty" = '{"kind":"OK"}'
--- a/tests/run.sh
+++ b/tests/run.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# Checks format and lint, then builds with warnings as errors and runs all tests, plainly and under sanitizers.
-# Tests that KNOWN-RED.txt names are run apart, and their failure does not fail the run.
+# Checks format and lint, then builds with warnings as errors and runs all tests, without and with sanitizers.
+# The tests that KNOWN-RED.txt names are run separately, and their failure does not fail the run.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
@@ -12,14 +12,14 @@
 done <KNOWN-RED.txt
 known_red_pattern=$(printf '%s\n' "${known_red[@]}" | sed 's/[.]/\\./g' | paste -sd'|')
 
-# Prints how long the run has taken so far.
+# Prints a phase's name and how long the run has taken so far.
 phase() {
   printf '== %s at %d:%02d\n' "$1" $((SECONDS / 60)) $((SECONDS % 60))
 }
 
 if command -v ccache >/dev/null; then
   export CMAKE_CXX_COMPILER_LAUNCHER=ccache
-  export CCACHE_BASEDIR=$PWD  # a checkout in another folder finds the same results
+  export CCACHE_BASEDIR=$PWD  # shares cache entries between checkouts in different folders
 fi
 
 phase lint
