--- a/bench/scale/relay_bench.cpp
+++ b/bench/scale/relay_bench.cpp
@@ -137,7 +137,7 @@
   }
   clients.plan = plan_to(0, destinations, rate);
   clients.seed = 2;  // other ids
-  clients.sends = [&](const Message& m) { sent.emplace(m.id, steady_time()); };
+  clients.on_try = [&](const Message& m) { sent.emplace(m.id, steady_time()); };
   Clients good(io, clients);
   good.start();
   run(0.5);
--- a/cli/demo_ledger.cpp
+++ b/cli/demo_ledger.cpp
@@ -2,19 +2,19 @@
 
 namespace heronvane::cli {
 
-using standins::Heard;
+using standins::TryResult;
 
 void Ledger::sent(Microseconds now, const std::string& id, bool unsafe) {
   Entry& e = entries_[id];
   e.sent = now, e.unsafe = unsafe;
 }
 
-void Ledger::heard(const std::string& id, Heard heard) {
+void Ledger::heard(const std::string& id, TryResult heard) {
   const auto it = entries_.find(id);
   if (it == entries_.end()) return;
   Entry& e = it->second;
   switch (heard) {
-    case Heard::taken:
+    case TryResult::taken:
       e.said = Said::taken;
       totals_.taken++;
       if (e.delivered)
@@ -22,13 +22,13 @@
       else
         totals_.open++;
       break;
-    case Heard::refused:
-    case Heard::failed:
-    case Heard::no_relay:
+    case TryResult::refused:
+    case TryResult::failed:
+    case TryResult::no_relay:
       e.said = Said::refused;
       look_for_breach(e);
       break;
-    case Heard::silence:
+    case TryResult::silence:
       e.said = Said::silence;
       if (e.delivered) totals_.delivered_unanswered++;
       break;
--- a/cli/demo_ledger.hpp
+++ b/cli/demo_ledger.hpp
@@ -26,7 +26,7 @@
 
   // One try to hand in, under its id, before its first byte; `unsafe`: it must not take effect twice.
   void sent(Microseconds now, const std::string& id, bool unsafe);
-  void heard(const std::string& id, standins::Heard heard);
+  void heard(const std::string& id, standins::TryResult heard);
   void ran(const std::string& id);                          // it took effect at an endpoint
   void delivered(Microseconds now, const std::string& id);  // a 200 was written
   // Drops what can change no more: of ids sent before `before`, those delivered or never taken.
--- a/cli/demo_world.cpp
+++ b/cli/demo_world.cpp
@@ -9,7 +9,7 @@
 namespace heronvane::cli {
 
 using standins::Habits;
-using standins::Heard;
+using standins::TryResult;
 
 namespace {
 
@@ -144,10 +144,10 @@
   o.plan.classes = {{kSafe, 0.7, kDeadline}, {kUnsafe, 0.3, kUnsafeDeadline}};
   o.plan.tenants = {"north", "south", "west"};
   o.seed = seed_;
-  o.sends = [this](const standins::Message& m) {
+  o.on_try = [this](const standins::Message& m) {
     ledger_.sent(standins::steady_time(), m.id, m.message_class == kUnsafe);
   };
-  o.heard = [this](const standins::Message& m, std::size_t, Heard h) { ledger_.heard(m.id, h); };
+  o.on_try_result = [this](const standins::Message& m, std::size_t, TryResult h) { ledger_.heard(m.id, h); };
   clients_ = std::make_unique<standins::Clients>(io_, std::move(o));
   clients_->start();
 }
--- a/lab/world.cpp
+++ b/lab/world.cpp
@@ -125,9 +125,9 @@
     o.listen = addresses_->endpoint(e);
     o.now = [this] { return now(); };
     o.bundle_max = static_cast<std::size_t>(experiment_.destinations.bundle_max);
-    o.connections_most = static_cast<std::size_t>(experiment_.destinations.connections);
+    o.max_connections = static_cast<std::size_t>(experiment_.destinations.connections);
     o.decide = [this, e](const standins::Call& call) { return decide(e, call); };
-    o.followed = [this, e](const standins::Call& call, standins::Stage stage, Microseconds until) {
+    o.on_stage = [this, e](const standins::Call& call, standins::Stage stage, Microseconds until) {
       followed(e, call, stage, until);
     };
     o.connected = [this, e](const net::ip::tcp::endpoint& from, bool crowded) {
@@ -216,17 +216,17 @@
       if (i > 0 && other == r) continue;
       o.relays.push_back({plan_.relays[other].name, addresses_->relay_seen_by_clients(other)});
     }
-    o.first_that_serves = true;
+    o.prefer_first = true;
     o.plan.per_s = plan_.relays[r].per_s;
     o.plan.body = experiment_.traffic.body;
     for (const auto& c : experiment_.traffic.classes) {
       o.plan.classes.push_back({c.name, c.share, c.deadline});
-      if (c.effect == Effect::safe) o.again_after_silence.push_back(c.name);
+      if (c.effect == Effect::safe) o.retry_after_silence.push_back(c.name);
     }
     for (const auto& d : plan_.destinations) o.plan.destinations.push_back({d.number, d.per_s});
     o.seed = seed_of(plan_.seed, "clients " + std::to_string(r));
     o.now = [this] { return now(); };
-    o.sends = [this](const standins::Message& m) {
+    o.on_try = [this](const standins::Message& m) {
       // A request that goes once more over a new connection keeps its id.
       if (message_of_.count(m.id) > 0) return;
       auto& e = note(Kind::sent);
@@ -241,7 +241,7 @@
     for (const auto& relay : o.relays)
       for (Index i = 0; i < count; i++)
         if (plan_.relays[i].name == relay.name) relays.push_back(i);
-    o.heard = [this, relays](const standins::Message& m, std::size_t relay, standins::Heard h) {
+    o.on_try_result = [this, relays](const standins::Message& m, std::size_t relay, standins::TryResult h) {
       heard(relays[relay], m, h);
     };
     clients_.push_back(std::make_unique<standins::Clients>(io_, std::move(o)));
@@ -431,18 +431,18 @@
   }
 }
 
-void World::heard(Index relay, const standins::Message& m, standins::Heard heard) {
+void World::heard(Index relay, const standins::Message& m, standins::TryResult heard) {
   const Kind kind = [&] {
     switch (heard) {
-      case standins::Heard::taken:
+      case standins::TryResult::taken:
         return Kind::taken;
-      case standins::Heard::refused:
+      case standins::TryResult::refused:
         return Kind::refused;
-      case standins::Heard::failed:
+      case standins::TryResult::failed:
         return Kind::failed;
-      case standins::Heard::silence:
+      case standins::TryResult::silence:
         return Kind::silence;
-      case standins::Heard::no_relay:
+      case standins::TryResult::no_relay:
         break;
     }
     return Kind::unreached;
--- a/lab/world.hpp
+++ b/lab/world.hpp
@@ -90,7 +90,7 @@
   // The place of an endpoint among those of its destination.
   Index lane_of(Index endpoint) const;
   standins::Fate decide(Index endpoint, const standins::Call& call);
-  void heard(Index relay, const standins::Message& message, standins::Heard heard);
+  void heard(Index relay, const standins::Message& message, standins::TryResult heard);
   void went_up(Index relay);
   void went_down(Index relay, Machine::End end);
   // ---- Faults. ----
--- a/standins/clients.cpp
+++ b/standins/clients.cpp
@@ -53,8 +53,8 @@
   Microseconds now() const { return options_.now ? options_.now() : steady_time(); }
   void next();
   void send(Job job);
-  void ended(Job job, std::size_t relay, Heard heard, Microseconds latency, Microseconds told);
-  void over(Heard heard);
+  void ended(Job job, std::size_t relay, TryResult heard, Microseconds latency, Microseconds told);
+  void over(TryResult heard);
   std::size_t pick();
 
   struct Relay {
@@ -90,14 +90,14 @@
     timer_.async_wait([self = shared_from_this()](error_code bad) {
       // One that had come due as the answer before did is not this request's.
       if (bad || !self->job_ || self->timer_.expiry() > std::chrono::steady_clock::now()) return;
-      self->end(Heard::no_relay);
+      self->end(TryResult::no_relay);
     });
     sent_ = false;
     if (used_) return write();
     socket_.async_connect(clients_->options_.relays[relay_].address,
                           [self = shared_from_this()](error_code bad) {
                             if (!self->job_) return;
-                            if (bad) return self->end(Heard::no_relay);
+                            if (bad) return self->end(TryResult::no_relay);
                             error_code ignored;
                             self->socket_.set_option(tcp::no_delay(true), ignored);
                             self->write();
@@ -136,7 +136,7 @@
   // A connection that was kept may have been closed before the relay read this request: it goes once more
   // over a new one, under its id.
   void broke() {
-    if (!used_ || answer_->is_header_done() || buffer_.size() > 0) return end(Heard::silence);
+    if (!used_ || answer_->is_header_done() || buffer_.size() > 0) return end(TryResult::silence);
     Job job = std::move(*job_);
     job.unheard = true;
     const auto fresh = std::make_shared<Connection>(clients_, relay_);
@@ -151,10 +151,10 @@
     const Microseconds told = come_back(a["Retry-After"], clients_->options_.come_back);
     Job job = std::move(*job_);
     // A refusal of what may have been taken on before says nothing of that.
-    const Heard heard = status == 200 || status == 202   ? Heard::taken
-                        : job.unheard                    ? Heard::silence
-                        : status == 429 || status == 503 ? Heard::refused
-                                                         : Heard::failed;
+    const TryResult heard = status == 200 || status == 202   ? TryResult::taken
+                            : job.unheard                    ? TryResult::silence
+                            : status == 429 || status == 503 ? TryResult::refused
+                                                             : TryResult::failed;
     job_.reset();
     timer_.cancel();
     used_ = true;
@@ -164,9 +164,9 @@
       close();
     clients_->ended(std::move(job), relay_, heard, latency, told);
   }
-  void end(Heard heard) {
+  void end(TryResult heard) {
     Job job = std::move(*job_);
-    if (heard == Heard::no_relay && (sent_ || job.unheard)) heard = Heard::silence;
+    if (heard == TryResult::no_relay && (sent_ || job.unheard)) heard = TryResult::silence;
     close();
     clients_->ended(std::move(job), relay_, heard, clients_->now() - begun_, 0);
   }
@@ -204,7 +204,7 @@
 
 std::size_t Clients::Impl::pick() {
   const Microseconds at = now();
-  if (options_.first_that_serves) {
+  if (options_.prefer_first) {
     for (std::size_t i = 0; i < relays_.size(); i++)
       if (relays_[i].passed_over_until <= at) return i;
     return 0;
@@ -221,7 +221,7 @@
   job.message.tries = ++job.tries;
   counts_.tries++;
   const auto relay = pick();
-  if (options_.sends) options_.sends(job.message);
+  if (options_.on_try) options_.on_try(job.message);
   auto& idle = relays_[relay].idle;
   std::shared_ptr<Connection> connection;
   if (!idle.empty()) {
@@ -235,34 +235,35 @@
   connection->send(std::move(job));
 }
 
-void Clients::Impl::ended(Job job, std::size_t relay, Heard heard, Microseconds latency, Microseconds told) {
+void Clients::Impl::ended(Job job, std::size_t relay, TryResult heard, Microseconds latency,
+                          Microseconds told) {
   if (ended_) return;
   const Microseconds at = now();
   auto& r = relays_[relay];
-  if (options_.heard) options_.heard(job.message, relay, heard);
+  if (options_.on_try_result) options_.on_try_result(job.message, relay, heard);
   const auto pass_over = [&](Microseconds span) {
     r.passed_over_until = at + std::clamp(span, kLeastPassedOver, kMostPassedOver);
   };
   Microseconds wait = 0;
   switch (heard) {
-    case Heard::taken:
+    case TryResult::taken:
       r.told.taken++;
       r.told.latencies.add(at, latency);
       return over(heard);
-    case Heard::failed:
+    case TryResult::failed:
       r.told.failed++;
       return over(heard);
-    case Heard::silence:
+    case TryResult::silence:
       r.told.silence++;
       pass_over(kMostPassedOver);
-      if (std::count(options_.again_after_silence.begin(), options_.again_after_silence.end(),
+      if (std::count(options_.retry_after_silence.begin(), options_.retry_after_silence.end(),
                      job.message.message_class) == 0)
         return over(heard);
       job.unheard = false;
       job.silent = true;
       wait = options_.come_back;
       break;
-    case Heard::refused:
+    case TryResult::refused:
       r.told.refusals++;
       counts_.refusals++;
       pass_over(told);
@@ -270,14 +271,14 @@
       // Another relay may take it at once; where it is the only one, when it said.
       wait = relays_.size() > 1 && job.tries < relays_.size() ? 0 : told;
       break;
-    case Heard::no_relay:
+    case TryResult::no_relay:
       r.told.unreached++;
       pass_over(kMostPassedOver);
       wait = job.tries < relays_.size() ? 0 : options_.come_back;
       break;
   }
   if (!running_ || job.tries >= options_.tries || at + wait >= job.until)
-    return over(heard == Heard::silence ? heard : Heard::refused);
+    return over(heard == TryResult::silence ? heard : TryResult::refused);
   job.message.id = traffic_.new_id();
   // Also where nothing is waited for: calls may not nest without end.
   const auto timer = std::make_shared<net::steady_timer>(io_, microseconds(wait));
@@ -286,25 +287,25 @@
     self->waiting_.remove(timer);
     if (self->ended_) return;
     // Ended early by stop(), it is tried no more.
-    if (!self->running_) return self->over(Heard::refused);
+    if (!self->running_) return self->over(TryResult::refused);
     self->send(std::move(job));
   });
 }
 
-void Clients::Impl::over(Heard heard) {
+void Clients::Impl::over(TryResult heard) {
   counts_.out--;
   switch (heard) {
-    case Heard::taken:
+    case TryResult::taken:
       counts_.taken++;
       break;
-    case Heard::refused:
-    case Heard::no_relay:
+    case TryResult::refused:
+    case TryResult::no_relay:
       counts_.refused++;
       break;
-    case Heard::failed:
+    case TryResult::failed:
       counts_.failed++;
       break;
-    case Heard::silence:
+    case TryResult::silence:
       counts_.silence++;
       break;
   }
@@ -320,8 +321,8 @@
   for (const auto& c : impl_->all_)
     if (const auto connection = c.lock()) connection->close();
   for (auto& r : impl_->relays_) r.idle.clear();
-  impl_->options_.sends = nullptr;
-  impl_->options_.heard = nullptr;
+  impl_->options_.on_try = nullptr;
+  impl_->options_.on_try_result = nullptr;
 }
 void Clients::start() {
   impl_->running_ = true;
--- a/standins/clients.hpp
+++ b/standins/clients.hpp
@@ -16,7 +16,7 @@
 namespace heronvane::standins {
 
 // How one try to hand a message in ended.
-enum class Heard {
+enum class TryResult {
   taken,     // 202 or 200
   refused,   // 429 or 503: it may be handed in again
   failed,    // another answer
@@ -38,12 +38,12 @@
   unsigned tries = 4;                 // of a message, the first among them; none after its deadline
   Microseconds come_back = 200'000;   // after a refusal that names no time
   // A relay is taken again while it serves, and the next one only while it is passed over; false: in turn.
-  bool first_that_serves = false;
+  bool prefer_first = false;
   // A message of these classes is handed in again where no answer came. It may then be taken on twice.
-  std::vector<std::string> again_after_silence;
+  std::vector<std::string> retry_after_silence;
   // Before a try's first byte; and when it has ended. May be empty.
-  std::function<void(const Message&)> sends;
-  std::function<void(const Message&, std::size_t relay, Heard)> heard;
+  std::function<void(const Message&)> on_try;
+  std::function<void(const Message&, std::size_t relay, TryResult)> on_try_result;
 };
 
 class Clients {
--- a/standins/endpoint.cpp
+++ b/standins/endpoint.cpp
@@ -94,7 +94,7 @@
     error_code ignored;
     call_.from = socket_.remote_endpoint(ignored);
     const auto& e = *endpoint_;
-    crowded_ = e.options_.connections_most > 0 && e.sessions_.size() > e.options_.connections_most;
+    crowded_ = e.options_.max_connections > 0 && e.sessions_.size() > e.options_.max_connections;
     if (e.options_.connected) e.options_.connected(call_.from, crowded_);
     read();
   }
@@ -105,7 +105,7 @@
   }
 
   void read() {
-    if (endpoint_->options_.followed && buffer_.size() == 0) {
+    if (endpoint_->options_.on_stage && buffer_.size() == 0) {
       // When the first byte of a call comes.
       timer_.expires_after(std::chrono::microseconds(endpoint_->options_.idle));
       timer_.async_wait([self = shared_from_this()](error_code bad) {
@@ -142,7 +142,7 @@
  private:
   // ---- For those who follow calls. ----
   void tell(Stage stage, Microseconds until = 0) {
-    if (out_there_ && endpoint_->options_.followed) endpoint_->options_.followed(call_, stage, until);
+    if (out_there_ && endpoint_->options_.on_stage) endpoint_->options_.on_stage(call_, stage, until);
   }
   // The call that is out has ended, one way or the other.
   void over() {
@@ -151,7 +151,7 @@
   }
   // Its relay gives a call up by ending its connection; what has begun goes on to its effect.
   void watch_for_end() {
-    if (!endpoint_->options_.followed) return;
+    if (!endpoint_->options_.on_stage) return;
     socket_.async_wait(tcp::socket::wait_read,
                        [self = shared_from_this(), number = call_.number](error_code bad) {
                          if (!bad && self->out_there_ && self->call_.number == number && self->gone()) {
@@ -262,7 +262,7 @@
   }
   void took_effect() {
     endpoint_->ran(ids_);
-    if (out_there_ && endpoint_->options_.followed) endpoint_->options_.followed(call_, Stage::ran, 0);
+    if (out_there_ && endpoint_->options_.on_stage) endpoint_->options_.on_stage(call_, Stage::ran, 0);
   }
   // The relay closed its connection, or ended its sending.
   bool gone() {
@@ -345,7 +345,7 @@
   error_code ignored;
   acceptor_.close(ignored);
   options_.decide = nullptr;
-  options_.followed = nullptr;
+  options_.on_stage = nullptr;
   options_.connected = nullptr;
   end_sessions(false);
   options_.arrived = nullptr;
--- a/standins/endpoint.hpp
+++ b/standins/endpoint.hpp
@@ -49,11 +49,11 @@
 struct EndpointOptions {
   std::string name;
   boost::asio::ip::tcp::endpoint listen{boost::asio::ip::address_v4::loopback(), 0};
-  std::size_t connections_most = 0;  // one more is answered 503 and closed; 0: any number
+  std::size_t max_connections = 0;  // one more is answered 503 and closed; 0: any number
   // What becomes of a call, in place of the habits below; may be empty.
   std::function<Fate(const Call&)> decide;
   // All that happens to calls, and new connections (of which one too many: `crowded`); may be empty.
-  std::function<void(const Call&, Stage, Microseconds until)> followed;
+  std::function<void(const Call&, Stage, Microseconds until)> on_stage;
   std::function<void(const boost::asio::ip::tcp::endpoint& from, bool crowded)> connected;
   Habits habits;
   std::uint64_t seed = 0;
--- a/tests/fleet_rig/books.cpp
+++ b/tests/fleet_rig/books.cpp
@@ -6,7 +6,7 @@
 
 namespace heronvane::rig {
 
-using standins::Heard;
+using standins::TryResult;
 
 namespace {
 
@@ -39,22 +39,22 @@
   message.unsafe = unsafe, message.deadline = deadline;
 }
 
-void Ledger::client_heard(const std::string& id, std::size_t relay, Heard result) {
+void Ledger::client_heard(const std::string& id, std::size_t relay, TryResult result) {
   const std::lock_guard lock(mutex_);
   auto& message = messages_[id];
   message.relay = relay;
   switch (result) {
-    case Heard::taken:
+    case TryResult::taken:
       message.client_result = ClientResult::taken;
       break;
-    case Heard::refused:
-    case Heard::no_relay:
+    case TryResult::refused:
+    case TryResult::no_relay:
       message.client_result = ClientResult::refused;
       break;
-    case Heard::silence:
+    case TryResult::silence:
       message.client_result = ClientResult::silence;
       break;
-    case Heard::failed:
+    case TryResult::failed:
       message.client_result = ClientResult::failed;
       break;
   }
--- a/tests/fleet_rig/books.hpp
+++ b/tests/fleet_rig/books.hpp
@@ -50,7 +50,7 @@
 class Ledger {
  public:
   void sent(const std::string& id, bool unsafe, Ms deadline);
-  void client_heard(const std::string& id, std::size_t relay, standins::Heard result);
+  void client_heard(const std::string& id, std::size_t relay, standins::TryResult result);
   void call_arrived(const std::string& id, bool refused);
   void call_answered(const std::string& id);
   // Sets all notices that the platform has; replaces the earlier ones.
--- a/tests/fleet_rig/traffic.cpp
+++ b/tests/fleet_rig/traffic.cpp
@@ -85,10 +85,10 @@
   o.plan.tenants = {"north", "south", "west"};
   o.plan.destinations = {{1, 8}, {2, 2}, {3, 4}, {4, 3}, {5, 3}, {6, 3}, {7, 3}};
   o.seed = seed_;
-  o.sends = [this](const standins::Message& m) {
+  o.on_try = [this](const standins::Message& m) {
     ledger_.sent(m.id, m.message_class == kUnsafe, now_ms() + m.deadline / 1'000);
   };
-  o.heard = [this](const standins::Message& m, std::size_t relay, standins::Heard heard) {
+  o.on_try_result = [this](const standins::Message& m, std::size_t relay, standins::TryResult heard) {
     ledger_.client_heard(m.id, relay, heard);
   };
   on_loop([&] {
--- a/tests/standins/clients_test.cpp
+++ b/tests/standins/clients_test.cpp
@@ -77,8 +77,8 @@
     o.plan.destinations = {{7, 1}};
     o.seed = 3;
     o.patience = 30'000'000;  // unless a test is about it
-    o.sends = [this](const Message& m) { sent.push_back(m.id); };
-    o.heard = [this](const Message&, std::size_t, Heard h) { heard[h]++; };
+    o.on_try = [this](const Message& m) { sent.push_back(m.id); };
+    o.on_try_result = [this](const Message&, std::size_t, TryResult h) { heard[h]++; };
     return o;
   }
   void until_over(Clients& c, std::uint64_t handed) {
@@ -92,7 +92,7 @@
   }
   net::io_context io;
   std::vector<std::string> sent;
-  std::map<Heard, int> heard;
+  std::map<TryResult, int> heard;
 };
 
 TEST_F(ClientsTest, HandsInOverKeptConnections) {
@@ -220,7 +220,7 @@
   c.stop();
   turn_until(
       io, [&] { return c.counts().out == 0; }, "nothing is out");
-  EXPECT_EQ(heard[Heard::silence], 1);
+  EXPECT_EQ(heard[TryResult::silence], 1);
 }
 
 TEST_F(ClientsTest, ARefusalOfOneSentBeforeSaysNothingOfThat) {
@@ -239,7 +239,7 @@
   c.start();
   until_over(c, 5);
   EXPECT_EQ(c.counts().failed, c.counts().handed);
-  EXPECT_EQ(heard[Heard::failed], static_cast<int>(c.counts().handed));
+  EXPECT_EQ(heard[TryResult::failed], static_cast<int>(c.counts().handed));
 }
 
 TEST_F(ClientsTest, ItsEndLeavesNothingBehind) {
--- a/tests/standins/endpoint_test.cpp
+++ b/tests/standins/endpoint_test.cpp
@@ -15,7 +15,7 @@
     o.now = [this] { return now; };
     o.ran = [this](const std::string& id) { effects.ran(id); };
     o.answered = [this](const std::string& id) { answered.push_back(id); };
-    o.followed = followed;
+    o.on_stage = followed;
     endpoint = std::make_unique<Endpoint>(io, o);
     return *endpoint;
   }
