--- a/standins/endpoint.cpp
+++ b/standins/endpoint.cpp
@@ -94,7 +94,7 @@
     error_code ignored;
     call_.from = socket_.remote_endpoint(ignored);
     const auto& e = *endpoint_;
-    crowded_ = e.options_.connections_most > 0 && e.sessions_.size() > e.options_.connections_most;
+    crowded_ = e.options_.max_connections > 0 && e.sessions_.size() > e.options_.max_connections;
     if (e.options_.connected) e.options_.connected(call_.from, crowded_);
     read();
   }
@@ -105,7 +105,7 @@
   }
 
   void read() {
-    if (endpoint_->options_.followed && buffer_.size() == 0) {
+    if (endpoint_->options_.on_stage && buffer_.size() == 0) {
       // When the first byte of a call comes.
       timer_.expires_after(std::chrono::microseconds(endpoint_->options_.idle));
       timer_.async_wait([self = shared_from_this()](error_code bad) {
@@ -142,7 +142,7 @@
  private:
   // ---- For those who follow calls. ----
   void tell(Stage stage, Microseconds until = 0) {
-    if (out_there_ && endpoint_->options_.followed) endpoint_->options_.followed(call_, stage, until);
+    if (out_there_ && endpoint_->options_.on_stage) endpoint_->options_.on_stage(call_, stage, until);
   }
   // The call that is out has ended, one way or the other.
   void over() {
@@ -151,7 +151,7 @@
   }
   // Its relay gives a call up by ending its connection; what has begun goes on to its effect.
   void watch_for_end() {
-    if (!endpoint_->options_.followed) return;
+    if (!endpoint_->options_.on_stage) return;
     socket_.async_wait(tcp::socket::wait_read,
                        [self = shared_from_this(), number = call_.number](error_code bad) {
                          if (!bad && self->out_there_ && self->call_.number == number && self->gone()) {
@@ -192,7 +192,7 @@
     tell(Stage::came);
     const Fate fate = crowded_            ? Fate(fate::Refuse{})
                       : e.options_.decide ? e.options_.decide(call_)
-                                          : e.behaviour_.call(e.now(), ids_.size());
+                                          : e.behaviour_.decide(e.now(), ids_.size());
     if (const auto& told = e.options_.arrived)
       for (const auto& id : ids_)
         told(id, std::holds_alternative<fate::Refuse>(fate) || std::holds_alternative<fate::Wait>(fate));
@@ -204,7 +204,7 @@
   }
   void meet(const fate::Serve& f) {
     watch_for_end();
-    after(f.after, [this] {
+    after(f.latency, [this] {
       auto& e = *endpoint_;
       took_effect();
       if (gone()) {
@@ -230,12 +230,12 @@
   void meet(const fate::Wait& f) {
     endpoint_->counts_.told_to_wait += ids_.size();
     tell(Stage::turned_away);
-    tell(Stage::told_wait, endpoint_->now() + (f.left + 999) / 1000 * 1000);
-    answer(429, "X-Come-Back-Ms: " + std::to_string((f.left + 999) / 1000) + "\r\n");
+    tell(Stage::told_wait, endpoint_->now() + (f.remaining + 999) / 1000 * 1000);
+    answer(429, "X-Come-Back-Ms: " + std::to_string((f.remaining + 999) / 1000) + "\r\n");
   }
   void meet(const fate::Fail& f) {
     watch_for_end();
-    after(f.after, [this, ran = f.ran] {
+    after(f.latency, [this, ran = f.took_effect] {
       if (ran) took_effect();
       endpoint_->counts_.failed += ids_.size();
       answer(500, "");
@@ -243,7 +243,7 @@
   }
   void meet(const fate::Reset& f) {
     watch_for_end();
-    after(f.after, [this, ran = f.ran] {
+    after(f.latency, [this, ran = f.took_effect] {
       if (ran) took_effect();
       endpoint_->counts_.reset += ids_.size();
       reset();
@@ -251,7 +251,7 @@
   }
   void meet(const fate::Silent& f) {
     endpoint_->counts_.silent += ids_.size();
-    if (f.ran) after(f.after, [this] { took_effect(); });
+    if (f.took_effect) after(f.latency, [this] { took_effect(); });
     // Until the relay gives it up.
     socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code) {
       self->tell(Stage::over);
@@ -262,7 +262,7 @@
   }
   void took_effect() {
     endpoint_->ran(ids_);
-    if (out_there_ && endpoint_->options_.followed) endpoint_->options_.followed(call_, Stage::ran, 0);
+    if (out_there_ && endpoint_->options_.on_stage) endpoint_->options_.on_stage(call_, Stage::ran, 0);
   }
   // The relay closed its connection, or ended its sending.
   bool gone() {
@@ -345,7 +345,7 @@
   error_code ignored;
   acceptor_.close(ignored);
   options_.decide = nullptr;
-  options_.followed = nullptr;
+  options_.on_stage = nullptr;
   options_.connected = nullptr;
   end_sessions(false);
   options_.arrived = nullptr;
