--- a/relay/admin_port.cpp
+++ b/relay/admin_port.cpp
@@ -1,17 +1,18 @@
 // Answers the operator's requests.
+#include "admin_port.hpp"
+
 #include <optional>
 #include <string>
 #include <utility>
 #include <variant>
 
-#include "admin_port.hpp"
 #include "frontends/admin_server.hpp"
 
 namespace heronvane {
 namespace {
 
-AdminAnswer not_stored(const std::string& trouble) {
-  return admin_error(507, "storage", "can't be kept now" + (trouble.empty() ? "" : ": " + trouble),
+AdminAnswer storage_error(const std::string& reason) {
+  return admin_error(507, "storage", "can't be kept now" + (reason.empty() ? "" : ": " + reason),
                      "nothing was changed; ask again");
 }
 
@@ -21,59 +22,59 @@
   RequestHandler(const AdminContext& relay, const AdminServer::Reply& reply) : relay_(relay), reply_(reply) {}
 
   void operator()(const AdminAnswer& rejection) const { reply_(rejection); }
-  void operator()(const admin::GetStatus& /*asked*/) const {
+  void operator()(const admin::GetStatus& /*request*/) const {
     reply_({200, status_json(relay_.status.status())});
   }
 
-  void operator()(const admin::GetMessage& asked) const {
-    const auto id = relay_.requests.find(asked.id);
+  void operator()(const admin::GetMessage& request) const {
+    const auto id = relay_.requests.find(request.id);
     const Held* const held = id ? relay_.store.find(*id) : nullptr;
     if (held != nullptr) return reply_({200, message_json(*id, *held, relay_.config.names.zones)});
-    if (relay_.store.remembers(asked.id) || relay_.requests.completed_lately(asked.id))
-      return reply_({200, over_json(asked.id)});
+    if (relay_.store.remembers(request.id) || relay_.requests.recently_completed(request.id))
+      return reply_({200, completed_json(request.id)});
     reply_(admin_error(404, "unknown", "no message of that id is held or remembered",
                        "it may be another relay's, or over for long"));
   }
 
-  void operator()(const admin::Drain& asked) const {
+  void operator()(const admin::Drain& request) const {
     if (!relay_.config.own.admin.drain) {
       return reply_(admin_error(403, "off", "this relay takes no drains",
                                 "set drain = true under [admin] in its settings and start it anew"));
     }
-    change_drain({asked.fence, asked.fence}, [&store = relay_.store, &requests = relay_.requests] {
+    change_drain({request.fence, request.fence}, [&store = relay_.store, &requests = relay_.requests] {
       const std::size_t held = store.held().size() + requests.queued();
       return R"({"draining":true,"held":)" + std::to_string(held) + "}";
     });
   }
 
-  void operator()(const admin::Undrain& asked) const {
-    change_drain({asked.fence, std::nullopt}, [] { return std::string(R"({"draining":false})"); });
+  void operator()(const admin::Undrain& request) const {
+    change_drain({request.fence, std::nullopt}, [] { return std::string(R"({"draining":false})"); });
   }
 
-  void operator()(const admin::RaiseFence& asked) const {
-    change_drain({asked.fence, relay_.drain.drain_fence()},
-                 [fence = asked.fence] { return R"({"fence":)" + std::to_string(fence) + "}"; });
+  void operator()(const admin::RaiseFence& request) const {
+    change_drain({request.fence, relay_.drain.drain_fence()},
+                 [fence = request.fence] { return R"({"fence":)" + std::to_string(fence) + "}"; });
   }
 
-  void operator()(const admin::TakeOver& asked) const {
+  void operator()(const admin::TakeOver& request) const {
     if (!relay_.config.own.copies.on) {
       return reply_(admin_error(409, "off", "this relay keeps no copies of others' logs",
                                 "[copies] in its settings; docs/operate/copies.md"));
     }
-    const std::string why_not =
-        relay_.copies.ready() ? relay_.copies.take_over(asked.name) : "its own log is not known to stand yet";
-    if (!why_not.empty())
-      return reply_(admin_error(409, "refused", why_not, "look at \"copies\" in the status of the others"));
+    const std::string refusal = relay_.copies.ready() ? relay_.copies.take_over(request.name)
+                                                      : "its own log is not known to stand yet";
+    if (!refusal.empty())
+      return reply_(admin_error(409, "refused", refusal, "look at \"copies\" in the status of the others"));
     reply_({200, "{\"taking_over\":true}"});
   }
 
  private:
-  // `text` is asked for once the change is durable.
+  // `text` is called once the change is durable.
   void change_drain(const DrainState& to, std::function<std::string()> text) const {
     const Fence highest = relay_.drain.highest_fence();
     if (to.fence < highest) return reply_(admin_fenced(to.fence, highest));
     relay_.drain.change(to, [&store = relay_.store, reply = reply_, text = std::move(text)](bool durable) {
-      reply(durable ? AdminAnswer{200, text()} : not_stored(store.unavailable_reason()));
+      reply(durable ? AdminAnswer{200, text()} : storage_error(store.unavailable_reason()));
     });
   }
 
@@ -83,14 +84,14 @@
 
 }  // namespace
 
-std::unique_ptr<Frontend> open_admin_front(boost::asio::io_context& io, const Config& config,
-                                           AdminContextSource context) {
-  if (!config.own.admin.socket) return std::make_unique<NoAdminFront>();
+std::unique_ptr<Frontend> open_admin_frontend(boost::asio::io_context& io, const Config& config,
+                                              AdminContextSource context) {
+  if (!config.own.admin.socket) return std::make_unique<NullAdminFrontend>();
   return std::make_unique<AdminServer>(
       io, config.state_folder + "/admin.sock",
-      [context = std::move(context)](const AdminRequest& asked, const AdminServer::Reply& reply) {
+      [context = std::move(context)](const AdminRequest& request, const AdminServer::Reply& reply) {
         const AdminContext relay = context();
-        std::visit(RequestHandler(relay, reply), asked);
+        std::visit(RequestHandler(relay, reply), request);
       });
 }
 
--- a/relay/admin_port.hpp
+++ b/relay/admin_port.hpp
@@ -30,11 +30,11 @@
 
 // Listens where the operator's settings ask for it; else the front is one that nobody enters. Throws
 // std::runtime_error where the socket can't be had, or this build has none.
-std::unique_ptr<Frontend> open_admin_front(boost::asio::io_context& io, const Config& config,
-                                           AdminContextSource context);
+std::unique_ptr<Frontend> open_admin_frontend(boost::asio::io_context& io, const Config& config,
+                                              AdminContextSource context);
 
 // The front that nobody enters.
-class NoAdminFront : public Frontend {
+class NullAdminFrontend : public Frontend {
  public:
   void start() override {}
   bool busy() const override { return false; }
--- a/relay/admin_port_disabled.cpp
+++ b/relay/admin_port_disabled.cpp
@@ -5,11 +5,11 @@
 
 namespace heronvane {
 
-std::unique_ptr<Frontend> open_admin_front(
+std::unique_ptr<Frontend> open_admin_frontend(
     boost::asio::io_context& /*io*/, const Config& config,
     // NOLINTNEXTLINE(performance-unnecessary-value-param): kept elsewhere
     AdminContextSource /*context*/) {
-  if (!config.own.admin.socket) return std::make_unique<NoAdminFront>();
+  if (!config.own.admin.socket) return std::make_unique<NullAdminFrontend>();
   throw std::runtime_error("admin.socket: this build has no admin socket: build with -DHERONVANE_ADMIN=ON");
 }
 
--- a/relay/command_line.cpp
+++ b/relay/command_line.cpp
@@ -36,7 +36,7 @@
   std::int64_t fence = -1;
   const char* const last = text.data() + text.size();
   const auto [end, error] = std::from_chars(text.data(), last, fence);
-  if (error != std::errc() || end != last || fence < 0 || fence > kMostFence) {
+  if (error != std::errc() || end != last || fence < 0 || fence > kMaxFence) {
     throw UsageError("--undrain: must be a whole number, not '" + text + "'");
   }
   return fence;
--- a/relay/committer.cpp
+++ b/relay/committer.cpp
@@ -33,8 +33,8 @@
 // Syncs that are under way need the store's files.
 Committer::~Committer() { sync_thread_.reset(); }
 
-void Committer::listen() {
-  store_.on_sync([this] { durable_moved_on(); });
+void Committer::start() {
+  store_.on_sync([this] { durable_advanced(); });
 }
 
 void Committer::commit(WriteAheadPlan plan) {
@@ -45,7 +45,7 @@
   HERONVANE_POINT("commit.after");
   outbox_.written(store_.written());
   if (!std::exchange(writable_, true)) resume_writing();
-  if (!outbox_.empty()) hooks_.plans_wait();
+  if (!outbox_.empty()) hooks_.plans_pending();
   execute_durable_plans();
   if (store_.sync_stalled()) reject_waiting_replies();
   if (!store_.unavailable_reason().empty() || !outbox_.empty()) retry_later();
@@ -72,11 +72,11 @@
 }
 
 void Committer::resume_writing() {
-  for (const auto& [key, value] : std::exchange(kept_meanwhile_, {})) store_.set_fact(key, value);
+  for (const auto& [key, value] : std::exchange(deferred_facts_, {})) store_.set_fact(key, value);
   hooks_.writable_again();
 }
 
-void Committer::durable_moved_on() {
+void Committer::durable_advanced() {
   execute_durable_plans();
   if (!store_.unavailable_reason().empty()) {
     reject_waiting_replies();
@@ -106,9 +106,9 @@
 bool Committer::keep(const std::string& key, const std::string& value) {
   if (writable_) return store_.set_fact(key, value);
   if (value.empty() && !store_.facts().contains(key)) {
-    kept_meanwhile_.erase(key);
+    deferred_facts_.erase(key);
   } else {
-    kept_meanwhile_[key] = value;
+    deferred_facts_[key] = value;
   }
   return true;
 }
--- a/relay/committer.hpp
+++ b/relay/committer.hpp
@@ -36,7 +36,7 @@
     // A planned call that is withdrawn, for each message in it: it has not begun.
     Outbox::Withdrawn withdrawn;
     // Plans wait for records that were just written.
-    std::function<void()> plans_wait;
+    std::function<void()> plans_pending;
     // The store can be written again: what was kept back meanwhile may be told now.
     std::function<void()> writable_again;
     // Records wait for long: requests past their deadline are owed their end all the same.
@@ -44,7 +44,7 @@
   };
 
   // Reads the store; `folder` outlives this. Throws store::StoreError or std::system_error, with nothing
-  // changed. No hook is called before listen().
+  // changed. No hook is called before start().
   Committer(boost::asio::io_context& io, store::Disk& folder, store::Options options, Hooks hooks);
   // Waits for syncs that are under way.
   ~Committer();
@@ -52,7 +52,7 @@
   Committer& operator=(const Committer&) = delete;
 
   // From here on the store's syncs are heard.
-  void listen();
+  void start();
 
   store::Store& store() { return store_; }
   const store::Store& store() const { return store_; }
@@ -64,7 +64,7 @@
   // Runs a commit_soon() that is due, now.
   void commit_if_due();
   // Durability has moved on: executes the plans whose records are durable now.
-  void durable_moved_on();
+  void durable_advanced();
   // Compacts the store in steps while it asks for that.
   void compact_if_wanted();
 
@@ -103,7 +103,7 @@
   bool writable_ = true;
   bool commit_due_ = false;  // a commit_soon() is posted
   bool compaction_scheduled_ = false;
-  std::map<std::string, std::string> kept_meanwhile_;  // by key, while the store can't be written
+  std::map<std::string, std::string> deferred_facts_;  // by key, while the store can't be written
   Timer retry_timer_;
   Timer compaction_timer_;
 };
--- a/relay/copies/copies.hpp
+++ b/relay/copies/copies.hpp
@@ -63,9 +63,9 @@
 
   void start() override;
   bool ready() const override { return ready_; }
-  bool is_short() const override { return short_; }
-  void hurry() override { send_pending(); }
-  bool parked(MessageId number) const override { return takeover_.parked(number); }
+  bool is_under_replicated() const override { return short_; }
+  void send_now() override { send_pending(); }
+  bool is_failover_pending(MessageId number) const override { return takeover_.parked(number); }
   std::string take_over(const std::string& name) override { return takeover_.begin_by_operator(name); }
   std::string status_json() const override;
   void members(std::vector<Settings::Member> members) override;
--- a/relay/core/cycle_pacing.hpp
+++ b/relay/core/cycle_pacing.hpp
@@ -18,22 +18,22 @@
   // `interval`: between two cycles; `early`: cycles may come sooner where something may be sent at once.
   CyclePacing(Microseconds interval, bool early) : interval_(interval), early_(early) {}
 
-  // After a cycle that took so long.
-  void ran(Microseconds took) {
-    mean_ += kGain * (static_cast<double>(std::max<Microseconds>(took, 0)) - mean_);
+  // Records the duration of a cycle.
+  void record_duration(Microseconds duration) {
+    mean_ += kGain * (static_cast<double>(std::max<Microseconds>(duration, 0)) - mean_);
   }
   // From one cycle's start to the next one's at least: for what may be sent at once, and for all else.
   Microseconds urgent() const {
     if (!early_) return interval_;
-    return std::clamp(static_cast<Microseconds>(kDurationMultiple * mean_), std::min(kLeast, interval_),
-                      interval_);
+    return std::clamp(static_cast<Microseconds>(kDurationMultiple * mean_),
+                      std::min(kMinUrgentInterval, interval_), interval_);
   }
   Microseconds usual() const { return interval_; }
 
  private:
   static constexpr double kGain = 0.1;            // weight of the newest duration in the mean
   static constexpr double kDurationMultiple = 6;  // a seventh of the time is spent in cycles
-  static constexpr Microseconds kLeast = 800;
+  static constexpr Microseconds kMinUrgentInterval = 800;
 
   Microseconds interval_;
   bool early_;
--- a/relay/core/decision_cycle.cpp
+++ b/relay/core/decision_cycle.cpp
@@ -42,7 +42,7 @@
   if (!hooks_.may_run()) return;
   started_at_ = steady_now();
   hooks_.run();
-  pacing_.ran(steady_now() - started_at_);
+  pacing_.record_duration(steady_now() - started_at_);
 }
 
 std::vector<heronvane::dispatch::Action> DecisionCycle::decide() {
--- a/relay/core/drain.cpp
+++ b/relay/core/drain.cpp
@@ -7,13 +7,13 @@
 namespace {
 
 const std::string kDrain = "drain", kFence = "fence";
-const std::string kFile = "drained", kUnfinished = "drained.tmp";
+const std::string kFile = "drained", kTemporaryFile = "drained.tmp";
 
-std::optional<Fence> number(const std::string& text) {
-  Fence v = -1;
-  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), v);
-  if (error != std::errc() || end != text.data() + text.size() || v < 0) return std::nullopt;
-  return v;
+std::optional<Fence> parse_fence(const std::string& text) {
+  Fence fence = -1;
+  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), fence);
+  if (error != std::errc() || end != text.data() + text.size() || fence < 0) return std::nullopt;
+  return fence;
 }
 
 }  // namespace
@@ -21,31 +21,33 @@
 std::set<std::string> drain_facts() { return {kDrain, kFence}; }
 
 DrainState read_drain(const std::map<std::string, std::string>& facts) {
-  DrainState s;
-  if (const auto it = facts.find(kFence); it != facts.end()) s.fence = number(it->second).value_or(0);
-  if (const auto it = facts.find(kDrain); it != facts.end()) s.drain = number(it->second).value_or(s.fence);
-  if (s.drain) s.fence = std::max(s.fence, *s.drain);
-  return s;
+  DrainState state;
+  if (const auto it = facts.find(kFence); it != facts.end())
+    state.fence = parse_fence(it->second).value_or(0);
+  if (const auto it = facts.find(kDrain); it != facts.end())
+    state.drain = parse_fence(it->second).value_or(state.fence);
+  if (state.drain) state.fence = std::max(state.fence, *state.drain);
+  return state;
 }
 
-bool keep_drain(const DrainState& s, const KeepFact& keep) {
-  return keep(kFence, s.fence > 0 ? std::to_string(s.fence) : std::string()) &&
-         keep(kDrain, s.drain ? std::to_string(*s.drain) : std::string());
+bool keep_drain(const DrainState& state, const KeepFact& keep) {
+  return keep(kFence, state.fence > 0 ? std::to_string(state.fence) : std::string()) &&
+         keep(kDrain, state.drain ? std::to_string(*state.drain) : std::string());
 }
 
 std::error_code write_drained(store::Disk& folder, Fence fence, const std::string& run) {
-  folder.remove(kUnfinished);
+  folder.remove(kTemporaryFile);
   store::FileId file = -1;
-  if (const auto bad = folder.open(kUnfinished, store::Disk::Access::create, file)) return bad;
+  if (const auto error = folder.open(kTemporaryFile, store::Disk::Access::create, file)) return error;
   const std::string text = R"({"fence":)" + std::to_string(fence) + R"(,"run":")" + run + "\"}\n";
   std::size_t done = 0;
-  auto bad = folder.write(file, 0, text, done);
-  if (!bad) bad = folder.sync(file);
+  auto error = folder.write(file, 0, text, done);
+  if (!error) error = folder.sync(file);
   folder.close(file);
-  if (!bad) bad = folder.rename(kUnfinished, kFile);
-  if (bad) {
-    folder.remove(kUnfinished);
-    return bad;
+  if (!error) error = folder.rename(kTemporaryFile, kFile);
+  if (error) {
+    folder.remove(kTemporaryFile);
+    return error;
   }
   folder.sync_folder();
   return {};
@@ -53,7 +55,7 @@
 
 void remove_drained(store::Disk& folder) {
   folder.remove(kFile);
-  folder.remove(kUnfinished);
+  folder.remove(kTemporaryFile);
 }
 
 }  // namespace heronvane
--- a/relay/core/drain.hpp
+++ b/relay/core/drain.hpp
@@ -21,7 +21,7 @@
 using Fence = std::int64_t;
 // Operations' ids go on from the highest fence seen: a slip of the hand must not leave them no room, nor a
 // number that JSON's readers can't tell from the next.
-inline constexpr Fence kMostFence = Fence{1} << 52;
+inline constexpr Fence kMaxFence = Fence{1} << 52;
 
 struct DrainState {
   Fence fence = 0;             // the highest seen
--- a/relay/core/in_flight_gauge.cpp
+++ b/relay/core/in_flight_gauge.cpp
@@ -47,7 +47,7 @@
     }
     seen += count;
   }
-  counts.more = in_flight_.size() - seen;
+  counts.over_30s = in_flight_.size() - seen;
   return counts;
 }
 
--- a/relay/core/in_flight_gauge.hpp
+++ b/relay/core/in_flight_gauge.hpp
@@ -22,7 +22,7 @@
     std::size_t up_to_1s = 0;
     std::size_t up_to_5s = 0;
     std::size_t up_to_30s = 0;
-    std::size_t more = 0;
+    std::size_t over_30s = 0;
   };
 
   // Adds a request that is in flight since `since`; no effect where it is counted already.
--- a/relay/core/lifecycle.cpp
+++ b/relay/core/lifecycle.cpp
@@ -31,7 +31,7 @@
 
 bool Lifecycle::is_done(Microseconds now, const OpenWork& work) const {
   if (now - stop_began_ >= kShutdownTime) return true;
-  const bool upstream_idle = work.calls_out == 0 && !work.notifications_owed &&
+  const bool upstream_idle = work.calls_in_flight == 0 && !work.notifications_owed &&
                              (work.requests_held == 0 || rules().may_leave_requests);
   const bool clients_gone = accept_time_is_over(now) && work.client_connections == 0 && !work.requests_queued;
   return upstream_idle && clients_gone && !work.writes_pending;
--- a/relay/core/lifecycle.hpp
+++ b/relay/core/lifecycle.hpp
@@ -27,7 +27,7 @@
 
   // What must be over before a graceful shutdown ends early.
   struct OpenWork {
-    std::size_t calls_out = 0;
+    std::size_t calls_in_flight = 0;
     std::size_t requests_held = 0;
     std::size_t client_connections = 0;
     bool requests_queued = false;  // received, not yet seen by a decision cycle
@@ -38,7 +38,7 @@
   // Since the stop: how long client connections that rest stay open, how long new ones are accepted, how long
   // attempts begin, and when the process ends whatever is open. SIGKILL follows SIGTERM no sooner than 3.7 s
   // later.
-  static constexpr Microseconds kRestingTime = 400'000;
+  static constexpr Microseconds kIdleTime = 400'000;
   static constexpr Microseconds kAcceptTime = 600'000;
   static constexpr Microseconds kBeginCallsTime = 1'500'000;
   static constexpr Microseconds kShutdownTime = 3'000'000;
@@ -51,7 +51,7 @@
   // Moves on to awaiting_calls when that is due; true in the one call that does.
   bool advance(Microseconds now);
   // While stopping: whether the time for client connections that rest is over.
-  bool resting_time_is_over(Microseconds now) const { return now - stop_began_ >= kRestingTime; }
+  bool idle_time_is_over(Microseconds now) const { return now - stop_began_ >= kIdleTime; }
   // While stopping: whether the time for new client connections is over.
   bool accept_time_is_over(Microseconds now) const { return now - stop_began_ >= kAcceptTime; }
   // While stopping: whether the process may end now.
--- a/relay/core/list_reader.cpp
+++ b/relay/core/list_reader.cpp
@@ -32,8 +32,8 @@
 // The entry is read as a list of its own.
 void ListReader::read_entry() {
   const std::size_t content = text_.find_first_not_of(kWhitespace, entry_begin_);
-  if (content >= at_) throw_malformed(kPath + ".endpoints", "holds an empty entry");
-  const std::string entry = text_.substr(entry_begin_, at_ - entry_begin_);
+  if (content >= offset_) throw_malformed(kPath + ".endpoints", "holds an empty entry");
+  const std::string entry = text_.substr(entry_begin_, offset_ - entry_begin_);
   const auto document = parse(R"({"index":0,"snapshot":false,"endpoints":[)" + entry + "]}");
   auto read = read_endpoint_list(document, kPath, names_);
   std::move(read.endpoints.begin(), read.endpoints.end(), std::back_inserter(list_.endpoints));
@@ -53,12 +53,12 @@
   if (c == '\\') {
     // An escaped name may be the array's: then all is read with the frame.
     if (depth_ == 1) position_ = Position::behind_array;
-    at_++;
+    offset_++;
     return;
   }
   if (c != '"') return;
   in_string_ = false;
-  if (depth_ == 1) last_string_ = text_.substr(string_begin_, at_ - string_begin_);
+  if (depth_ == 1) last_string_ = text_.substr(string_begin_, offset_ - string_begin_);
 }
 
 void ListReader::open_bracket(char c) {
@@ -66,17 +66,17 @@
   const bool is_array = depth_ == kEntryDepth && c == '[' && last_string_ == kEndpointsKey;
   if (!is_array || position_ != Position::before_array) return;
   position_ = Position::in_array;
-  frame_.append(text_, copied_, at_ + 1 - copied_);
-  entry_begin_ = at_ + 1;
+  frame_.append(text_, copied_, offset_ + 1 - copied_);
+  entry_begin_ = offset_ + 1;
 }
 
 void ListReader::close_bracket() {
   if (position_ == Position::in_array && depth_ == kEntryDepth) {
     const std::size_t content = text_.find_first_not_of(kWhitespace, entry_begin_);
     // An array without any entry is no error; an empty entry behind a comma is one.
-    if (content < at_ || text_[entry_begin_ - 1] == ',') read_entry();
+    if (content < offset_ || text_[entry_begin_ - 1] == ',') read_entry();
     position_ = Position::behind_array;
-    copied_ = at_;
+    copied_ = offset_;
   }
   depth_--;
   if (depth_ <= 0) position_ = Position::behind_array;
@@ -86,7 +86,7 @@
   switch (c) {
     case '"':
       in_string_ = true;
-      string_begin_ = at_ + 1;
+      string_begin_ = offset_ + 1;
       break;
     case '{':
     case '[':
@@ -99,7 +99,7 @@
     case ',':
       if (position_ != Position::in_array || depth_ != kEntryDepth) break;
       read_entry();
-      entry_begin_ = at_ + 1;
+      entry_begin_ = offset_ + 1;
       break;
     default:
       break;
@@ -107,15 +107,15 @@
 }
 
 bool ListReader::step(std::size_t bytes) {
-  const std::size_t until = std::min(text_.size(), at_ + std::min(bytes, text_.size()));
-  for (; at_ < until; at_++) {
+  const std::size_t until = std::min(text_.size(), offset_ + std::min(bytes, text_.size()));
+  for (; offset_ < until; offset_++) {
     if (in_string_) {
-      scan_string(text_[at_]);
+      scan_string(text_[offset_]);
     } else {
-      scan(text_[at_]);
+      scan(text_[offset_]);
     }
   }
-  if (at_ < text_.size()) return false;
+  if (offset_ < text_.size()) return false;
   if (!done_) finish();
   return true;
 }
--- a/relay/core/list_reader.hpp
+++ b/relay/core/list_reader.hpp
@@ -35,7 +35,7 @@
   void scan_string(char c);
   void open_bracket(char c);
   void close_bracket();
-  // Reads the entry that ends before `at_`.
+  // Reads the entry that ends before `offset_`.
   void read_entry();
   void finish();
 
@@ -43,7 +43,7 @@
   const heronvane::dispatch::adapter::NameTables& names_;
   EndpointList list_;
   std::string frame_;       // the text without the entries, as far as it was copied
-  std::size_t at_ = 0;      // the byte that is looked at next
+  std::size_t offset_ = 0;  // the byte that is looked at next
   std::size_t copied_ = 0;  // the end of what the frame has or leaves out
   std::size_t entry_begin_ = 0;
   std::size_t string_begin_ = 0;
--- a/relay/core/log_replication.hpp
+++ b/relay/core/log_replication.hpp
@@ -22,11 +22,11 @@
   // The log is known to be this relay's.
   virtual bool ready() const = 0;
   // Too few replicas have what was written a while ago: nothing more is to be admitted.
-  virtual bool is_short() const = 0;
+  virtual bool is_under_replicated() const = 0;
   // Something waits for what was written: it is sent at once, not within a few milliseconds.
-  virtual void hurry() = 0;
+  virtual void send_now() = 0;
   // The message is of a log whose failover is not decided, and must not be touched.
-  virtual bool parked(MessageId number) const = 0;
+  virtual bool is_failover_pending(MessageId number) const = 0;
   // Begins the failover of that relay's log. Returns at once: the reason where it is refused, else empty.
   virtual std::string take_over(const std::string& name) = 0;
   // A JSON object for the status.
--- a/relay/core/object_splitter.cpp
+++ b/relay/core/object_splitter.cpp
@@ -3,33 +3,33 @@
 namespace heronvane {
 
 std::string ObjectSplitter::cut(std::size_t end) {
-  std::string one = text_.substr(begin_, end - begin_);
+  std::string object = text_.substr(begin_, end - begin_);
   begin_ = end;
-  at_ = end;
+  offset_ = end;
   // The text is moved once most of it is cut out, so that each byte moves a bounded number of times.
   if (begin_ > text_.size() / 2) {
     text_.erase(0, begin_);
     begin_ = 0;
-    at_ = 0;
+    offset_ = 0;
   }
-  return one;
+  return object;
 }
 
 std::optional<std::string> ObjectSplitter::next() {
-  for (; at_ < text_.size(); at_++) {
-    if (take(text_[at_])) return cut(at_ + 1);
+  for (; offset_ < text_.size(); offset_++) {
+    if (consume(text_[offset_])) return cut(offset_ + 1);
   }
-  if (state_ == State::between_objects) cut(at_);
+  if (state_ == State::between_objects) cut(offset_);
   return std::nullopt;
 }
 
-bool ObjectSplitter::take(char c) {
+bool ObjectSplitter::consume(char c) {
   switch (state_) {
     case State::between_objects:
-      take_between_objects(c);
+      consume_between_objects(c);
       return false;
     case State::in_object:
-      return take_in_object(c);
+      return consume_in_object(c);
     case State::in_string:
       if (c == '\\') state_ = State::in_escape;
       if (c == '"') state_ = State::in_object;
@@ -46,10 +46,10 @@
   return false;
 }
 
-void ObjectSplitter::take_between_objects(char c) {
+void ObjectSplitter::consume_between_objects(char c) {
   if (c == '\n') line_ends_++;
   if (c == ' ' || c == '\t' || c == '\r' || c == '\n') {
-    begin_ = at_ + 1;
+    begin_ = offset_ + 1;
     return;
   }
   if (c != '{') {
@@ -60,7 +60,7 @@
   depth_ = 1;
 }
 
-bool ObjectSplitter::take_in_object(char c) {
+bool ObjectSplitter::consume_in_object(char c) {
   switch (c) {
     case '"':
       state_ = State::in_string;
--- a/relay/core/object_splitter.hpp
+++ b/relay/core/object_splitter.hpp
@@ -35,16 +35,16 @@
     in_stray_line  // begun by what can't begin an object
   };
 
-  // Takes the byte at `at_`; true where it completes what next() returns.
-  bool take(char c);
-  void take_between_objects(char c);
-  bool take_in_object(char c);
+  // Takes the byte at `offset_`; true where it completes what next() returns.
+  bool consume(char c);
+  void consume_between_objects(char c);
+  bool consume_in_object(char c);
   // The text from `begin_` to `end`, which goes out of this.
   std::string cut(std::size_t end);
 
   std::string text_;
-  std::size_t begin_ = 0;  // of the object or line that is being read
-  std::size_t at_ = 0;     // the byte that is looked at next
+  std::size_t begin_ = 0;   // of the object or line that is being read
+  std::size_t offset_ = 0;  // the byte that is looked at next
   std::size_t line_ends_ = 0;
   int depth_ = 0;  // open brackets
   State state_ = State::between_objects;
--- a/relay/core/request_table.hpp
+++ b/relay/core/request_table.hpp
@@ -52,7 +52,7 @@
 
   // Completed requests whose duplicates need no protection by a record, for a while.
   void cache_completed(const std::string& client_id, Microseconds now) { completed_.add(client_id, now); }
-  bool completed_lately(const std::string& client_id) const { return completed_.has(client_id); }
+  bool recently_completed(const std::string& client_id) const { return completed_.has(client_id); }
 
   // Requests of this decision cycle whose clients have had no reply.
   void await_reply(MessageId id, ReplyCallback reply) { unanswered_[id] = std::move(reply); }
--- a/relay/core/status.cpp
+++ b/relay/core/status.cpp
@@ -116,7 +116,7 @@
   field(w, "draining", s.draining);
   field(w, "stopping", s.stopping);
   field(w, "fence", s.fence);
-  field(w, "trouble", s.trouble);
+  field(w, "trouble", s.unavailable_reason);
 }
 
 void write_held(Writer& w, const Status& s) {
@@ -136,7 +136,7 @@
   field(w, "1000", std::uint64_t{s.counts.up_to_1s});
   field(w, "5000", std::uint64_t{s.counts.up_to_5s});
   field(w, "30000", std::uint64_t{s.counts.up_to_30s});
-  field(w, "more", std::uint64_t{s.counts.more});
+  field(w, "more", std::uint64_t{s.counts.over_30s});
   w.EndObject();
   w.EndObject();
 }
@@ -186,7 +186,7 @@
 void write_list(Writer& w, const Status& s) {
   w.Key("list");
   w.StartObject();
-  field(w, "told", s.list_told);
+  field(w, "told", s.list_received);
   field(w, "index", s.list_index);
   field(w, "endpoints", std::uint64_t{s.endpoints});
   w.EndObject();
@@ -254,7 +254,7 @@
   return {buffer.GetString(), buffer.GetSize()};
 }
 
-std::string over_json(const std::string& id) {
+std::string completed_json(const std::string& id) {
   rapidjson::StringBuffer buffer;
   Writer w(buffer);
   w.StartObject();
--- a/relay/core/status.hpp
+++ b/relay/core/status.hpp
@@ -24,7 +24,7 @@
   std::string name;
   std::string run;
   std::string version;
-  std::string trouble;  // a fault that keeps it from admitting requests; empty: none
+  std::string unavailable_reason;  // a fault that keeps it from admitting requests; empty: none
   std::int64_t pid = 0;
   std::int64_t generation = 0;  // of the agent's desired state; 0: none
   Microseconds started = 0;
@@ -47,7 +47,7 @@
   std::size_t segments = 0;       // of the store
   std::uint64_t memory_kb = 0;
   std::uint64_t descriptors = 0;
-  bool list_told = false;  // discovery has sent an endpoint list
+  bool list_received = false;  // discovery has sent an endpoint list
   std::int64_t list_index = 0;
   std::size_t endpoints = 0;
   std::string copies;  // the replication's status as JSON; empty: it is off
@@ -61,6 +61,6 @@
                          const heronvane::dispatch::adapter::NameIndex& zones);
 
 // A completed message as a JSON object: only its id is known.
-std::string over_json(const std::string& id);
+std::string completed_json(const std::string& id);
 
 }  // namespace heronvane
--- a/relay/core/unavailable_endpoints.cpp
+++ b/relay/core/unavailable_endpoints.cpp
@@ -108,12 +108,12 @@
       it->second.discovery == unavailability.discovery) {
     return;
   }
-  while (endpoints_.size() >= kMaxEndpoints) make_room();
+  while (endpoints_.size() >= kMaxEndpoints) evict_oldest();
   const std::string text = encode(unavailability);
   endpoints_[endpoint] = std::move(unavailability);
   // The endpoint itself may be the one that is forgotten.
   while (endpoints_.contains(endpoint) && !keep_(kKeyPrefix + endpoint, text) && endpoints_.size() > 1) {
-    make_room();
+    evict_oldest();
   }
 }
 
@@ -121,7 +121,7 @@
   if (endpoints_.erase(endpoint) > 0) keep_(kKeyPrefix + endpoint, "");
 }
 
-void UnavailableEndpoints::make_room() {
+void UnavailableEndpoints::evict_oldest() {
   const auto rank = [this](const auto& entry) {
     return std::tuple(configured_.contains(entry.first), entry.second.since);
   };
--- a/relay/core/unavailable_endpoints.hpp
+++ b/relay/core/unavailable_endpoints.hpp
@@ -59,7 +59,7 @@
   void remember(const heronvane::dispatch::EndpointId& endpoint, Unavailability unavailability);
   void forget(const heronvane::dispatch::EndpointId& endpoint);
   // Forgets the oldest, first of those that the configuration does not name.
-  void make_room();
+  void evict_oldest();
 
   Keep keep_;
   std::set<heronvane::dispatch::EndpointId> configured_;  // that the configuration names
--- a/relay/drain_controller.cpp
+++ b/relay/drain_controller.cpp
@@ -75,7 +75,7 @@
 
 void DrainController::check_complete() {
   if (!draining()) return;
-  auto again = kCheckInterval;
+  auto interval = kCheckInterval;
   if (change_pending_ || hooks_.has_open_work()) {
     idle_since_.reset();
   } else {
@@ -83,10 +83,10 @@
     if (!idle_since_) idle_since_ = now;
     if (!hooks_.is_answering() || now - *idle_since_ >= kReplyTime) {
       if (complete()) return;
-      again = kFileRetryInterval;
+      interval = kFileRetryInterval;
     }
   }
-  timer_.set(again, [this] { check_complete(); });
+  timer_.set(interval, [this] { check_complete(); });
 }
 
 // False where the file can't be written now.
--- a/relay/executor.cpp
+++ b/relay/executor.cpp
@@ -47,23 +47,23 @@
   const Held* const held = store.find(send.id);
   if (held == nullptr || held->ending) return;
   const Endpoint* const endpoint = endpoints_.find(send.endpoint);
-  Outgoing one{send.id,
-               static_cast<int>(held->attempts.size()),
-               send.timeout,
-               0,  // told when it begins
-               held->message.id,
-               held->message.body,
-               held->message.idempotency_key,
-               send.start_within ? now + *send.start_within : 0};
+  Outgoing outgoing{send.id,
+                    static_cast<int>(held->attempts.size()),
+                    send.timeout,
+                    0,  // told when it begins
+                    held->message.id,
+                    held->message.body,
+                    held->message.idempotency_key,
+                    send.start_within ? now + *send.start_within : 0};
   store.sent(send.id, store.clock().now(), endpoint == nullptr ? -1 : endpoint->zone);
   const auto [open, is_new] = open_calls_.try_emplace(send.endpoint, plan.calls.size());
   if (!is_new && plan.calls[open->second].messages.size() < batch_size(endpoint)) {
-    plan.calls[open->second].messages.push_back(std::move(one));
+    plan.calls[open->second].messages.push_back(std::move(outgoing));
     return;
   }
   open->second = plan.calls.size();
   plan.calls.push_back({send.endpoint, {}});
-  plan.calls.back().messages.push_back(std::move(one));
+  plan.calls.back().messages.push_back(std::move(outgoing));
 }
 
 // It may have waited for its records, and its request have ended or its time have run out meanwhile.
@@ -83,7 +83,7 @@
   const bool is_active = listed != nullptr && listed->listing == Listing::active;
   std::erase_if(messages, [&](Outgoing& message) {
     if (may_still_begin(message, now) && is_active) return false;
-    take_back(endpoint, message);
+    withdraw_message(endpoint, message);
     return true;
   });
   if (messages.empty()) return;
@@ -100,7 +100,7 @@
   calls_.cancel(id, attempt);
 }
 
-void Executor::take_back(const EndpointId& endpoint, const Outgoing& message) {
+void Executor::withdraw_message(const EndpointId& endpoint, const Outgoing& message) {
   event::AttemptEnded ended;
   ended.id = message.id;
   ended.attempt = message.attempt;
@@ -136,7 +136,7 @@
   for (const auto& id : sharing) withdraw(id);
 }
 
-void Executor::abandon(const EndpointId& endpoint) {
+void Executor::deactivate(const EndpointId& endpoint) {
   withdraw(endpoint);
   calls_.close_idle(endpoint);
   if (endpoints_.find(endpoint) == nullptr) calls_.remove_endpoint(endpoint);
--- a/relay/executor.hpp
+++ b/relay/executor.hpp
@@ -43,7 +43,7 @@
 
   void cancel(MessageId id, int attempt);
   // Takes back a message of a call that was planned and has not begun.
-  void take_back(const EndpointId& endpoint, const Outgoing& message);
+  void withdraw_message(const EndpointId& endpoint, const Outgoing& message);
   // Takes back, to one endpoint or to all, the calls of which no byte has gone out.
   void withdraw(const EndpointId& endpoint);
   void withdraw_all();
@@ -51,15 +51,15 @@
   void withdraw_rate_limited(const EndpointId& endpoint);
 
   // Endpoints as the list tells them.
-  void locate(const ListedEndpoint& member) { calls_.set_address(member.endpoint.id, member.address); }
+  void set_address(const ListedEndpoint& member) { calls_.set_address(member.endpoint.id, member.address); }
   // The endpoint drains or is gone: no call begins there, and idle connections are closed.
-  void abandon(const EndpointId& endpoint);
+  void deactivate(const EndpointId& endpoint);
   void close_idle(const EndpointId& endpoint) { calls_.close_idle(endpoint); }
 
   // Calls that are out.
-  std::size_t calls_out() const { return calls_.in_flight(); }
+  std::size_t calls_in_flight() const { return calls_.in_flight(); }
   // Reads the answers that are here, as the loop would in its next turn.
-  void take_answers() { calls_.read_pending_answers(); }
+  void read_pending_answers() { calls_.read_pending_answers(); }
 
  private:
   std::size_t batch_size(const heronvane::dispatch::Endpoint* endpoint) const;
--- a/relay/frontends/admin_request.cpp
+++ b/relay/frontends/admin_request.cpp
@@ -68,9 +68,9 @@
   if (!v.IsObject()) return admin_error(400, "bad_request", "the body is no object", hint);
   const auto it = v.FindMember("fence");
   if (it == v.MemberEnd() || !it->value.IsInt64() || it->value.GetInt64() < 0 ||
-      it->value.GetInt64() > kMostFence)
+      it->value.GetInt64() > kMaxFence)
     return admin_error(400, "bad_request",
-                       "fence: must be a whole number from 0 to " + std::to_string(kMostFence), hint);
+                       "fence: must be a whole number from 0 to " + std::to_string(kMaxFence), hint);
   return Fenced{it->value.GetInt64()};
 }
 
--- a/relay/intake.cpp
+++ b/relay/intake.cpp
@@ -96,7 +96,7 @@
     if (idle()) limit(kLastRequest);
   }
   // Makes room for another connection, which can't wait; false if a request has just come.
-  bool make_room() {
+  bool evict_oldest() {
     if (has_bytes() && stage_ != Stage::lingering) return false;
     close();
     return true;
@@ -376,7 +376,7 @@
       accept_failures_.add(failure_text(bad));
       return pause_.set(kAcceptPause, [this] { accept(); });
     }
-    make_room();
+    evict_oldest();
     if (sessions_.size() >= limits_.clients) {
       tally_.add("no room for its connection");
     } else {
@@ -399,7 +399,7 @@
 bool Intake::short_of_room() const { return sessions_.size() * kShortOf >= limits_.clients * kShort; }
 
 // One that stands between requests may be closed, one with a request would lose its message.
-void Intake::make_room() {
+void Intake::evict_oldest() {
   if (!short_of_room()) return;
   const Microseconds now = steady_now();
   std::vector<std::pair<Microseconds, std::shared_ptr<Session>>> spare;
@@ -411,7 +411,7 @@
   const auto most = std::min(spare.size(), kRoomTries);
   std::partial_sort(spare.begin(), spare.begin() + static_cast<std::ptrdiff_t>(most), spare.end());
   for (std::size_t i = 0; i < most; i++)
-    if (spare[i].second->make_room()) return;
+    if (spare[i].second->evict_oldest()) return;
 }
 
 void Intake::drain() { draining_ = true; }
--- a/relay/intake.hpp
+++ b/relay/intake.hpp
@@ -55,7 +55,7 @@
   void accept();
   void accept_waiting();
   void begin(boost::asio::ip::tcp::socket socket);
-  void make_room();
+  void evict_oldest();
   bool short_of_room() const;
   // A copy: sessions take themselves out of the set.
   std::vector<std::shared_ptr<Session>> all_sessions() const;
--- a/relay/log_copies_port.cpp
+++ b/relay/log_copies_port.cpp
@@ -29,11 +29,11 @@
   if (!config.own.copies.on) return std::make_unique<StandaloneLog>(store, force_own, std::move(hooks.ready));
   copies::LogReplicator::Hooks copies_hooks;
   copies_hooks.commit = std::move(hooks.commit);
-  copies_hooks.durable_advanced = std::move(hooks.durable_moved_on);
+  copies_hooks.durable_advanced = std::move(hooks.durable_advanced);
   copies_hooks.ready = std::move(hooks.ready);
-  copies_hooks.disown = std::move(hooks.disown);
+  copies_hooks.disown = std::move(hooks.log_lost);
   copies_hooks.taken_over = std::move(hooks.taken_over);
-  copies_hooks.wait_is_over = std::move(hooks.wait_is_over);
+  copies_hooks.wait_is_over = std::move(hooks.ack_timed_out);
   return std::make_unique<copies::LogReplicator>(io, store, copies_options(config, force_own),
                                                  std::move(copies_hooks));
 }
--- a/relay/log_copies_port.hpp
+++ b/relay/log_copies_port.hpp
@@ -17,15 +17,15 @@
   // What was added to the store is to be written.
   std::function<void()> commit;
   // The store's durable() has moved on.
-  std::function<void()> durable_moved_on;
+  std::function<void()> durable_advanced;
   // The log is this relay's: what it holds may be acted on.
   std::function<void()> ready;
   // The log went to another relay: nothing that is held is this one's any more.
-  std::function<void()> disown;
+  std::function<void()> log_lost;
   // The messages of these numbers were another relay's and are this one's now.
   std::function<void(MessageId from, MessageId to)> taken_over;
   // What waits for copies has waited too long.
-  std::function<void()> wait_is_over;
+  std::function<void()> ack_timed_out;
 };
 
 // `store` outlives the copies. `force_own`: what the folder holds is this relay's, whatever others hold.
--- a/relay/relay_recovery.cpp
+++ b/relay/relay_recovery.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr Microseconds kLongAgo = std::numeric_limits<Microseconds>::max() / 4;
+constexpr Microseconds kUnknownAge = std::numeric_limits<Microseconds>::max() / 4;
 
 }  // namespace
 
@@ -25,7 +25,7 @@
   if (HERONVANE_DEFECT("forget-folder")) return;
   std::vector<MessageId> unknown_class;
   for (const auto& [id, held] : store_.held())
-    if (!copies_->parked(id) && !adopt(id, held)) unknown_class.push_back(id);
+    if (!copies_->is_failover_pending(id) && !resume_request(id, held)) unknown_class.push_back(id);
   WriteAheadPlan plan;
   for (const MessageId id : unknown_class) end_request(plan, id, {});
   committer_.commit(std::move(plan));
@@ -35,7 +35,7 @@
 
 // Takes up a request that is held and that the module does not know; false: of a class that the settings do
 // not have.
-bool RelayServer::adopt(MessageId id, const Held& held) {
+bool RelayServer::resume_request(MessageId id, const Held& held) {
   requests_.add(id, held.message.id);
   status_.request_added(id, held.message.message_class, held_since(held));
   if (held.ending) {
@@ -62,7 +62,7 @@
   if (held.doubt) {
     // Sent at a time and place that no record tells.
     request.possibly_executed_zone = -1;
-    request.possibly_executed_age = kLongAgo;
+    request.possibly_executed_age = kUnknownAge;
   }
   if (HERONVANE_DEFECT("forget-attempt")) request.possibly_executed_zone.reset();
   return request;
@@ -83,7 +83,7 @@
 
 // All that is held is another relay's: it is ended there. Calls that are out may still be answered, and
 // nobody asks.
-void RelayServer::disown() {
+void RelayServer::on_log_lost() {
   committer_.reject_waiting_replies();
   committer_.withdraw_all();
   std::vector<MessageId> all;
@@ -108,14 +108,14 @@
     const auto& [id, held] = *it;
     if (!is_known(held.message.id)) {
       count++;
-      if (!adopt(id, held)) unknown_class.push_back(id);
+      if (!resume_request(id, held)) unknown_class.push_back(id);
       continue;
     }
     // The client sent it here, too: one request, of which one end is owed.
     duplicates.push_back(id);
     const auto own_id = requests_.find(held.message.id);
     const Held* const own = own_id ? store_.find(*own_id) : nullptr;
-    if (own != nullptr && !own->ending && held.possibly_executed() && may_not_run_twice(held.message))
+    if (own != nullptr && !own->ending && held.possibly_executed() && may_be_non_idempotent(held.message))
       possibly_executed.push_back(*own_id);
   }
   WriteAheadPlan plan;
@@ -133,7 +133,7 @@
 }
 
 // Whether the request's class is not idempotent, or unknown.
-bool RelayServer::may_not_run_twice(const Message& message) const {
+bool RelayServer::may_be_non_idempotent(const Message& message) const {
   const auto cls = config_.names.classes.find(message.message_class);
   return cls == config_.names.classes.end() ||
          config_.settings.classes[static_cast<std::size_t>(cls->second)].idempotency !=
--- a/relay/relay_requests.cpp
+++ b/relay/relay_requests.cpp
@@ -35,7 +35,7 @@
 // Whether a request of that id was taken on already: it must not be sent a second time.
 bool RelayServer::is_known(const std::string& client_id) const {
   return requests_.is_in_flight(client_id) || store_.remembers(client_id) ||
-         requests_.completed_lately(client_id);
+         requests_.recently_completed(client_id);
 }
 
 void RelayServer::on_request(Message message, Microseconds time_left, ReplyCallback reply) {
@@ -45,7 +45,7 @@
   if (HERONVANE_DEFECT_NOW("forget-message")) return reply(kAccepted);
   if (HERONVANE_DEFECT_NOW("crash")) std::abort();
   if (drain_.draining()) return reject(reply, RejectReason::draining);
-  if (!copies_->ready() || copies_->is_short()) return reject(reply, RejectReason::too_few_copies);
+  if (!copies_->ready() || copies_->is_under_replicated()) return reject(reply, RejectReason::too_few_copies);
   if (!endpoints_.directory().knows_destination(message.destination)) {
     // Before discovery has told its list, an unknown destination may only be unknown yet.
     if (!endpoints_.list_received()) return reject(reply, RejectReason::no_destination_list);
--- a/relay/relay_server.cpp
+++ b/relay/relay_server.cpp
@@ -15,13 +15,13 @@
 namespace {
 
 // Share of the memory for bodies that are being read.
-constexpr std::size_t kBodyPart = 8;
+constexpr std::size_t kBodyMemoryDivisor = 8;
 
 // A list may take a part of the memory; 4 MiB hold 30,000 endpoints.
-std::size_t most_list_bytes(const Config& config) {
-  constexpr std::size_t kLeast = 4 << 20;
-  constexpr std::size_t kPart = 8;
-  return std::max<std::size_t>(kLeast, config.memory_bytes / kPart);
+std::size_t max_list_bytes(const Config& config) {
+  constexpr std::size_t kMinListBytes = 4 << 20;
+  constexpr std::size_t kListMemoryDivisor = 8;
+  return std::max<std::size_t>(kMinListBytes, config.memory_bytes / kListMemoryDivisor);
 }
 
 // `remembers`: whether a request's id is to be remembered once it is completed.
@@ -76,9 +76,9 @@
       folder_(locked_folder(config.state_folder)),
       listener_(listening(io, config.listen)),
       peers_(open_peers()),
-      admin_(open_admin_front(io, config, [this] { return admin_context(); })),
+      admin_(open_admin_frontend(io, config, [this] { return admin_context(); })),
       committer_(io, *folder_,
-                 store_options(config, [this](const Message& m) { return may_not_run_twice(m); }),
+                 store_options(config, [this](const Message& m) { return may_be_non_idempotent(m); }),
                  commit_hooks()),
       store_(committer_.store()),
       copies_(open_log_copies(io, store_, config, start_.force_own, copies_hooks())),
@@ -88,7 +88,7 @@
       endpoints_(config, committer_, cycle_, endpoint_hooks()),
       executor_(io, config, committer_, endpoints_.directory(), executor_hooks()),
       platform_(
-          io, config.discovery, config.names, config.known.index, most_list_bytes(config),
+          io, config.discovery, config.names, config.known.index, max_list_bytes(config),
           [this](EndpointList list) { endpoints_.apply(std::move(list), text_of(platform_.address())); },
           [this] { cycle_.notify(event::EndpointListFailed{}); },
           [this](const std::vector<MessageId>& ids) {
@@ -109,7 +109,7 @@
 
 void RelayServer::recover_store() {
   endpoints_.start();
-  committer_.listen();
+  committer_.start();
   if (start_.undrain) drain_.end_at_start(*start_.undrain, store_);
   drain_.resume();
   endpoints_.restore_learned_state();
@@ -125,7 +125,7 @@
   admin_->start();
   intake_.emplace(
       io_, std::move(listener_), config_.settings, config_.names,
-      IntakeLimits{config_.client_connections, config_.memory_bytes / kBodyPart},
+      IntakeLimits{config_.client_connections, config_.memory_bytes / kBodyMemoryDivisor},
       [this](Message message, Microseconds time_left, ReplyCallback reply) {
         on_request(std::move(message), time_left, std::move(reply));
       },
@@ -160,9 +160,9 @@
     reject_uncommitted(replies, why);
   };
   hooks.withdrawn = [this](const EndpointId& endpoint, const Outgoing& message) {
-    executor_.take_back(endpoint, message);
+    executor_.withdraw_message(endpoint, message);
   };
-  hooks.plans_wait = [this] { copies_->hurry(); };
+  hooks.plans_pending = [this] { copies_->send_now(); };
   hooks.writable_again = [this] {
     endpoints_.resynchronize();
     cycle_.schedule();  // what came meanwhile is decided on now
@@ -180,8 +180,8 @@
 
 EndpointView::Hooks RelayServer::endpoint_hooks() {
   EndpointView::Hooks hooks;
-  hooks.located = [this](const ListedEndpoint& member) { executor_.locate(member); };
-  hooks.inactive = [this](const EndpointId& endpoint) { executor_.abandon(endpoint); };
+  hooks.located = [this](const ListedEndpoint& member) { executor_.set_address(member); };
+  hooks.inactive = [this](const EndpointId& endpoint) { executor_.deactivate(endpoint); };
   return hooks;
 }
 
@@ -196,11 +196,11 @@
 LogCopiesHooks RelayServer::copies_hooks() {
   LogCopiesHooks hooks;
   hooks.commit = [this] { committer_.commit(); };
-  hooks.durable_moved_on = [this] { committer_.durable_moved_on(); };
+  hooks.durable_advanced = [this] { committer_.durable_advanced(); };
   hooks.ready = [this] { recover(); };
-  hooks.disown = [this] { disown(); };
+  hooks.log_lost = [this] { on_log_lost(); };
   hooks.taken_over = [this](MessageId from, MessageId to) { taken_over(from, to); };
-  hooks.wait_is_over = [this] { committer_.reject_waiting_replies(); };
+  hooks.ack_timed_out = [this] { committer_.reject_waiting_replies(); };
   return hooks;
 }
 
--- a/relay/relay_server.hpp
+++ b/relay/relay_server.hpp
@@ -103,12 +103,12 @@
 
   // relay_recovery.cpp: requests of earlier incarnations and of other relays
   void recover();
-  bool adopt(MessageId id, const Held& held);
+  bool resume_request(MessageId id, const Held& held);
   heronvane::dispatch::event::RequestRecovered recovered(MessageId id, const Held& held) const;
   Microseconds held_since(const Held& held) const;
-  void disown();
+  void on_log_lost();
   void taken_over(MessageId from, MessageId to);
-  bool may_not_run_twice(const Message& message) const;
+  bool may_be_non_idempotent(const Message& message) const;
 
   // relay_shutdown.cpp: the end, by a drain or a stop
   bool has_open_work() const;
--- a/relay/relay_shutdown.cpp
+++ b/relay/relay_shutdown.cpp
@@ -49,7 +49,7 @@
 
 // Whether something is held or owed: a drain waits for it.
 bool RelayServer::has_open_work() const {
-  return !store_.held().empty() || requests_.queued() > 0 || executor_.calls_out() > 0 ||
+  return !store_.held().empty() || requests_.queued() > 0 || executor_.calls_in_flight() > 0 ||
          platform_.has_pending_notices() || !committer_.is_settled();
 }
 
@@ -63,7 +63,7 @@
 }
 
 Lifecycle::OpenWork RelayServer::open_work() const {
-  return {.calls_out = executor_.calls_out(),
+  return {.calls_in_flight = executor_.calls_in_flight(),
           .requests_held = store_.held().size(),
           .client_connections = intake_->clients(),
           .requests_queued = requests_.queued() > 0,
@@ -80,14 +80,14 @@
     committer_.commit();
   }
   committer_.commit_if_due();
-  if (lifecycle_.resting_time_is_over(now)) intake_->close_idle();
+  if (lifecycle_.idle_time_is_over(now)) intake_->close_idle();
   if (lifecycle_.accept_time_is_over(now)) intake_->shut_down();
   if (lifecycle_.is_done(now, open_work())) {
     // No call that was answered is left without its record.
-    executor_.take_answers();
+    executor_.read_pending_answers();
     committer_.commit();
     log("stopped: " + std::to_string(store_.held().size()) + " messages left in the store, " +
-        std::to_string(executor_.calls_out()) + " calls out");
+        std::to_string(executor_.calls_in_flight()) + " calls out");
     return stopped_();
   }
   shutdown_timer_.set(kShutdownCheckInterval, [this] { check_shutdown(); });
--- a/relay/standalone_log.hpp
+++ b/relay/standalone_log.hpp
@@ -21,9 +21,9 @@
   // and nobody was asked; not under `force_own`.
   void start() override;
   bool ready() const override { return true; }
-  bool is_short() const override { return false; }
-  void hurry() override {}
-  bool parked(MessageId /*number*/) const override { return false; }
+  bool is_under_replicated() const override { return false; }
+  void send_now() override {}
+  bool is_failover_pending(MessageId /*number*/) const override { return false; }
   std::string take_over(const std::string& /*name*/) override {
     return "this relay keeps no copies of others' logs";
   }
--- a/relay/status_reporter.cpp
+++ b/relay/status_reporter.cpp
@@ -14,7 +14,7 @@
 namespace heronvane {
 namespace {
 
-constexpr std::size_t kMostEndpoints = 1000;  // past these, only those of which something is known
+constexpr std::size_t kMaxEndpoints = 1000;  // beyond that many, only those with learned state are reported
 
 const char* text_of(RejectReason reason) {
   switch (reason) {
@@ -23,19 +23,19 @@
     case RejectReason::too_few_copies:
       return "too few copies";
     case RejectReason::no_destination_list:
-      return "no list of destinations yet";
+      return "no endpoint list received yet";
     case RejectReason::in_flight_limit:
-      return "open messages at their bound";
+      return "limit of messages in flight reached";
     case RejectReason::store_not_writable:
       return "the folder can't be written";
     case RejectReason::no_capacity:
-      return "no room in the folder or memory";
+      return "no capacity in the state folder or in memory";
     case RejectReason::decided_reject:
-      return "turned away by the decisions";
+      return "rejected by the decision module";
     case RejectReason::decided_fail:
-      return "failed by the decisions";
+      return "failed by the decision module";
     case RejectReason::commit_failed:
-      return "its record could not be written in time";
+      return "the record could not be written in time";
   }
   return "";
 }
@@ -49,17 +49,17 @@
 }
 
 std::uint64_t open_descriptors() {
-  // Newer systems tell their number as the folder's size.
+  // Newer kernels report the number of descriptors as the directory's size.
   struct stat info {};
   if (::stat("/proc/self/fd", &info) == 0 && info.st_size > 0)
     return static_cast<std::uint64_t>(info.st_size);
   DIR* const all = ::opendir("/proc/self/fd");
   if (all == nullptr) return 0;
   std::uint64_t count = 0;
-  // NOLINTNEXTLINE(concurrency-mt-unsafe): the directory stream is this call's own
+  // NOLINTNEXTLINE(concurrency-mt-unsafe): the directory stream is local to this call
   while (const dirent* one = ::readdir(all)) count += one->d_name[0] != '.';
   ::closedir(all);
-  return count - 1;  // the one that looks
+  return count - 1;  // without the descriptor of the directory stream itself
 }
 
 }  // namespace
@@ -81,8 +81,8 @@
 bool StatusReporter::ready() const {
   if (HERONVANE_DEFECT("never-ready-again") && HERONVANE_SECOND_LIFE()) return false;
   return sources_.lifecycle.rules().reports_ready && !sources_.drain.draining() &&
-         sources_.committer.is_writable() && sources_.copies.ready() && !sources_.copies.is_short() &&
-         sources_.committer.store().unavailable_reason().empty() &&
+         sources_.committer.is_writable() && sources_.copies.ready() &&
+         !sources_.copies.is_under_replicated() && sources_.committer.store().unavailable_reason().empty() &&
          sources_.endpoints.directory().any_active();
 }
 
@@ -94,7 +94,7 @@
   s.name = config_.name;
   s.run = start_.run;
   s.version = kVersion;
-  s.trouble = store.unavailable_reason();
+  s.unavailable_reason = store.unavailable_reason();
   s.pid = ::getpid();
   s.generation = generation_;
   s.started = start_.started;
@@ -115,20 +115,20 @@
 void StatusReporter::add_endpoints(Status& status) const {
   const Directory& directory = sources_.endpoints.directory();
   std::vector<heronvane::dispatch::LearnedState> known;
-  sources_.cycle.dispatcher().endpoint_states(steady_now(), kMostEndpoints, known);
+  sources_.cycle.dispatcher().endpoint_states(steady_now(), kMaxEndpoints, known);
   for (auto& state : known) {
     const auto* const listed = directory.find(state.endpoint);
     const auto listing = listed == nullptr ? heronvane::dispatch::Listing::gone : listed->listing;
     status.targets.push_back({std::move(state), listing});
   }
-  status.list_told = sources_.endpoints.list_received();
+  status.list_received = sources_.endpoints.list_received();
   status.list_index = sources_.platform.index();
   status.endpoints = directory.size();
 }
 
 void StatusReporter::add_resources(Status& status) const {
   const store::Store& store = sources_.committer.store();
-  status.calls = sources_.executor.calls_out();
+  status.calls = sources_.executor.calls_in_flight();
   status.slots = static_cast<std::size_t>(config_.settings.max_concurrent_calls);
   status.clients = sources_.client_connections();
   status.store_bytes = store.bytes();
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -32,7 +32,7 @@
   EXPECT_EQ(c.up_to_1s, 1u);
   EXPECT_EQ(c.up_to_5s, 1u);
   EXPECT_EQ(c.up_to_30s, 1u);
-  EXPECT_EQ(c.more, 1u);
+  EXPECT_EQ(c.over_30s, 1u);
   g.remove(1);
   g.remove(1);
   g.remove(9);
@@ -40,7 +40,7 @@
   c = g.counts(90 * kSecond);
   EXPECT_EQ(c.by_class, (std::map<std::string, std::size_t>{{"a", 1}, {"b", 1}}));
   EXPECT_EQ(c.oldest, 30 * kSecond);
-  EXPECT_EQ(c.up_to_1s + c.up_to_5s + c.up_to_30s + c.more, 2u);
+  EXPECT_EQ(c.up_to_1s + c.up_to_5s + c.up_to_30s + c.over_30s, 2u);
   g.remove(2);
   g.remove(4);
   c = g.counts(90 * kSecond);
--- a/tests/committer_test.cpp
+++ b/tests/committer_test.cpp
@@ -31,7 +31,7 @@
     hooks.withdrawn = [this](const EndpointId& endpoint, const Outgoing& message) {
       calls_.push_back("withdrawn " + endpoint + " " + std::to_string(message.id));
     };
-    hooks.plans_wait = [] {};
+    hooks.plans_pending = [] {};
     hooks.writable_again = [this] { calls_.emplace_back("writable"); };
     hooks.expire_overdue = [] {};
     return hooks;
@@ -53,7 +53,7 @@
     return plan;
   }
 
-  // From here on nothing can be changed on the disk, until heal().
+  // From here on nothing can be changed on the disk, until clear_faults().
   void break_disk() { disk_.fail_from(disk_.operations() + 1, {}); }
 
   // Something to write, which makes a commit touch the disk.
@@ -103,7 +103,7 @@
   committer.keep("b", "last");
   EXPECT_EQ(committer.store().facts().count("b"), 0u);
 
-  disk_.heal();
+  disk_.clear_faults();
   committer.commit();
   EXPECT_TRUE(committer.is_writable());
   EXPECT_EQ(committer.store().facts().at("b"), "last");
--- a/tests/core/lifecycle_test.cpp
+++ b/tests/core/lifecycle_test.cpp
@@ -43,8 +43,8 @@
 
 TEST(Lifecycle, LeavesRestingConnectionsOpenForTheirTime) {
   const Lifecycle lifecycle = stopped();
-  EXPECT_FALSE(lifecycle.resting_time_is_over(kStop + Lifecycle::kRestingTime + kJustBefore));
-  EXPECT_TRUE(lifecycle.resting_time_is_over(kStop + Lifecycle::kRestingTime));
+  EXPECT_FALSE(lifecycle.idle_time_is_over(kStop + Lifecycle::kIdleTime + kJustBefore));
+  EXPECT_TRUE(lifecycle.idle_time_is_over(kStop + Lifecycle::kIdleTime));
 }
 
 TEST(Lifecycle, AcceptsConnectionsForItsTime) {
@@ -58,7 +58,7 @@
   const Microseconds now = kStop + Lifecycle::kAcceptTime;
   EXPECT_FALSE(lifecycle.is_done(now + kJustBefore, {})) << "clients may still connect";
   EXPECT_TRUE(lifecycle.is_done(now, {}));
-  EXPECT_FALSE(lifecycle.is_done(now, {.calls_out = 1}));
+  EXPECT_FALSE(lifecycle.is_done(now, {.calls_in_flight = 1}));
   EXPECT_FALSE(lifecycle.is_done(now, {.requests_held = 1}));
   EXPECT_FALSE(lifecycle.is_done(now, {.client_connections = 1}));
   EXPECT_FALSE(lifecycle.is_done(now, {.requests_queued = true}));
@@ -72,12 +72,12 @@
   EXPECT_FALSE(lifecycle.is_done(now, {.requests_held = 1}));
   lifecycle.advance(now);
   EXPECT_TRUE(lifecycle.is_done(now, {.requests_held = 1}));
-  EXPECT_FALSE(lifecycle.is_done(now, {.calls_out = 1, .requests_held = 1}));
+  EXPECT_FALSE(lifecycle.is_done(now, {.calls_in_flight = 1, .requests_held = 1}));
 }
 
 TEST(Lifecycle, EndsInTimeWhateverIsOpen) {
   const Lifecycle lifecycle = stopped();
-  const Lifecycle::OpenWork open{.calls_out = 1, .requests_held = 1, .writes_pending = true};
+  const Lifecycle::OpenWork open{.calls_in_flight = 1, .requests_held = 1, .writes_pending = true};
   EXPECT_FALSE(lifecycle.is_done(kStop + Lifecycle::kShutdownTime + kJustBefore, open));
   EXPECT_TRUE(lifecycle.is_done(kStop + Lifecycle::kShutdownTime, open));
 }
--- a/tests/core/request_table_test.cpp
+++ b/tests/core/request_table_test.cpp
@@ -79,12 +79,12 @@
 TEST(RequestTable, CompletedRequestsAreKnownForTheirLifetime) {
   RequestTable table(kLifetime);
   table.cache_completed("a", 0);
-  EXPECT_TRUE(table.completed_lately("a"));
+  EXPECT_TRUE(table.recently_completed("a"));
   table.cache_completed("b", kLifetime - 1);
-  EXPECT_TRUE(table.completed_lately("a"));
+  EXPECT_TRUE(table.recently_completed("a"));
   table.cache_completed("c", kLifetime);
-  EXPECT_FALSE(table.completed_lately("a"));
-  EXPECT_TRUE(table.completed_lately("b"));
+  EXPECT_FALSE(table.recently_completed("a"));
+  EXPECT_TRUE(table.recently_completed("b"));
 }
 
 }  // namespace
--- a/tests/cycle_pacing_test.cpp
+++ b/tests/cycle_pacing_test.cpp
@@ -9,24 +9,24 @@
 namespace {
 
 TEST(CyclePacing, BindsToTheTickUnlessEarly) {
-  CyclePacing gap(5'000, false);
-  EXPECT_EQ(gap.urgent(), 5'000);
-  gap.ran(10);
-  EXPECT_EQ(gap.urgent(), 5'000);
+  CyclePacing pacing(5'000, false);
+  EXPECT_EQ(pacing.urgent(), 5'000);
+  pacing.record_duration(10);
+  EXPECT_EQ(pacing.urgent(), 5'000);
 }
 
 TEST(CyclePacing, GrowsWithWhatARoundTakesUpToTheTick) {
-  CyclePacing gap(5'000, true);
-  const auto idle = gap.urgent();
+  CyclePacing pacing(5'000, true);
+  const auto idle = pacing.urgent();
   EXPECT_LT(idle, 1'000);
-  for (int i = 0; i < 100; i++) gap.ran(300);
-  EXPECT_GT(gap.urgent(), 1'500);
-  EXPECT_LT(gap.urgent(), 5'000);
-  for (int i = 0; i < 100; i++) gap.ran(20'000);
-  EXPECT_EQ(gap.urgent(), 5'000);
-  EXPECT_EQ(gap.usual(), 5'000);
-  for (int i = 0; i < 100; i++) gap.ran(5);
-  EXPECT_EQ(gap.urgent(), idle);
+  for (int i = 0; i < 100; i++) pacing.record_duration(300);
+  EXPECT_GT(pacing.urgent(), 1'500);
+  EXPECT_LT(pacing.urgent(), 5'000);
+  for (int i = 0; i < 100; i++) pacing.record_duration(20'000);
+  EXPECT_EQ(pacing.urgent(), 5'000);
+  EXPECT_EQ(pacing.usual(), 5'000);
+  for (int i = 0; i < 100; i++) pacing.record_duration(5);
+  EXPECT_EQ(pacing.urgent(), idle);
 }
 
 TEST(CyclePacing, NeverExceedsASmallTick) { EXPECT_LE(CyclePacing(100, true).urgent(), 100); }
--- a/tests/standalone_log_test.cpp
+++ b/tests/standalone_log_test.cpp
@@ -40,17 +40,17 @@
   int ready_calls_ = 0;
 };
 
-TEST_F(StandaloneLogTest, IsReadyFromItsStart) {
+TEST_F(StandaloneLogTest, IsReadyAfterStart) {
   StandaloneLog log = this->log(false);
   hold_a_request();
   log.start();
   EXPECT_EQ(ready_calls_, 1);
   EXPECT_TRUE(log.ready());
-  EXPECT_FALSE(log.is_short());
+  EXPECT_FALSE(log.is_under_replicated());
   EXPECT_TRUE(log.status_json().empty());
 }
 
-TEST_F(StandaloneLogTest, ForgetsCopiesOfALogThatHoldsNothing) {
+TEST_F(StandaloneLogTest, RemovesReplicationFactsOfAnEmptyLog) {
   StandaloneLog log = this->log(false);
   ASSERT_TRUE(store_.set_fact(kCopiesFact, "value"));
   ASSERT_TRUE(store_.set_fact("drain", "7"));
@@ -59,7 +59,7 @@
   EXPECT_TRUE(store_.facts().contains("drain"));
 }
 
-TEST_F(StandaloneLogTest, DoesNotStartOnALogThatOthersMayHaveTakenOver) {
+TEST_F(StandaloneLogTest, StartFailsIfTheLogMayHaveBeenTakenOver) {
   ASSERT_TRUE(store_.set_fact(kCopiesFact, "value"));
   hold_a_request();
   StandaloneLog log = this->log(false);
