--- a/relay/admin_port.cpp
+++ b/relay/admin_port.cpp
@@ -1,4 +1,4 @@
-// Answers the operator's requests.
+// Answers the operator's requests from the admin socket.
 #include "admin_port.hpp"
 
 #include <optional>
@@ -12,11 +12,11 @@
 namespace {
 
 AdminAnswer storage_error(const std::string& reason) {
-  return admin_error(507, "storage", "can't be kept now" + (reason.empty() ? "" : ": " + reason),
-                     "nothing was changed; ask again");
+  return admin_error(507, "storage", "the change can't be stored now" + (reason.empty() ? "" : ": " + reason),
+                     "nothing was changed; try again");
 }
 
-// Answers one request, by its kind.
+// Answers one admin request; has an overload for each kind.
 class RequestHandler {
  public:
   RequestHandler(const AdminContext& relay, const AdminServer::Reply& reply) : relay_(relay), reply_(reply) {}
@@ -32,14 +32,14 @@
     if (held != nullptr) return reply_({200, message_json(*id, *held, relay_.config.names.zones)});
     if (relay_.store.remembers(request.id) || relay_.requests.recently_completed(request.id))
       return reply_({200, completed_json(request.id)});
-    reply_(admin_error(404, "unknown", "no message of that id is held or remembered",
-                       "it may be another relay's, or over for long"));
+    reply_(admin_error(404, "unknown", "no message with this id is held or remembered",
+                       "another relay may hold it, or it was completed too long ago"));
   }
 
   void operator()(const admin::Drain& request) const {
     if (!relay_.config.own.admin.drain) {
-      return reply_(admin_error(403, "off", "this relay takes no drains",
-                                "set drain = true under [admin] in its settings and start it anew"));
+      return reply_(admin_error(403, "off", "drains are turned off on this relay",
+                                "set drain = true under [admin] in its settings and restart the relay"));
     }
     change_drain({request.fence, request.fence}, [&store = relay_.store, &requests = relay_.requests] {
       const std::size_t held = store.held().size() + requests.queued();
@@ -61,15 +61,17 @@
       return reply_(admin_error(409, "off", "this relay keeps no copies of others' logs",
                                 "[copies] in its settings; docs/operate/copies.md"));
     }
-    const std::string refusal = relay_.copies.ready() ? relay_.copies.take_over(request.name)
-                                                      : "its own log is not known to stand yet";
+    const std::string refusal = relay_.copies.ready()
+                                    ? relay_.copies.take_over(request.name)
+                                    : "this relay has not confirmed yet that its log is its own";
     if (!refusal.empty())
-      return reply_(admin_error(409, "refused", refusal, "look at \"copies\" in the status of the others"));
+      return reply_(admin_error(409, "refused", refusal, "see \"copies\" in the status of the other relays"));
     reply_({200, "{\"taking_over\":true}"});
   }
 
  private:
-  // `text` is called once the change is durable.
+  // Changes the drain state and answers the request once the change is durable, with the JSON that `text`
+  // returns then.
   void change_drain(const DrainState& to, std::function<std::string()> text) const {
     const Fence highest = relay_.drain.highest_fence();
     if (to.fence < highest) return reply_(admin_fenced(to.fence, highest));
--- a/relay/admin_port.hpp
+++ b/relay/admin_port.hpp
@@ -1,4 +1,5 @@
-// The operator's way into the relay. A build without the admin socket has a null implementation of it.
+// Opens the relay's admin socket for the operator. A build without the admin socket provides a null
+// implementation.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,7 +16,7 @@
 
 namespace heronvane {
 
-// What the operator's requests are answered from.
+// The parts of the relay that the operator's requests read and change.
 struct AdminContext {
   const Config& config;
   const store::Store& store;
@@ -25,15 +26,15 @@
   LogReplication& copies;
 };
 
-// Asked at each of the operator's requests, none of which comes before Front::start().
+// Called for each of the operator's requests; none arrives before Frontend::start().
 using AdminContextSource = std::function<AdminContext()>;
 
-// Listens where the operator's settings ask for it; else the front is one that nobody enters. Throws
-// std::runtime_error where the socket can't be had, or this build has none.
+// Opens the admin socket if the operator's settings ask for one, else returns a NullAdminFrontend. Throws
+// std::runtime_error if the socket can't be opened, or if this build has no admin socket.
 std::unique_ptr<Frontend> open_admin_frontend(boost::asio::io_context& io, const Config& config,
                                               AdminContextSource context);
 
-// The front that nobody enters.
+// Used where the admin socket is off: accepts no connections.
 class NullAdminFrontend : public Frontend {
  public:
   void start() override {}
--- a/relay/clock.hpp
+++ b/relay/clock.hpp
@@ -1,4 +1,5 @@
-// The two clocks: intervals run on the steady one, what outlasts the process is written in wall time.
+// The two clocks, in microseconds: intervals are measured on the steady clock; times that outlast the process
+// are stored as wall time.
 #pragma once
 
 #include <chrono>
--- a/relay/command_line.cpp
+++ b/relay/command_line.cpp
@@ -14,19 +14,19 @@
 const char* const kUsage =
     "heronvane: one relay, in the foreground\n"
     "\n"
-    "  --config FILE      its configuration, JSON (LB_CONFIG)\n"
-    "  --state FOLDER     the folder that lasts (LB_STATE)\n"
+    "  --config FILE      the configuration, JSON (LB_CONFIG)\n"
+    "  --state FOLDER     the state folder, kept over restarts (LB_STATE)\n"
     "  --settings FILE    the operator's settings, TOML (HERONVANE_SETTINGS)\n"
-    "  --run ID           this run's id, 16 hexadecimal digits; else one is drawn\n"
-    "  --undrain FENCE    take a drain back that is kept in the folder\n"
-    "  --force-own        with copies: go on with what this folder holds, holders\n"
-    "                     unasked; what another relay took over may run twice\n"
-    "  --check-config     read the configuration and the settings, say what is there,\n"
-    "                     and end\n"
+    "  --run ID           the id of this run, 16 hexadecimal digits; default: random\n"
+    "  --undrain FENCE    end a drain that is stored in the state folder\n"
+    "  --force-own        with copies: use the state folder without asking the relays\n"
+    "                     that hold copies; messages taken over there may run twice\n"
+    "  --check-config     read the configuration and the settings, print a summary,\n"
+    "                     and exit\n"
     "  --version, -h, --help\n"
     "\n"
-    "Options win over the variables in brackets. SIGTERM ends it, SIGHUP has the\n"
-    "configuration read again.\n";
+    "Options take precedence over the environment variables in brackets. SIGTERM\n"
+    "stops the relay, SIGHUP reloads the configuration.\n";
 
 namespace {
 
@@ -77,7 +77,7 @@
      [](CommandLine& options, const std::string& value) { options.undrain = read_fence(value); }},
 };
 
-// The option of that name in one of the tables, or nullptr.
+// Returns the option called `name` in the table `options`, or nullptr.
 template <class Option, std::size_t size>
 const Option* find_option(const Option (&options)[size], const std::string& name) {
   const auto* const found =
@@ -87,7 +87,7 @@
 
 bool begins_with_dashes(const std::string& argument) { return argument.compare(0, 2, "--") == 0; }
 
-// Reads arguments one after the other.
+// Parses the arguments from first to last.
 class Parser {
  public:
   explicit Parser(const std::vector<std::string>& arguments) : arguments_(arguments) {}
@@ -118,7 +118,7 @@
     valued->set(options_, has_value ? non_empty(name, argument.substr(equals + 1)) : next_value(name));
   }
 
-  // A following option is no value: the value was forgotten.
+  // An argument that begins with dashes is taken for the next option, so the value is missing.
   std::string next_value(const std::string& name) {
     if (next_ == arguments_.size() || begins_with_dashes(arguments_[next_])) throw_missing_value(name);
     return non_empty(name, arguments_[next_++]);
--- a/relay/command_line.hpp
+++ b/relay/command_line.hpp
@@ -1,4 +1,4 @@
-// The command line of `heronvane`. No input or output here.
+// Parses the command line of `heronvane`. Does no input or output.
 #pragma once
 
 #include <cstdint>
@@ -9,13 +9,13 @@
 
 namespace heronvane {
 
-// The options as given. Paths are empty where they are not.
+// The options as given. The path of an option that is not given is empty.
 struct CommandLine {
   std::string config;
   std::string state;
   std::string settings;
-  std::string run;                      // 16 hexadecimal digits; empty: one is to be drawn
-  std::optional<std::int64_t> undrain;  // the fencing token of the drain to take back
+  std::string run;                      // 16 hexadecimal digits; empty: the caller draws one
+  std::optional<std::int64_t> undrain;  // the fencing token that ends a stored drain
   // Use the state folder without asking the replicas of its log whether it is still this relay's.
   bool force_own = false;
   bool check_config = false;
@@ -23,17 +23,17 @@
   bool help = false;
 };
 
-// A command line that can't be understood; what() is one line that names the argument.
+// An invalid command line; what() is one line that names the argument.
 class UsageError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// Reads the arguments behind the program's name. A value follows its option as the next argument or behind
-// '='. Throws UsageError.
+// Parses the arguments after the program's name. The value of an option is the next argument, or follows '='
+// in the same one. Throws UsageError.
 CommandLine read_command_line(const std::vector<std::string>& arguments);
 
-// What --help prints.
+// The text that --help prints.
 extern const char* const kUsage;
 
 }  // namespace heronvane
--- a/relay/committer.cpp
+++ b/relay/committer.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr auto kWriteRetryInterval = std::chrono::milliseconds(50);
-// Guards against a full disk that keeps a core busy.
+// Keeps a full disk from causing a busy loop of failing compaction steps.
 constexpr auto kCompactionRetryInterval = std::chrono::milliseconds(250);
 
 std::unique_ptr<store::SyncThread> make_sync_thread(boost::asio::io_context& io, store::Disk& folder,
@@ -30,7 +30,7 @@
       retry_timer_(io),
       compaction_timer_(io) {}
 
-// Syncs that are under way need the store's files.
+// Joins the sync thread first: a running sync uses the store's files.
 Committer::~Committer() { sync_thread_.reset(); }
 
 void Committer::start() {
@@ -60,8 +60,9 @@
   if (std::exchange(commit_due_, false)) commit();
 }
 
-// Nothing that was planned goes as it was planned: by the time the store can be written the module is asked
-// anew. Clients wait only so long: a request that stands in no record was not taken on.
+// No waiting plan is executed: once the store can be written again, the decision module decides anew. Replies
+// whose records are not written are rejected at once, since clients wait for a limited time and a request
+// without a record was not accepted.
 void Committer::commit_failed() {
   writable_ = false;
   HERONVANE_POINT("not-written");
--- a/relay/committer.hpp
+++ b/relay/committer.hpp
@@ -1,7 +1,8 @@
-// Write ahead: what was decided is written to the store, and done only once its records are durable.
+// Write-ahead execution: writes the records of each plan to the store, and executes the plan only once its
+// records are durable.
 //
-// Owns the store, the plans that wait for their records, and what happens while the store can't be written:
-// then the decision module is not to be asked, and nothing that was planned goes as it was planned.
+// Owns the store and the plans that wait for their records. While the store can't be written, is_writable()
+// is false: the decision module must not be asked, and planned calls are withdrawn.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -19,10 +20,10 @@
 
 namespace heronvane {
 
-// Why a reply that waits for its record is given otherwise.
+// Why a reply that waits for its record is replaced by a rejection.
 enum class CommitFailure {
-  not_written,        // no record says that the request was taken on: it may be sent again
-  durability_unknown  // its record may be durable after all: nothing may be promised
+  not_written,        // the request has no record: the client may send it again
+  durability_unknown  // its record may or may not be durable: the outcome is unknown
 };
 
 // Owned by the relay, outlived by it; called on the event loop's thread only, and calls back there. The
@@ -30,60 +31,63 @@
 class Committer {
  public:
   struct Hooks {
-    // The records of this plan are durable: it may be executed.
+    // Called with a plan whose records are durable: executes it.
     std::function<void(WriteAheadPlan plan)> execute;
     std::function<void(std::vector<WriteAheadPlan::PendingReply> replies, CommitFailure why)> reject;
-    // A planned call that is withdrawn, for each message in it: it has not begun.
+    // Called for each message of a planned call that is withdrawn before it began.
     Outbox::Withdrawn withdrawn;
-    // Plans wait for records that were just written.
+    // Called when plans still wait for records that were just written to become durable.
     std::function<void()> plans_pending;
-    // The store can be written again: what was kept back meanwhile may be told now.
+    // Called when the store can be written again after a failure: decisions and events that were held back
+    // may go on.
     std::function<void()> writable_again;
-    // Records wait for long: requests past their deadline are owed their end all the same.
+    // Called on each write retry while writes fail or plans wait: ends the requests whose deadline has
+    // passed, without waiting for their records.
     std::function<void()> expire_overdue;
   };
 
-  // Reads the store; `folder` outlives this. Throws store::StoreError or std::system_error, with nothing
-  // changed. No hook is called before start().
+  // Opens and reads the store; `folder` outlives this. Throws store::StoreError or std::system_error, and
+  // then has changed nothing. Calls no hook before start().
   Committer(boost::asio::io_context& io, store::Disk& folder, store::Options options, Hooks hooks);
-  // Waits for syncs that are under way.
+  // Waits for running syncs to finish.
   ~Committer();
   Committer(const Committer&) = delete;
   Committer& operator=(const Committer&) = delete;
 
-  // From here on the store's syncs are heard.
+  // Subscribes to the store's completed syncs.
   void start();
 
   store::Store& store() { return store_; }
   const store::Store& store() const { return store_; }
 
-  // Writes all records so far, with those of `plan`; executes it, and those before it, once they are durable.
+  // Writes all records that were added so far, then executes `plan`, and the plans before it, once their
+  // records are durable.
   void commit(WriteAheadPlan plan = {});
-  // The same, once for all that comes in one turn of the loop.
+  // Posts a commit() to the loop, one for all calls until it runs.
   void commit_soon();
-  // Runs a commit_soon() that is due, now.
+  // Runs a commit() that commit_soon() has posted, at once.
   void commit_if_due();
-  // Durability has moved on: executes the plans whose records are durable now.
+  // Called when more records have become durable: executes the plans whose records are durable now.
   void durable_advanced();
-  // Compacts the store in steps while it asks for that.
+  // Compacts the store, one step a turn of the loop, as long as it wants compaction.
   void compact_if_wanted();
 
-  // Keeps a value over restarts, an empty one drops it; false where there is no room. While the store can't
-  // be written the last value of each key waits.
+  // Stores a value that outlasts a restart; an empty value removes the key. Returns false if the store has no
+  // capacity. While the store can't be written, the last value of each key is held in memory until it can.
   bool keep(const std::string& key, const std::string& value);
 
-  // False since a write failed: nothing is to be decided until one succeeds.
+  // False after a failed write until one succeeds; meanwhile nothing may be decided.
   bool is_writable() const { return writable_; }
   bool commit_is_due() const { return commit_due_; }
   bool has_waiting_plans() const { return !outbox_.empty(); }
-  // Nothing waits to be written or to become durable.
+  // True if no record waits to be written or to become durable.
   bool is_settled() const;
 
-  // Takes back planned calls that have not begun.
+  // Withdraw planned calls that have not begun: to one endpoint, one attempt of a message, or all.
   void withdraw(const EndpointId& endpoint) { outbox_.withdraw(endpoint, hooks_.withdrawn); }
   void withdraw(MessageId id, int attempt) { outbox_.withdraw(id, attempt, hooks_.withdrawn); }
   void withdraw_all() { outbox_.withdraw_all(hooks_.withdrawn); }
-  // Rejects all replies that wait, as of unknown durability.
+  // Rejects all waiting replies with CommitFailure::durability_unknown.
   void reject_waiting_replies();
 
  private:
@@ -97,7 +101,7 @@
 
   boost::asio::io_context& io_;
   const Hooks hooks_;
-  std::unique_ptr<store::SyncThread> sync_thread_;  // where records must outlast the machine
+  std::unique_ptr<store::SyncThread> sync_thread_;  // null unless records must survive a crash of the machine
   store::Store store_;
   Outbox outbox_;
   bool writable_ = true;
--- a/relay/config.cpp
+++ b/relay/config.cpp
@@ -19,16 +19,17 @@
 
 const std::string kRoot = "config";  // the path of the whole document in error texts
 
-// Descriptors that are no connections of clients or to endpoints: standard streams, the event loop, signals,
-// the store's files, discovery, datagrams, the listener, and a connection that is being rejected.
+// File descriptors other than connections of clients and to endpoints: standard streams, the event loop,
+// signals, the store's files, discovery, the gossip socket, the listener, and a connection that is being
+// rejected.
 constexpr std::size_t kOtherFiles = 24;
-// The admin socket's: its listener, its connections, and one that is being rejected.
+// File descriptors of the admin socket: its listener, its connections, and one that is being rejected.
 constexpr std::size_t kAdminFiles = 10;
-// Replication's: connections to members and from them, three files for each replica log.
+// File descriptors of replication: connections to and from members, and three files for each replica log.
 constexpr std::size_t kCopiesFiles = 80;
 constexpr int kMinSockets = 64;
 constexpr int kSeedBase = 16;
-constexpr double kBytesPerMegabyte = 1e6;  // the smaller of the two readings of a megabyte
+constexpr double kBytesPerMegabyte = 1e6;  // decimal, the smaller of the two common definitions
 constexpr double kMaxMegabytes = 1e9;
 
 boost::asio::ip::udp::endpoint as_udp_endpoint(const Value& value, const std::string& path) {
@@ -98,7 +99,7 @@
   }
 }
 
-// A call in flight needs a descriptor, whatever the settings allow.
+// Each call in flight needs a file descriptor, so the setting is capped at the number available.
 void limit_concurrent_calls(Config& config) {
   config.settings.max_concurrent_calls =
       std::min(config.settings.max_concurrent_calls, static_cast<int>(config.endpoint_connections));
@@ -118,7 +119,7 @@
   }
 }
 
-// Takes descriptors for the admin socket and for replication out of the shares for connections.
+// Reduces the numbers of connections by the file descriptors of the admin socket and of replication.
 void reserve_descriptors(Config& config) {
   if (config.own.admin.socket) {
     config.client_connections -= kAdminFiles / 2;
@@ -130,7 +131,7 @@
   }
 }
 
-// Puts the file's path before the text of an error.
+// Reads the configuration in `file`. The text of an error begins with the file's path.
 Config read_config_of(const std::string& file) {
   const std::string text = read_text_file(file, "configuration");
   try {
--- a/relay/config.hpp
+++ b/relay/config.hpp
@@ -17,48 +17,48 @@
 
 namespace heronvane {
 
-// The relay's configuration as read from its file and the operator's settings; checked.
+// The relay's validated configuration, from its file and the operator's settings.
 struct Config {
   std::string name;
-  boost::asio::ip::tcp::endpoint listen;     // of the listener for clients
-  boost::asio::ip::tcp::endpoint discovery;  // of the control plane
-  std::string state_folder;                  // the durable store's; empty: none is named
-  std::uint64_t seed = 0;                    // of the decision module's random numbers
-  // Shares of the file descriptors that the process may hold.
+  boost::asio::ip::tcp::endpoint listen;     // where clients connect
+  boost::asio::ip::tcp::endpoint discovery;  // the control plane's address
+  std::string state_folder;                  // of the durable store; empty: not configured
+  std::uint64_t seed = 0;                    // for the decision module's random numbers
+  // How the file descriptors that the process may hold are divided.
   std::size_t client_connections = 0;
-  std::size_t endpoint_connections = 0;                       // for calls in flight and cached connections
-  std::uint64_t memory_bytes = 0;                             // for requests that are being read
-  std::uint64_t disk_bytes = 0;                               // that the state folder may hold
-  std::optional<boost::asio::ip::udp::endpoint> peer_listen;  // of gossip; nothing: there is none
+  std::size_t endpoint_connections = 0;  // for calls in flight and cached connections
+  std::uint64_t memory_bytes = 0;        // limit for request bodies, endpoint lists and the store
+  std::uint64_t disk_bytes = 0;          // limit of the state folder's size
+  std::optional<boost::asio::ip::udp::endpoint> peer_listen;  // where gossip is received; empty: no gossip
   std::optional<boost::asio::ip::udp::endpoint> peers_all;    // the multicast group of all peers
-  std::vector<boost::asio::ip::udp::endpoint> peers;          // by their rank
+  std::vector<boost::asio::ip::udp::endpoint> peers;          // in the order of their relay indexes
   heronvane::dispatch::Settings settings;
   heronvane::dispatch::adapter::NameTables names;  // of the classes, tenants, zones and kinds in `settings`
-  bool reports_in_answers = false;                 // endpoints put load reports into their answers
-  std::int64_t generation = 0;  // of the agent's desired state that it was written for; 0: none
-  EndpointList known;           // the endpoint list as it was when the file was written
+  bool reports_in_answers = false;                 // whether endpoints put load reports into their answers
+  std::int64_t generation = 0;                     // of the agent's desired state; 0: none
+  EndpointList known;                              // the endpoint list as it was when the file was written
   OperatorSettings own;
 };
 
-// Reads the configuration's JSON, without state folder and operator's settings. Throws an exception whose
-// text names the field that is malformed: WireError, or std::invalid_argument from validate().
+// Reads the configuration from JSON; the state folder and the operator's settings are not part of it. Throws
+// WireError, or std::invalid_argument from validate(); the text names the malformed field.
 Config read_config(const std::string& json);
 
-// Paths of what makes up a configuration; empty: none is named.
+// Paths of the files and the folder that make up a configuration; empty: not given.
 struct ConfigPaths {
   std::string config;
   std::string state;     // the folder of the durable store
-  std::string settings;  // the operator's
+  std::string settings;  // the operator's settings
 };
 
-// From the command line, else from the environment: LB_CONFIG, LB_STATE, HERONVANE_SETTINGS.
+// Takes each path from the command line, else from the environment: LB_CONFIG, LB_STATE, HERONVANE_SETTINGS.
 ConfigPaths find_config_paths(const CommandLine& options);
 
-// Reads the files at `paths`. `paths.state` may be empty. Throws an exception whose text names the file and
-// the field, or says what is missing; std::system_error where a file can't be read.
+// Reads the files at `paths`; `paths.state` may be empty. Throws an exception whose text names the file and
+// the malformed field, or the missing option; std::system_error if a file can't be read.
 Config load_config(const ConfigPaths& paths);
 
-// One line on a configuration, for an operator.
+// Summarises a configuration for the operator in one line.
 std::string summary(const Config& config, const ConfigPaths& paths);
 
 }  // namespace heronvane
--- a/relay/core/completed_request_cache.hpp
+++ b/relay/core/completed_request_cache.hpp
@@ -1,4 +1,4 @@
-// Client ids of requests that were completed lately: a duplicate of one is not sent again.
+// Caches the client ids of recently completed requests, so that a duplicate is not delivered again.
 #pragma once
 
 #include <deque>
@@ -9,12 +9,13 @@
 
 namespace heronvane {
 
-// Bounded: past its capacity the id that expires first is dropped. No clock: times are handed in.
+// Holds at most kCapacity ids; beyond that the id that expires first is dropped. Reads no clock: the caller
+// passes the time.
 class CompletedRequestCache {
  public:
   explicit CompletedRequestCache(Microseconds lifetime) : lifetime_(lifetime) {}
 
-  // `now` ascends from call to call.
+  // `now` must not decrease from call to call.
   void add(const std::string& id, Microseconds now) {
     while (!by_expiry_.empty() && (now >= by_expiry_.front().expires || by_expiry_.size() >= kCapacity)) {
       ids_.erase(by_expiry_.front().id);
--- a/relay/core/cycle_pacing.hpp
+++ b/relay/core/cycle_pacing.hpp
@@ -1,8 +1,8 @@
-// How soon a decision cycle may follow the last one. No clock: durations are handed in.
+// Computes the minimum interval between decision cycles. Reads no clock: the caller passes durations.
 //
-// Where the settings' minimum interval binds, after that. Elsewhere a request need not wait for it: cycles
-// follow each other after a multiple of what one of them takes, so that under load they grow in place of
-// their number.
+// Normally it is the settings' minimum interval. If early cycles are allowed, an urgent cycle may follow
+// sooner, after a multiple of the mean duration of a cycle: under load, cycles then handle more requests each
+// instead of running more often.
 #pragma once
 
 #include <algorithm>
@@ -11,18 +11,19 @@
 
 namespace heronvane {
 
-// Says how soon the next decision cycle may run.
+// All durations are in microseconds.
 class CyclePacing {
  public:
   using Microseconds = heronvane::dispatch::Microseconds;
-  // `interval`: between two cycles; `early`: cycles may come sooner where something may be sent at once.
+  // `interval` is the minimum interval; with `early`, cycles may run sooner if something can be sent at once.
   CyclePacing(Microseconds interval, bool early) : interval_(interval), early_(early) {}
 
   // Records the duration of a cycle.
   void record_duration(Microseconds duration) {
     mean_ += kGain * (static_cast<double>(std::max<Microseconds>(duration, 0)) - mean_);
   }
-  // From one cycle's start to the next one's at least: for what may be sent at once, and for all else.
+  // The minimum time from the start of a cycle to the start of the next: if something can be sent at once,
+  // and otherwise.
   Microseconds urgent() const {
     if (!early_) return interval_;
     return std::clamp(static_cast<Microseconds>(kDurationMultiple * mean_),
@@ -32,7 +33,7 @@
 
  private:
   static constexpr double kGain = 0.1;            // weight of the newest duration in the mean
-  static constexpr double kDurationMultiple = 6;  // a seventh of the time is spent in cycles
+  static constexpr double kDurationMultiple = 6;  // cycles take about a seventh of the time
   static constexpr Microseconds kMinUrgentInterval = 800;
 
   Microseconds interval_;
--- a/relay/core/decision_cycle.cpp
+++ b/relay/core/decision_cycle.cpp
@@ -7,7 +7,7 @@
 namespace heronvane {
 namespace {
 
-// A moment that has passed is due now.
+// The time from now until `moment`; 0 if it has passed.
 std::chrono::microseconds until(Microseconds moment) {
   return std::chrono::microseconds(std::max<Microseconds>(moment - steady_now(), 0));
 }
--- a/relay/core/decision_cycle.hpp
+++ b/relay/core/decision_cycle.hpp
@@ -1,7 +1,7 @@
-// The decision cycle: gathers events, hands them to the decision module, and says when that happens next.
+// The decision cycle: collects events, passes them to the decision module, and schedules the next cycle.
 //
-// Cycles are paced (cycle_pacing.hpp): what came in between two of them is decided on together. The module's
-// own timers come back to it as events.
+// Cycles are paced (cycle_pacing.hpp): all events that arrive between two cycles are decided on together. The
+// module's own timers are returned to it as events.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -22,9 +22,9 @@
 class DecisionCycle {
  public:
   struct Hooks {
-    // Asked as a cycle begins; false: nothing happens, until the next schedule().
+    // Called before a cycle; if it returns false, the cycle is skipped, and the next one needs a schedule().
     std::function<bool()> may_run;
-    // The cycle's work, which calls decide() where the module is to be asked.
+    // Does the cycle's work, and calls decide() to ask the module.
     std::function<void()> run;
   };
   enum class Urgency {
@@ -35,21 +35,22 @@
   DecisionCycle(boost::asio::io_context& io, const heronvane::dispatch::Settings& settings,
                 std::uint64_t seed, CyclePacing pacing, Hooks hooks);
 
-  // Hands an event to the next decide(), whenever that is; notify() sees to it that a cycle comes.
+  // Add an event for the next decide(). enqueue() schedules no cycle, notify() does.
   void enqueue(heronvane::dispatch::Event event);
   void notify(heronvane::dispatch::Event event);
-  // A cycle follows the last one as soon as the pacing lets it.
+  // Schedules a cycle for the earliest time that the pacing allows.
   void schedule(Urgency urgency = Urgency::usual);
-  // A cycle now.
+  // Runs a cycle at once.
   void run();
 
-  // Within a cycle: the module's decision on all events so far. Times are the cycle's start.
+  // Called within a cycle: returns the module's actions for all events so far. The module's current time is
+  // the start of the cycle.
   std::vector<heronvane::dispatch::Action> decide();
-  // The module's timer, `after` the cycle's start.
+  // Sets a timer of the module, `after` microseconds from the start of the cycle.
   void set_timer(Microseconds after, std::uint64_t token);
-  // When the last cycle began, on the steady clock.
+  // The start of the last cycle, on the steady clock.
   Microseconds started_at() const { return started_at_; }
-  // What the module learned and gives out to be stored, at most so many.
+  // Takes at most `most` changed endpoint states from the module, to be stored.
   std::vector<heronvane::dispatch::LearnedState> take_changed_state(std::size_t most);
   const heronvane::dispatch::Dispatcher& dispatcher() const { return dispatcher_; }
 
@@ -61,9 +62,9 @@
   const Hooks hooks_;
   CyclePacing pacing_;
   std::vector<heronvane::dispatch::Event> events_;
-  std::multimap<Microseconds, std::uint64_t> timers_;  // the module's, by the steady clock
+  std::multimap<Microseconds, std::uint64_t> timers_;  // the module's, by due time on the steady clock
   Microseconds started_at_ = 0;
-  std::optional<Microseconds> due_at_;  // of the next cycle, where one is scheduled
+  std::optional<Microseconds> due_at_;  // due time of the next cycle; empty: none is scheduled
   Timer cycle_timer_;
   Timer module_timer_;
 };
--- a/relay/core/directory.cpp
+++ b/relay/core/directory.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::size_t kMaxDestinationsWithoutEndpoints = 10'000;
 
-// Whether the decision module would see no difference.
+// Whether the two are equal in all fields that the decision module uses.
 bool is_same(const Endpoint& a, const Endpoint& b) {
   return a.destination == b.destination && a.zone == b.zone && a.kind == b.kind && a.listing == b.listing &&
          a.weight == b.weight && a.since == b.since;
@@ -63,7 +63,7 @@
     remove(it, changes);
     return;
   }
-  // The decision module may still know it.
+  // Reported although it is not listed here, since the decision module may still know it.
   changes.endpoints.push_back(endpoint);
   changes.inactive.push_back(endpoint.id);
 }
@@ -79,7 +79,7 @@
   }
 }
 
-// Keeps the set from growing for ever.
+// Bounds the set of known destinations: beyond the limit, those without endpoints are dropped.
 void Directory::limit_destinations() {
   if (destinations_.size() <= kMaxDestinationsWithoutEndpoints + endpoints_.size()) return;
   destinations_.clear();
--- a/relay/core/directory.hpp
+++ b/relay/core/directory.hpp
@@ -1,7 +1,7 @@
-// The endpoints that are listed, by their ids and by their destinations. No input or output here.
+// The listed endpoints, by id and by destination. Does no input or output.
 //
-// A list is compared with what is known, and only what it changes is returned: an update costs what changed,
-// not what is listed.
+// Compares each list with the current entries and returns only the differences, so that the decision module's
+// work depends on the number of changes, not on the length of the list.
 #pragma once
 
 #include <cstddef>
@@ -19,35 +19,35 @@
 // Not thread-safe.
 class Directory {
  public:
-  // What a list changed.
+  // The differences that a list made.
   struct Changes {
-    // Each endpoint once: those that are new, that differ, and (as gone) that were removed.
+    // New, changed and removed endpoints, each once; the listing of a removed one is `gone`.
     std::vector<heronvane::dispatch::Endpoint> endpoints;
-    // Those of them that are draining or gone.
+    // The ids of those among them that are draining or gone.
     std::vector<heronvane::dispatch::EndpointId> inactive;
   };
 
-  // Called for an endpoint that a snapshot leaves out, before it is forgotten.
+  // Called for an endpoint that a snapshot leaves out, before it is removed.
   using Removed = std::function<void(const heronvane::dispatch::EndpointId&)>;
-  // Called for each endpoint that a list names. The directory keeps no addresses.
+  // Called for each entry of a list, since the directory stores no addresses.
   using Named = std::function<void(const ListedEndpoint&)>;
 
   // Applies a snapshot, an update, or a part of one. Endpoints that a snapshot leaves out are removed with
   // its last part, unless another snapshot has begun meanwhile.
   Changes apply(const EndpointList& list, const Removed& removed, const Named& named);
 
-  // Null where it is not listed; valid until the next list.
+  // Null if the endpoint is not listed. The pointer is valid until the next apply().
   const heronvane::dispatch::Endpoint* find(const heronvane::dispatch::EndpointId& id) const;
 
-  // The endpoints of a destination, in no order; valid until the next list.
+  // The endpoints of a destination, unordered. The reference is valid until the next apply().
   const std::vector<heronvane::dispatch::EndpointId>& endpoints_of(
       heronvane::dispatch::DestinationId destination) const;
 
-  // All that are listed, in no order.
+  // All listed endpoints, unordered.
   std::vector<heronvane::dispatch::Endpoint> all() const;
 
-  // Whether any list has named that destination, or add_destination() has. Of the destinations without
-  // endpoints many thousands are remembered at least.
+  // Whether a list has named the destination, or add_destination() has added it. Destinations without
+  // endpoints are remembered up to a limit of 10,000.
   bool knows_destination(heronvane::dispatch::DestinationId destination) const {
     return destinations_.contains(destination);
   }
@@ -60,7 +60,7 @@
  private:
   struct Entry {
     heronvane::dispatch::Endpoint endpoint;
-    std::uint64_t snapshot = 0;  // the serial of the snapshot that had begun when it was named last
+    std::uint64_t snapshot = 0;  // serial of the snapshot in which the endpoint was last named
   };
   using Entries = std::unordered_map<heronvane::dispatch::EndpointId, Entry>;
 
@@ -74,9 +74,9 @@
   Entries endpoints_;
   std::unordered_map<heronvane::dispatch::DestinationId, std::vector<heronvane::dispatch::EndpointId>>
       by_destination_;
-  std::unordered_set<heronvane::dispatch::DestinationId> destinations_;  // that were named
+  std::unordered_set<heronvane::dispatch::DestinationId> destinations_;  // all that were named
   std::size_t active_ = 0;                                               // endpoints whose listing is active
-  std::uint64_t snapshot_ = 0;  // the serial of the snapshot that began last
+  std::uint64_t snapshot_ = 0;                                           // serial of the latest snapshot
 };
 
 }  // namespace heronvane
--- a/relay/core/drain.hpp
+++ b/relay/core/drain.hpp
@@ -1,8 +1,7 @@
-// The drain of a relay, and the fence that orders who may ask for it, as they outlast the process. No clock
-// here.
+// The stored state of a relay's drain, and of the fence that orders the operations that may change it.
 //
-// Fences ascend with an agent's operations: a request under a lower one than the highest seen comes from an
-// operation that was overtaken.
+// Fences increase with an agent's operations: a request with a lower fence than the highest seen comes from
+// an operation that a later one has replaced.
 #pragma once
 
 #include <cstdint>
@@ -17,31 +16,33 @@
 
 namespace heronvane {
 
-// The fencing token of an operator's operation: one that is lower than the highest seen is refused.
+// The fencing token of an operator's operation; refused if it is lower than the highest seen.
 using Fence = std::int64_t;
-// Operations' ids go on from the highest fence seen: a slip of the hand must not leave them no room, nor a
-// number that JSON's readers can't tell from the next.
+// The ids of operations continue from the highest fence seen. The limit keeps a mistyped fence from
+// exhausting them, and from exceeding the integers that JSON readers represent exactly.
 inline constexpr Fence kMaxFence = Fence{1} << 52;
 
 struct DrainState {
   Fence fence = 0;             // the highest seen
-  std::optional<Fence> drain;  // draining, asked for under this one
+  std::optional<Fence> drain;  // the fence of the drain in force; empty: none
   bool operator==(const DrainState&) const = default;
 };
 
-// The facts' keys: what endpoints left behind must not keep a relay from being drained.
+// The keys of the drain's facts in the store. They are vital: stored endpoint states must not use up the
+// capacity for them.
 std::set<std::string> drain_facts();
 
-// From the store's facts `drain` and `fence`. A drain that can't be read is one.
+// Reads the state from the store's facts `drain` and `fence`. A malformed `drain` counts as a drain.
 DrainState read_drain(const std::map<std::string, std::string>& facts);
 
-// Keeps a value by its key over restarts, an empty one drops it; false where there is no room.
+// Stores a value under a key over restarts; an empty value removes the key. Returns false if the store has no
+// capacity.
 using KeepFact = std::function<bool(const std::string& key, const std::string& value)>;
 bool keep_drain(const DrainState& state, const KeepFact& keep);
 
-// The file `drained`, whole or not at all: {"fence":N,"run":"..."}.
+// Writes the file `drained`, {"fence":N,"run":"..."}, by an atomic rename.
 std::error_code write_drained(store::Disk& folder, Fence fence, const std::string& run);
-// Removes it, and what a kill left of one that was being written.
+// Removes the file `drained`, and a temporary file that a killed process left.
 void remove_drained(store::Disk& folder);
 
 }  // namespace heronvane
--- a/relay/core/in_flight_gauge.cpp
+++ b/relay/core/in_flight_gauge.cpp
@@ -31,7 +31,7 @@
   counts.by_class = by_class_;
   if (by_start_.empty()) return counts;
   counts.oldest = std::max<Microseconds>(0, now - by_start_.begin()->first * kResolution);
-  // The newest first: what is older than the last bound is the rest, and is not looked at.
+  // Newest first: the loop stops at the last bound, and all older requests are counted by subtraction.
   std::size_t seen = 0;
   // NOLINTNEXTLINE(modernize-loop-convert): clang 14 can't compile std::views::reverse of this library
   for (auto entry = by_start_.rbegin(); entry != by_start_.rend(); ++entry) {
--- a/relay/core/learned_state_store.cpp
+++ b/relay/core/learned_state_store.cpp
@@ -16,10 +16,10 @@
 
 const std::string kKeyPrefix = "target/";  // of the keys in the store
 constexpr int kFormatVersion = 1;
-constexpr int kPrecision = 9;                                       // digits of fractional numbers
+constexpr int kPrecision = 9;  // significant digits of floating-point numbers
 constexpr Microseconds kMaxAge = Microseconds{7} * 86'400'000'000;  // a week
 
-// The wait by Retry-After alone.
+// Copies the Retry-After wait and drops everything else.
 LearnedState without_health(const LearnedState& state) {
   LearnedState rest;
   rest.endpoint = state.endpoint;
--- a/relay/core/lifecycle.hpp
+++ b/relay/core/lifecycle.hpp
@@ -1,6 +1,6 @@
-// The phases of a relay from its start to the end of its graceful shutdown, and what each phase admits.
+// The phases of a relay from its start to the end of its graceful shutdown, and what each phase allows.
 //
-// No clock, no input or output: times are those of steady_now() and are handed in.
+// Does no input or output and reads no clock: the caller passes times of steady_now().
 #pragma once
 
 #include <cstddef>
@@ -14,30 +14,30 @@
  public:
   enum class Phase {
     running,
-    stopping,       // asked to end: clients are still answered, attempts still begin
-    awaiting_calls  // no attempt begins any more; the calls that are out may come back
+    stopping,       // shutting down: clients are still answered, attempts still begin
+    awaiting_calls  // no attempt begins any more; calls in flight may still be answered
   };
 
-  // What a phase admits.
+  // What a phase allows.
   struct Rules {
-    bool reports_ready;       // the health check may say that requests are welcome
+    bool reports_ready;       // the health check may report the relay as ready
     bool decides;             // the decision module is asked
     bool may_leave_requests;  // requests in flight may stay in the store for the next incarnation
   };
 
-  // What must be over before a graceful shutdown ends early.
+  // The work that must be finished before a graceful shutdown may end early.
   struct OpenWork {
     std::size_t calls_in_flight = 0;
     std::size_t requests_held = 0;
     std::size_t client_connections = 0;
     bool requests_queued = false;  // received, not yet seen by a decision cycle
     bool notifications_owed = false;
-    bool writes_pending = false;  // records that are not written, or plans that wait for theirs
+    bool writes_pending = false;  // records are not written, or plans wait for their records
   };
 
-  // Since the stop: how long client connections that rest stay open, how long new ones are accepted, how long
-  // attempts begin, and when the process ends whatever is open. SIGKILL follows SIGTERM no sooner than 3.7 s
-  // later.
+  // Limits since the stop, in microseconds: how long idle client connections stay open, how long new ones are
+  // accepted, how long attempts begin, and when the process ends whatever is still open. SIGKILL follows
+  // SIGTERM no sooner than 3.7 s later.
   static constexpr Microseconds kIdleTime = 400'000;
   static constexpr Microseconds kAcceptTime = 600'000;
   static constexpr Microseconds kBeginCallsTime = 1'500'000;
@@ -46,11 +46,11 @@
   Phase phase() const { return phase_; }
   Rules rules() const;
 
-  // Begins the shutdown; false, with nothing changed, where it has begun already.
+  // Begins the shutdown; returns false and changes nothing if it has begun already.
   bool begin_stop(Microseconds now);
-  // Moves on to awaiting_calls when that is due; true in the one call that does.
+  // Enters the phase awaiting_calls when it is due; returns true only in the call that enters it.
   bool advance(Microseconds now);
-  // While stopping: whether the time for client connections that rest is over.
+  // While stopping: whether the time for idle client connections is over.
   bool idle_time_is_over(Microseconds now) const { return now - stop_began_ >= kIdleTime; }
   // While stopping: whether the time for new client connections is over.
   bool accept_time_is_over(Microseconds now) const { return now - stop_began_ >= kAcceptTime; }
--- a/relay/core/list_reader.cpp
+++ b/relay/core/list_reader.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-const std::string kPath = "members";            // of the list in error texts
-const std::string kEndpointsKey = "endpoints";  // the member of the list that holds its entries
+const std::string kPath = "members";            // name of the list in error texts
+const std::string kEndpointsKey = "endpoints";  // the key of the array that holds the entries
 constexpr const char* kWhitespace = " \t\r\n";
 constexpr int kEntryDepth = 2;  // open brackets around an entry
 
-// Parses without recursion: thousands of open brackets would overflow the stack.
+// Parses iteratively: with recursion, thousands of open brackets would overflow the stack.
 rapidjson::Document parse(const std::string& text) {
   rapidjson::Document document;
   document.Parse<rapidjson::kParseIterativeFlag>(text.data(), text.size());
@@ -29,7 +29,7 @@
 
 ListReader::ListReader(std::string text, const NameTables& names) : text_(std::move(text)), names_(names) {}
 
-// The entry is read as a list of its own.
+// Reads the entry as a list with one element.
 void ListReader::read_entry() {
   const std::size_t content = text_.find_first_not_of(kWhitespace, entry_begin_);
   if (content >= offset_) throw_malformed(kPath + ".endpoints", "holds an empty entry");
@@ -44,14 +44,14 @@
   auto frame = read_endpoint_list(parse(frame_), kPath, names_);
   list_.index = frame.index;
   list_.snapshot = frame.snapshot;
-  // Entries that were not cut out.
+  // The entries of an array that the scan did not recognize.
   if (!frame.endpoints.empty()) list_.endpoints = std::move(frame.endpoints);
   done_ = true;
 }
 
 void ListReader::scan_string(char c) {
   if (c == '\\') {
-    // An escaped name may be the array's: then all is read with the frame.
+    // An escaped key may be the array's key: the whole list is then read with the frame.
     if (depth_ == 1) position_ = Position::behind_array;
     offset_++;
     return;
@@ -73,7 +73,7 @@
 void ListReader::close_bracket() {
   if (position_ == Position::in_array && depth_ == kEntryDepth) {
     const std::size_t content = text_.find_first_not_of(kWhitespace, entry_begin_);
-    // An array without any entry is no error; an empty entry behind a comma is one.
+    // An empty array is valid; an empty entry after a comma is an error.
     if (content < offset_ || text_[entry_begin_ - 1] == ',') read_entry();
     position_ = Position::behind_array;
     copied_ = offset_;
--- a/relay/core/list_reader.hpp
+++ b/relay/core/list_reader.hpp
@@ -1,7 +1,7 @@
-// Reads a long endpoint list in slices, with the result of read_endpoint_list(), so that a list of many
-// thousand endpoints does not block the event loop. No input or output here.
+// Parses a long endpoint list in slices, so that a list of many thousand endpoints does not block the event
+// loop. The result equals that of read_endpoint_list(). Does no input or output.
 //
-// The entries of the list are cut out of the text and read one by one; what is left, the frame, is read at
+// The entries are cut out of the text and parsed one by one; the rest of the text, the frame, is parsed at
 // the end.
 #pragma once
 
@@ -20,15 +20,15 @@
   // `names` must outlive it.
   ListReader(std::string text, const heronvane::dispatch::adapter::NameTables& names);
 
-  // Reads about so many bytes more; true once all is read. Throws WireError on a malformed list, of which
-  // nothing is to be used then.
+  // Parses about `bytes` more bytes; true once the whole text is parsed. Throws WireError on a malformed
+  // list; the result must not be used then.
   bool step(std::size_t bytes);
 
-  // The list, once all is read; it is moved out.
+  // Moves the list out, once step() has returned true.
   EndpointList take() { return std::move(list_); }
 
  private:
-  // Where the scan is, seen from the array whose entries are cut out.
+  // The position of the scan relative to the array of entries.
   enum class Position { before_array, in_array, behind_array };
 
   void scan(char c);
@@ -42,15 +42,15 @@
   std::string text_;
   const heronvane::dispatch::adapter::NameTables& names_;
   EndpointList list_;
-  std::string frame_;       // the text without the entries, as far as it was copied
-  std::size_t offset_ = 0;  // the byte that is looked at next
-  std::size_t copied_ = 0;  // the end of what the frame has or leaves out
+  std::string frame_;       // the text without the entries, copied so far
+  std::size_t offset_ = 0;  // of the next byte to scan
+  std::size_t copied_ = 0;  // end of the text that was copied to the frame or cut out
   std::size_t entry_begin_ = 0;
   std::size_t string_begin_ = 0;
   int depth_ = 0;  // open brackets
   bool in_string_ = false;
   Position position_ = Position::before_array;
-  std::string last_string_;  // the last one in the outermost object
+  std::string last_string_;  // the last string at depth 1
   bool done_ = false;
 };
 
--- a/relay/core/log_replication.hpp
+++ b/relay/core/log_replication.hpp
@@ -1,4 +1,4 @@
-// What the relay asks of the replication of its log at other relays (relay/copies), where that is on.
+// The relay's interface to the replication of its log at other relays (relay/copies).
 #pragma once
 
 #include <string>
@@ -17,21 +17,24 @@
   LogReplication(const LogReplication&) = delete;
   LogReplication& operator=(const LogReplication&) = delete;
 
-  // Begins to speak to other relays. Until ready() nothing that the log holds may be acted on.
+  // Starts communicating with other relays. Until ready() the messages in the log must not be processed.
   virtual void start() = 0;
-  // The log is known to be this relay's.
+  // Whether the log is confirmed to be this relay's.
   virtual bool ready() const = 0;
-  // Too few replicas have what was written a while ago: nothing more is to be admitted.
+  // Whether too few replicas have acknowledged records that were written a while ago: no request may be
+  // admitted then.
   virtual bool is_under_replicated() const = 0;
-  // Something waits for what was written: it is sent at once, not within a few milliseconds.
+  // Sends written records at once instead of within a few milliseconds, since plans wait for their
+  // replication.
   virtual void send_now() = 0;
-  // The message is of a log whose failover is not decided, and must not be touched.
+  // Whether the message belongs to a log whose failover is not decided yet; it must not be processed then.
   virtual bool is_failover_pending(MessageId number) const = 0;
-  // Begins the failover of that relay's log. Returns at once: the reason where it is refused, else empty.
+  // Begins the failover of the log of the relay `name`. Returns at once: empty, or the reason if it is
+  // refused.
   virtual std::string take_over(const std::string& name) = 0;
-  // A JSON object for the status.
+  // The status of replication as a JSON object; empty if it is off.
   virtual std::string status_json() const = 0;
-  // Who may hold replicas from now on, and their addresses.
+  // Replaces the members that may hold replicas, with their addresses.
   virtual void members(std::vector<copies::Settings::Member> members) = 0;
 };
 
--- a/relay/core/object_splitter.cpp
+++ b/relay/core/object_splitter.cpp
@@ -6,7 +6,8 @@
   std::string object = text_.substr(begin_, end - begin_);
   begin_ = end;
   offset_ = end;
-  // The text is moved once most of it is cut out, so that each byte moves a bounded number of times.
+  // Erases the consumed part only once it exceeds half of the text, so that each byte is moved a bounded
+  // number of times.
   if (begin_ > text_.size() / 2) {
     text_.erase(0, begin_);
     begin_ = 0;
--- a/relay/core/object_splitter.hpp
+++ b/relay/core/object_splitter.hpp
@@ -1,5 +1,5 @@
-// Cuts a stream of JSON objects into one text an object, whether they stand one a line or over several. No
-// input or output here; each byte is looked at once.
+// Splits a stream of JSON objects into one text for each object; an object may span several lines. Does no
+// input or output, and scans each byte once.
 #pragma once
 
 #include <cstddef>
@@ -15,15 +15,16 @@
   // Appends the next bytes of the stream.
   void put(std::string_view bytes) { text_ += bytes; }
 
-  // The next complete object; nothing while there is none. Bytes that can't begin an object come back up to
-  // the end of their line, for whoever parses them to reject.
+  // The next complete object; empty while there is none. Bytes that can't begin an object are returned up to
+  // the end of their line, so that the caller's parser rejects them.
   std::optional<std::string> next();
 
-  // An object has begun and is not complete.
+  // Whether an object has begun and is not complete.
   bool inside() const { return depth_ > 0; }
-  // Lines that ended outside of an object, empty or not, since the start: each is a heartbeat.
+  // The number of lines since the start that ended outside an object, empty or not: each counts as a
+  // heartbeat.
   std::size_t line_ends() const { return line_ends_; }
-  // Bytes that are not cut out yet.
+  // The number of bytes that were not returned yet.
   std::size_t size() const { return text_.size() - begin_; }
 
  private:
@@ -31,20 +32,20 @@
     between_objects,
     in_object,
     in_string,
-    in_escape,     // behind a backslash in a string
-    in_stray_line  // begun by what can't begin an object
+    in_escape,     // after a backslash in a string
+    in_stray_line  // a line that begins with a byte that can't begin an object
   };
 
-  // Takes the byte at `offset_`; true where it completes what next() returns.
+  // Takes the byte at `offset_`; true if it completes the text that next() returns.
   bool consume(char c);
   void consume_between_objects(char c);
   bool consume_in_object(char c);
-  // The text from `begin_` to `end`, which goes out of this.
+  // Removes and returns the text from `begin_` to `end`.
   std::string cut(std::size_t end);
 
   std::string text_;
-  std::size_t begin_ = 0;   // of the object or line that is being read
-  std::size_t offset_ = 0;  // the byte that is looked at next
+  std::size_t begin_ = 0;   // of the object or line that is being scanned
+  std::size_t offset_ = 0;  // of the next byte to scan
   std::size_t line_ends_ = 0;
   int depth_ = 0;  // open brackets
   State state_ = State::between_objects;
--- a/relay/core/outbox.cpp
+++ b/relay/core/outbox.cpp
@@ -16,7 +16,7 @@
   return plan;
 }
 
-// Calls back once all are out: what hears of it may come back here.
+// Calls `withdrawn` only after all messages are removed, since it may call the outbox again.
 template <class Pick>
 void Outbox::withdraw_if(Pick pick, const Withdrawn& withdrawn) {
   struct Picked {
--- a/relay/core/outbox.hpp
+++ b/relay/core/outbox.hpp
@@ -1,8 +1,7 @@
-// What a decision cycle decided and must not do yet: its records are to be durable first. No input or output
-// here.
+// The plans of decision cycles that wait until their records are durable. Does no input or output.
 //
-// A plan that waits is looked at anew before it is executed: a call to an endpoint that drains meanwhile, or
-// that asked to wait, or whose request's time is up, is withdrawn, and has provably not run.
+// Calls of waiting plans can be withdrawn: if an endpoint drains or asks to wait, or the deadline of a
+// request passes. A withdrawn call was provably not executed.
 #pragma once
 
 #include <cstdint>
@@ -19,55 +18,57 @@
 
 namespace heronvane {
 
-// What a client is told of its request.
+// The relay's reply to a client's request.
 struct ClientReply {
   unsigned status = 202;
   Microseconds retry_after = 0;       // 0: none
-  std::string_view turned_down = {};  // why the message makes no sense, where it makes none; a literal
+  std::string_view turned_down = {};  // why the request is invalid; empty: it is valid; a string literal
 };
 // Called once, on the event loop's thread.
 using ReplyCallback = std::function<void(const ClientReply&)>;
 
-// Attempts that travel to an endpoint as one call.
+// Attempts that are sent to an endpoint as one call.
 struct PlannedCall {
   EndpointId endpoint;
   std::vector<Outgoing> messages;
 };
 
-// What one decision cycle decided.
+// The replies, calls and notifications that one decision cycle decided on.
 struct WriteAheadPlan {
   struct PendingReply {
-    MessageId id = 0;  // 0: of none that is held
+    MessageId id = 0;  // 0: the reply belongs to no held request
     ReplyCallback callback;
     ClientReply reply;
   };
   std::vector<PendingReply> replies;
   std::vector<PlannedCall> calls;
-  std::vector<MessageId> notifications;  // whose outcome notifications are owed from now on
+  std::vector<MessageId> notifications;  // messages whose outcome notifications are due
   bool empty() const { return replies.empty() && calls.empty() && notifications.empty(); }
 };
 
 // Owned by the Committer; called on the event loop's thread only.
 class Outbox {
  public:
-  // Hears of each message in a call that is withdrawn.
+  // Called for each message of a withdrawn call.
   using Withdrawn = std::function<void(const EndpointId&, const Outgoing&)>;
 
-  // Takes a plan whose records are not written yet.
+  // Adds a plan whose records are not written yet.
   void put(WriteAheadPlan plan) {
     if (!plan.empty()) waiting_.push_back({kNotWritten, std::move(plan)});
   }
-  // The records of all plans so far are written, the last of them under this number. Numbers ascend.
+  // The records of all plans so far are written; `ticket` is the number of the last one. Numbers ascend.
   void written(std::uint64_t ticket);
-  // The next plan whose records are durable when those up to `durable` are; nothing while there is none.
+  // Removes and returns the next plan whose records are durable, given that all up to `durable` are; empty if
+  // there is none.
   std::optional<WriteAheadPlan> next(std::uint64_t durable);
   bool empty() const { return waiting_.empty(); }
 
-  // Takes back calls that wait: all to an endpoint, all, or one attempt of a message.
+  // Withdraw waiting calls: all to an endpoint, all, or one attempt of a message.
   void withdraw(const EndpointId& endpoint, const Withdrawn& withdrawn);
   void withdraw_all(const Withdrawn& withdrawn);
   void withdraw(MessageId id, int attempt, const Withdrawn& withdrawn);
-  // Replies that wait, to be given otherwise: all, or those whose records are not written.
+  // Remove and return waiting replies, which the caller replaces by others: all, or those whose records are
+  // not written.
   std::vector<WriteAheadPlan::PendingReply> take_replies() { return take_replies(true); }
   std::vector<WriteAheadPlan::PendingReply> take_unwritten_replies() { return take_replies(false); }
 
--- a/relay/core/request_table.hpp
+++ b/relay/core/request_table.hpp
@@ -1,8 +1,8 @@
-// The requests that clients wait for and those in flight: ids by client id, duplicates, replies.
+// The queued requests and those in flight: their ids by client id, their duplicates and replies.
 //
-// A request moves from queued (received, not yet seen by a decision cycle) to in flight (it has a MessageId
-// and a record); the first duplicate of a queued request is answered together with it, and one that is in
-// flight or completed lately is known, and not taken on again. No clock, no input or output.
+// A request is queued (received, not yet seen by a decision cycle), then in flight (it has a MessageId and a
+// record). A duplicate of a queued request gets the same reply; a duplicate of one that is in flight or
+// recently completed is recognized, and not accepted again. Reads no clock, does no input or output.
 #pragma once
 
 #include <cstddef>
@@ -18,8 +18,8 @@
 
 namespace heronvane {
 
-// Owned by the relay; called on the event loop's thread only. Reply callbacks that it made refer to it: it
-// outlives them. It holds no request's record: that is the store's.
+// Owned by the relay; called on the event loop's thread only. Must outlive the reply callbacks that it makes,
+// which refer to it. The records of requests are in the store, not here.
 class RequestTable {
  public:
   struct Queued {
@@ -33,10 +33,11 @@
   RequestTable(const RequestTable&) = delete;
   RequestTable& operator=(const RequestTable&) = delete;
 
-  // Where a request of that client id waits for its reply: keeps `reply`, which gets the same one, and
-  // returns true. Else `reply` is untouched.
+  // If a request with this client id waits for its reply, stores `reply`, to be called with the same one, and
+  // returns true. Else leaves `reply` untouched.
   bool coalesce(const std::string& client_id, ReplyCallback& reply);
-  // A reply that answers `reply` and all that were coalesced with it meanwhile. To be called once.
+  // Returns a callback that calls `reply` and all callbacks that were coalesced with it meanwhile. Call it
+  // once.
   ReplyCallback shared(const std::string& client_id, ReplyCallback reply);
 
   // Requests that wait for the next decision cycle, in the order of their arrival.
@@ -44,19 +45,20 @@
   std::size_t queued() const { return queued_.size(); }
   std::vector<Queued> take_queued();
 
-  // In flight from here on, until completed().
+  // Registers a request as in flight, until remove().
   void add(MessageId id, const std::string& client_id) { ids_[client_id] = id; }
   std::optional<MessageId> find(const std::string& client_id) const;
   bool is_in_flight(const std::string& client_id) const { return ids_.contains(client_id); }
   void remove(const std::string& client_id) { ids_.erase(client_id); }
 
-  // Completed requests whose duplicates need no protection by a record, for a while.
+  // Remembers a completed request for the lifetime of the cache, without a record: its duplicates are
+  // recognized until then, or until a restart.
   void cache_completed(const std::string& client_id, Microseconds now) { completed_.add(client_id, now); }
   bool recently_completed(const std::string& client_id) const { return completed_.has(client_id); }
 
-  // Requests of this decision cycle whose clients have had no reply.
+  // Stores the reply of a request of this decision cycle until it is taken.
   void await_reply(MessageId id, ReplyCallback reply) { unanswered_[id] = std::move(reply); }
-  // The reply of one of them, which is not awaited any more; empty: it is none.
+  // Removes and returns the reply of a request; empty: none is stored.
   std::optional<ReplyCallback> take_reply(MessageId id);
   std::map<MessageId, ReplyCallback> take_replies();
 
--- a/relay/core/retry_read.hpp
+++ b/relay/core/retry_read.hpp
@@ -1,4 +1,4 @@
-// Goes on reading after the system had no memory for a read.
+// Resumes reading after a read failed for lack of system memory.
 #pragma once
 
 #include <boost/system/error_code.hpp>
@@ -9,11 +9,11 @@
 
 namespace heronvane {
 
-// Calls `retry` from the loop after kShortageRetryDelay, once `socket` is readable or the wait for that has
-// failed. `retry` keeps socket and timer alive, and checks whether reading still makes sense.
+// Waits for kShortageRetryDelay, then until `socket` is readable or that wait fails, then calls `retry` from
+// the loop. `retry` must keep socket and timer alive, and check whether the read is still wanted.
 //
-// After a read that failed Asio attempts the next one only at another edge of readability; a wait asks for
-// the state.
+// After a failed read Asio attempts the next one only at a new edge of readability, while a wait checks the
+// current state.
 template <class Socket, class Retry>
 void retry_read(Socket& socket, Timer& timer, Retry retry) {
   timer.set(kShortageRetryDelay, [&socket, retry = std::move(retry)]() mutable {
--- a/relay/core/socket_errors.hpp
+++ b/relay/core/socket_errors.hpp
@@ -8,21 +8,21 @@
 
 namespace heronvane {
 
-// The socket is not ready: wait for it, as if nothing had been tried.
+// The socket is not ready: wait until it is, then retry.
 inline bool would_block(const boost::system::error_code& error) {
   return error == boost::asio::error::would_block || error == boost::asio::error::try_again ||
          error == boost::asio::error::interrupted;
 }
 
-// The system has no memory for the operation. The socket may still be reported as ready, so the retry comes
-// after kShortageRetryDelay.
+// The system has no memory for the operation. The socket may still be reported as ready, so the retry is
+// delayed by kShortageRetryDelay.
 inline bool is_memory_shortage(const boost::system::error_code& error) {
   return error == boost::asio::error::no_buffer_space || error == boost::asio::error::no_memory;
 }
 constexpr std::chrono::milliseconds kShortageRetryDelay{5};
 
-// This machine has no descriptor, memory or local port for a new connection. Says nothing about the other
-// side: the connect is to be tried again after kConnectRetryDelay.
+// This machine has no descriptor, memory or local port for a new connection. The error says nothing about the
+// other side: retry the connect after kConnectRetryDelay.
 inline bool is_local_shortage(const boost::system::error_code& error) {
   namespace errc = boost::system::errc;
   return is_memory_shortage(error) || error == boost::asio::error::no_descriptors ||
--- a/relay/core/status.cpp
+++ b/relay/core/status.cpp
@@ -17,9 +17,9 @@
 
 constexpr Microseconds kMillisecond = 1000;
 constexpr double kMillisecondsPerSecond = 1e3;
-constexpr double kShownFractions = 1000;  // of 1: numbers are rounded to a thousandth
+constexpr double kShownFractions = 1000;  // numbers are rounded to 1/1000
 
-// Names come from lists and clients and may hold any bytes, which are no JSON.
+// Names come from endpoint lists and clients and may contain bytes that are invalid in JSON.
 void text(Writer& w, const std::string& value) {
   const std::string valid = printable(value);
   w.String(valid.data(), static_cast<rapidjson::SizeType>(valid.size()));
@@ -51,7 +51,7 @@
 
 std::int64_t milliseconds(Microseconds time) { return time / kMillisecond; }
 
-// JSON has no infinity.
+// Rounds a number for JSON; 0 for infinity and NaN, which JSON can't express.
 double rounded(double value) {
   return std::isfinite(value) ? std::round(value * kShownFractions) / kShownFractions : 0;
 }
@@ -192,7 +192,7 @@
   w.EndObject();
 }
 
-// Empty where the zone is unknown.
+// Empty if the zone is unknown.
 std::string zone_name(const NameIndex& zones, int zone) {
   for (const auto& [name, index] : zones) {
     if (index == zone) return name;
--- a/relay/core/status.hpp
+++ b/relay/core/status.hpp
@@ -1,5 +1,5 @@
-// The status of a relay, as JSON for its operator (docs/design/fleet.md). The names on the wire stand in
-// status.cpp alone. No input or output here.
+// The status of a relay as JSON for its operator (docs/design/fleet.md). Only status.cpp contains the names
+// of the JSON keys. Does no input or output.
 #pragma once
 
 #include <cstdint>
@@ -14,9 +14,9 @@
 
 namespace heronvane {
 
-// A relay at one moment. Times are microseconds of the wall clock.
+// A relay's state at one moment. Times and durations are in microseconds, times on the wall clock.
 struct Status {
-  // An endpoint, and what the decision module knows of it.
+  // An endpoint, with the decision module's state of it.
   struct Target {
     heronvane::dispatch::LearnedState known;
     heronvane::dispatch::Listing listing = heronvane::dispatch::Listing::active;
@@ -24,27 +24,27 @@
   std::string name;
   std::string run;
   std::string version;
-  std::string unavailable_reason;  // a fault that keeps it from admitting requests; empty: none
+  std::string unavailable_reason;  // why the store admits no requests; empty: it does
   std::int64_t pid = 0;
   std::int64_t generation = 0;  // of the agent's desired state; 0: none
   Microseconds started = 0;
   Microseconds uptime = 0;        // a duration
-  Microseconds start_waited = 0;  // a duration: how long the start waited for something transient
+  Microseconds start_waited = 0;  // a duration: how long the start waited for transient failures to pass
   std::string start_waited_for;   // the last reason; empty: it did not wait
   bool ready = false;
   bool draining = false;
   bool stopping = false;
-  Fence fence = 0;           // the fencing token of the last drain
+  Fence fence = 0;           // the highest fencing token seen
   std::size_t held = 0;      // messages in flight
-  std::size_t given_up = 0;  // those of them whose outcome notification is owed
+  std::size_t given_up = 0;  // messages in flight whose outcome notification is owed
   InFlightGauge::Counts counts;
   std::size_t calls = 0;    // in flight
-  std::size_t slots = 0;    // calls that may be in flight at once
+  std::size_t slots = 0;    // the maximum number of calls in flight
   std::size_t clients = 0;  // connections
   std::vector<Target> targets;
   std::uint64_t store_bytes = 0;
   std::uint64_t store_limit = 0;  // bytes
-  std::size_t segments = 0;       // of the store
+  std::size_t segments = 0;       // files of the store
   std::uint64_t memory_kb = 0;
   std::uint64_t descriptors = 0;
   bool list_received = false;  // discovery has sent an endpoint list
--- a/relay/core/stream_writer.hpp
+++ b/relay/core/stream_writer.hpp
@@ -51,7 +51,7 @@
         done_(std::move(done)),
         retry_timer_(socket.get_executor()) {}
 
-  // Writes as much as the system takes, and waits where something is left.
+  // Writes as much as the socket accepts, then waits if bytes are left.
   void write_more() {
     boost::system::error_code error;
     while (!error && written_ < text_.size()) {
@@ -73,7 +73,7 @@
                        });
   }
 
-  // Ends, as any write, once the socket is closed.
+  // Ends, like any write, once the socket is closed.
   void retry_later() {
     retry_timer_.expires_after(kShortageRetryDelay);
     retry_timer_.async_wait(
@@ -82,13 +82,14 @@
 
   Socket& socket_;
   std::string text_;
-  std::size_t written_ = 0;  // bytes of `text_`
+  std::size_t written_ = 0;  // bytes of `text_` written so far
   Done done_;
   boost::asio::steady_timer retry_timer_;
 };
 
-// Writes all of `text`, then calls `done` with the error, or none, from the loop, never from within. `socket`
-// is non-blocking, no other write to it is in progress, and `done` keeps it alive. Closing it ends the write.
+// Writes all of `text`, then calls `done` from the loop with the error, or with none; never from inside this
+// call. `socket` must be non-blocking, with no other write in progress, and `done` must keep it alive.
+// Closing the socket ends the write.
 template <class Socket, class Done>
 void write_all(Socket& socket, std::string text, Done done) {
   std::make_shared<StreamWrite<Socket, Done>>(socket, std::move(text), std::move(done))->write_more();
--- a/relay/core/suspend_detector.hpp
+++ b/relay/core/suspend_detector.hpp
@@ -1,5 +1,5 @@
-// Detects that the event loop stood still: the process was stopped, or the machine slept. What was decided
-// before is out of date then. No input or output here.
+// Detects that the process was stopped or the machine was suspended, by a gap between turns of the event
+// loop. Decisions made before the gap are out of date then. Does no input or output.
 #pragma once
 
 #include <ctime>
@@ -8,21 +8,22 @@
 
 namespace heronvane {
 
-// Time since the machine's start, its sleep included.
+// Microseconds since the machine was booted, including time in suspend.
 inline Microseconds boot_now() {
   timespec t{};
   ::clock_gettime(CLOCK_BOOTTIME, &t);
   return static_cast<Microseconds>(t.tv_sec) * 1'000'000 + t.tv_nsec / 1'000;
 }
 
-// Finds gaps between its calls that are longer than a heartbeat explains.
+// Finds gaps between calls of observe() that are too long for a running heartbeat.
 class SuspendDetector {
  public:
-  static constexpr Microseconds kHeartbeatInterval = 500'000;   // the loop turns at least so often
-  static constexpr Microseconds kSuspendThreshold = 2'000'000;  // stood still so long, it was suspended
-  static constexpr Microseconds kListTimeout = 1'000'000;       // for the list to come after that
+  static constexpr Microseconds kHeartbeatInterval = 500'000;  // maximum time between turns of a running loop
+  static constexpr Microseconds kSuspendThreshold = 2'000'000;  // a gap of this length counts as a suspension
+  static constexpr Microseconds kListTimeout = 1'000'000;       // maximum wait for the list after that
 
-  // How long the loop stood still before this turn, where that was a suspension; else 0. `now` is boot_now().
+  // Returns the time since the last call in microseconds if it counts as a suspension, else 0. `now` is
+  // boot_now().
   Microseconds observe(Microseconds now) {
     const Microseconds gap = last_ == 0 ? 0 : now - last_;
     last_ = now;
--- a/relay/core/suspend_monitor.cpp
+++ b/relay/core/suspend_monitor.cpp
@@ -29,7 +29,7 @@
 
 void SuspendMonitor::begin_refresh(Microseconds gap) {
   constexpr Microseconds kMillisecond = 1'000;
-  log("woken after a stop of " + std::to_string(gap / kMillisecond) + " ms: asking for the list");
+  log("woken after a stop of " + std::to_string(gap / kMillisecond) + " ms: polling the endpoint list");
   state_ = State::refreshing_list;
   hooks_.withdraw_attempts();
   hooks_.refresh_list([this] { finish_refresh(); });
--- a/relay/core/suspend_monitor.hpp
+++ b/relay/core/suspend_monitor.hpp
@@ -1,5 +1,5 @@
-// What a relay does after its process was stopped or its machine slept: what it knows of endpoints may be
-// old, so that no attempt begins and no decision is made before the endpoint list was polled anew.
+// Refreshes the endpoint list after the process was stopped or the machine was suspended. The state of
+// endpoints may be outdated then, so no attempt begins and no decision is made until the list was polled.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,21 +14,21 @@
 class SuspendMonitor {
  public:
   struct Hooks {
-    // Takes back what was decided before the suspension and has not begun.
+    // Withdraws the attempts that were decided before the suspension and have not begun.
     std::function<void()> withdraw_attempts;
-    // Polls the endpoint list anew; calls back once it has come, or has failed to.
+    // Polls the endpoint list; calls `done` once it has arrived or the poll has failed.
     std::function<void(std::function<void()> done)> refresh_list;
-    // The list has come, or its time is over: decisions may be made again.
+    // Called once the list has arrived, or its time is over: decisions may be made again.
     std::function<void()> resumed;
   };
 
-  // Not `enabled`: nothing is ever detected.
+  // If not `enabled`, no suspension is ever detected.
   SuspendMonitor(boost::asio::io_context& io, bool enabled, Hooks hooks);
 
-  // Begins the heartbeat that bounds how late a suspension is detected.
+  // Starts the heartbeat, which bounds the time until a suspension is detected.
   void start();
-  // Whether what the relay knows may be acted on. Detects a suspension itself, so that whichever asks first
-  // after one learns of it: asked before each decision cycle, and before a call begins.
+  // Whether the state of endpoints is current. Checks for a suspension itself, so that the first caller after
+  // one sees it; call it before each decision cycle and before each call begins.
   bool is_current();
 
  private:
--- a/relay/core/timer.hpp
+++ b/relay/core/timer.hpp
@@ -1,8 +1,8 @@
 // A timer that can be set again and cancelled safely.
 //
-// Setting an Asio timer again, or cancelling it, does not recall a handler that is queued with success: it
-// would act for a time that does not count any more. Here a handler acts only for the setting that it was
-// made for. All timers of the relay that may be set again or cancelled are of this class.
+// Resetting or cancelling an Asio timer does not cancel a handler that is already queued with success: it
+// would run for a time that no longer applies. Here a handler runs only if the timer was not changed since
+// the set() that it belongs to. All timers of the relay that may be reset or cancelled are of this class.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -14,15 +14,15 @@
 
 namespace heronvane {
 
-// Used from the loop's thread only.
+// Use on the event loop's thread only.
 class Timer {
  public:
   // The loop outlives the timer.
   explicit Timer(boost::asio::io_context& loop) : timer_(loop) {}
   explicit Timer(const boost::asio::any_io_executor& executor) : timer_(executor) {}
 
-  // Calls `then` once from the loop, after `delay`, unless the timer is set again or cancelled before. Until
-  // then `then` keeps this timer's owner alive, or the owner outlives the loop.
+  // Calls `then` once from the loop, after `delay`, unless the timer is set again or cancelled before. Either
+  // `then` keeps the timer's owner alive until that call, or the owner outlives the loop.
   template <class Duration, class Then>
   void set(Duration delay, Then then) {
     timer_.expires_after(std::chrono::duration_cast<std::chrono::microseconds>(delay));
@@ -39,7 +39,7 @@
 
  private:
   boost::asio::steady_timer timer_;
-  std::uint64_t setting_ = 0;  // grows with each set() and cancel()
+  std::uint64_t setting_ = 0;  // incremented by each set() and cancel()
 };
 
 }  // namespace heronvane
--- a/relay/core/unavailable_endpoints.cpp
+++ b/relay/core/unavailable_endpoints.cpp
@@ -17,12 +17,12 @@
 const std::string kKeyPrefix = "endpoint/";  // of the keys in the store
 const std::string kGone = "gone";
 const std::string kDraining = "draining";
-// Longer than a restart may bring old lists back. A list with a lower index after that comes from a discovery
-// that counts anew.
+// Longer than old lists can reappear after a restart. A list with a lower index after that time comes from a
+// discovery that has restarted its index.
 constexpr Microseconds kMaxAge = 3'600'000'000;
 constexpr std::size_t kMaxEndpoints = 4096;
 
-// Whether what is known of an endpoint holds against a list with that index.
+// Whether a stored listing takes precedence over a list with that index.
 bool overrules(const Unavailability& known, std::int64_t index, const std::string& discovery,
                Microseconds now) {
   return known.discovery == discovery && index < known.index && now - known.since <= kMaxAge;
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-// "draining 41 1700000000000000 127.0.0.1:8500"
+// Example: "draining 41 1700000000000000 127.0.0.1:8500".
 std::string encode(const Unavailability& unavailability) {
   const std::string& listing = unavailability.listing == Listing::gone ? kGone : kDraining;
   return listing + " " + std::to_string(unavailability.index) + " " + std::to_string(unavailability.since) +
@@ -63,7 +63,7 @@
       dropped.push_back(it->first);
     }
   }
-  // `facts` may be what `keep_` changes.
+  // After the loop, since `keep_` may change `facts`.
   for (const auto& key : dropped) keep_(key, "");
 }
 
@@ -103,7 +103,7 @@
 
 void UnavailableEndpoints::remember(const EndpointId& endpoint, Unavailability unavailability) {
   const auto it = endpoints_.find(endpoint);
-  // The first list that said so is as good.
+  // Already stored with the same listing from the same discovery.
   if (it != endpoints_.end() && it->second.listing == unavailability.listing &&
       it->second.discovery == unavailability.discovery) {
     return;
@@ -111,7 +111,7 @@
   while (endpoints_.size() >= kMaxEndpoints) evict_oldest();
   const std::string text = encode(unavailability);
   endpoints_[endpoint] = std::move(unavailability);
-  // The endpoint itself may be the one that is forgotten.
+  // evict_oldest() may remove this endpoint itself.
   while (endpoints_.contains(endpoint) && !keep_(kKeyPrefix + endpoint, text) && endpoints_.size() > 1) {
     evict_oldest();
   }
--- a/relay/core/unavailable_endpoints.hpp
+++ b/relay/core/unavailable_endpoints.hpp
@@ -1,8 +1,9 @@
-// The endpoints that discovery listed as draining or gone, kept over restarts. No input or output here.
+// The endpoints that discovery listed as draining or gone, stored over restarts. Does no input or output.
 //
-// After a restart the configuration's list, or one from a discovery that lags, may name such an endpoint as
-// ready. What discovery said holds until a list of the same discovery that is not older says otherwise, or a
-// list of another discovery does, or an hour is over. The configuration's list never overrules it.
+// After a restart the configuration's list, or one from a discovery that lags, may list such an endpoint as
+// ready. A stored listing is in force until a list of the same discovery that is not older, or a list of
+// another discovery, says otherwise, or until an hour has passed. The configuration's list never overrules
+// it.
 #pragma once
 
 #include <cstddef>
@@ -18,38 +19,41 @@
 
 namespace heronvane {
 
-// Why an endpoint is not to be used.
+// Why an endpoint must not be used.
 struct Unavailability {
   heronvane::dispatch::Listing listing = heronvane::dispatch::Listing::draining;  // or gone
-  std::int64_t index = 0;                                                         // of the list that said so
-  heronvane::dispatch::Microseconds since = 0;  // time of the persistent clock
-  std::string discovery;                        // the address of the discovery that said so
+  std::int64_t index = 0;                       // of the list with this listing
+  heronvane::dispatch::Microseconds since = 0;  // on the persistent clock
+  std::string discovery;                        // address of the discovery that sent the list
 };
 
-// The text that the durable store keeps.
+// Encodes an entry as the text that the durable store holds.
 std::string encode(const Unavailability& unavailability);
-// Nothing where the text is malformed.
+// Empty if the text is malformed.
 std::optional<Unavailability> decode_unavailability(const std::string& text);
 
-// Times are those of the persistent clock. Not thread-safe.
+// Times are on the persistent clock. Not thread-safe.
 class UnavailableEndpoints {
  public:
-  // Keeps a value by its key over restarts; an empty value drops the key. False where there is no room.
+  // Stores a value under a key over restarts; an empty value removes the key. Returns false if the store has
+  // no capacity.
   using Keep = std::function<bool(const std::string& key, const std::string& value)>;
 
-  // Restores from `facts` what earlier incarnations kept. Drops what is malformed, or older than an hour and
-  // not named by `configured`, the configuration's list. `keep` is called while this lives.
+  // Restores the entries of earlier incarnations from `facts`. Removes malformed entries, and those older
+  // than an hour that `configured`, the configuration's list, does not name. `keep` is called until
+  // destruction.
   UnavailableEndpoints(const std::map<std::string, std::string>& facts, const EndpointList& configured,
                        heronvane::dispatch::Microseconds now, Keep keep);
 
-  // The configuration's list as it holds: without endpoints that are gone, with others as draining.
+  // Returns the configuration's list without stored endpoints that are gone, and with the stored draining
+  // ones as draining.
   EndpointList restrict_configured(EndpointList list) const;
 
-  // A list of `discovery` as it holds, with stale entries overruled or left out. What it says is remembered.
+  // Returns a list of `discovery` in which stale entries are overruled or left out, and stores its listings.
   EndpointList reconcile(EndpointList list, const std::string& discovery,
                          heronvane::dispatch::Microseconds now);
 
-  // A snapshot with that index does not name the endpoint any more.
+  // Called when a snapshot with that index no longer names the endpoint.
   void mark_gone(const heronvane::dispatch::EndpointId& endpoint, std::int64_t index,
                  const std::string& discovery, heronvane::dispatch::Microseconds now);
 
@@ -58,11 +62,11 @@
  private:
   void remember(const heronvane::dispatch::EndpointId& endpoint, Unavailability unavailability);
   void forget(const heronvane::dispatch::EndpointId& endpoint);
-  // Forgets the oldest, first of those that the configuration does not name.
+  // Removes the oldest entry; those that the configuration does not name go first.
   void evict_oldest();
 
   Keep keep_;
-  std::set<heronvane::dispatch::EndpointId> configured_;  // that the configuration names
+  std::set<heronvane::dispatch::EndpointId> configured_;  // endpoints that the configuration names
   std::map<heronvane::dispatch::EndpointId, Unavailability> endpoints_;
 };
 
--- a/relay/drain_controller.cpp
+++ b/relay/drain_controller.cpp
@@ -13,7 +13,7 @@
 
 constexpr auto kCheckInterval = std::chrono::milliseconds(20);
 constexpr auto kFileRetryInterval = std::chrono::milliseconds(250);
-constexpr Microseconds kReplyTime = 1'000'000;  // for replies on their way to leave before the process ends
+constexpr Microseconds kReplyTime = 1'000'000;  // for the last replies to reach their clients
 
 }  // namespace
 
@@ -25,21 +25,22 @@
   if (fence < state_.fence) {
     throw std::runtime_error("--undrain: fence " + std::to_string(fence) + " is lower than " +
                              std::to_string(state_.fence) +
-                             ", the highest seen: a later operation has this relay");
+                             ", the highest seen: a later operation controls this relay");
   }
   const DrainState ended{fence, std::nullopt};
   const bool kept =
       keep_drain(ended, [&store](const auto& key, const auto& value) { return store.set_fact(key, value); });
   if (!kept || !store.commit()) {
-    throw startup::StartError(startup::Step::recovery, startup::Persistence::transient,
-                              "--undrain: can't be kept: " + store.unavailable_reason());
+    throw startup::StartError(
+        startup::Step::recovery, startup::Persistence::transient,
+        "--undrain: the end of the drain can't be stored: " + store.unavailable_reason());
   }
   state_ = ended;
 }
 
 void DrainController::resume() {
   if (!draining()) return remove_drained(folder_);
-  log("draining since an earlier life: fence " + std::to_string(*state_.drain));
+  log("resuming the drain of an earlier run: fence " + std::to_string(*state_.drain));
 }
 
 bool DrainController::keep(const DrainState& state) { return keep_drain(state, hooks_.keep); }
@@ -70,7 +71,7 @@
   }
   if (from.drain.has_value() == to.drain.has_value()) return;
   log(to.drain ? "draining: fence " + std::to_string(*to.drain)
-               : "drain taken back: fence " + std::to_string(to.fence));
+               : "drain cancelled: fence " + std::to_string(to.fence));
 }
 
 void DrainController::check_complete() {
@@ -89,7 +90,7 @@
   timer_.set(interval, [this] { check_complete(); });
 }
 
-// False where the file can't be written now.
+// Writes the file `drained`; false if it can't be written now.
 bool DrainController::complete() {
   const auto error = write_drained(folder_, *state_.drain, run_);
   if (!error) {
--- a/relay/drain_controller.hpp
+++ b/relay/drain_controller.hpp
@@ -1,7 +1,7 @@
 // The operator's drain of a relay: whether one is in force, under which fence, and when it is complete.
 //
-// A draining relay takes on nothing new. The drain is complete once nothing is held or owed any more: then
-// the file `drained` is written and the process may end.
+// A draining relay accepts no new messages. The drain is complete once no message is held and no outcome
+// notification is owed: then the file `drained` is written and the process may end.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -22,36 +22,40 @@
   struct Hooks {
     std::function<bool()> store_is_writable;
     KeepFact keep;
-    // Writes what was kept; calls back with whether it is durable, at once or later.
+    // Commits the values that were passed to `keep`; calls `done`, at once or later, with whether they are
+    // durable.
     std::function<void(std::function<void(bool durable)> done)> when_durable;
-    // Whether something is held or owed, a change of the drain aside.
+    // Whether messages are held or notifications owed; a pending change of the drain does not count.
     std::function<bool()> has_open_work;
-    // Whether a client or the operator is being answered.
+    // Whether a reply to a client or to the operator is still being sent.
     std::function<bool()> is_answering;
-    std::function<void()> drained;  // the file `drained` stands
+    std::function<void()> drained;  // called once the file `drained` is written
   };
 
-  // `restored`: as the store kept it. `folder` outlives this. `run` names this process in the file `drained`.
+  // `restored` is the stored state. `folder` outlives this. `run` identifies this process in the file
+  // `drained`.
   DrainController(boost::asio::io_context& io, store::Disk& folder, std::string run, DrainState restored,
                   Hooks hooks);
 
   bool draining() const { return state_.drain.has_value(); }
-  // Under which fence a drain was asked for; empty: none is in force.
+  // The fence under which the drain was requested; empty: no drain is in force.
   std::optional<Fence> drain_fence() const { return state_.drain; }
   Fence highest_fence() const { return state_.fence; }
-  // A change waits for its record.
+  // Whether a change waits for its record to become durable.
   bool change_pending() const { return change_pending_; }
 
-  // At a start: ends the drain that an earlier incarnation left. Throws std::runtime_error where `fence` is
-  // lower than the highest seen, startup::StartError where that can't be stored.
+  // At a start: ends a stored drain of an earlier incarnation. Throws std::runtime_error if `fence` is lower
+  // than the highest seen, startup::StartError if the change can't be stored.
   void end_at_start(Fence fence, store::Store& store);
-  // At a start: takes up the drain of an earlier incarnation, or removes the file that an earlier one left.
+  // At a start: resumes the drain of an earlier incarnation; if there is none, removes a leftover file
+  // `drained`.
   void resume();
 
-  // Changes the drain or its fence; `done` hears whether the change is durable. The new state holds
-  // meanwhile; where it can't be stored the old one returns. One change at a time: a second is refused.
+  // Changes the drain or its fence, and calls `done` with whether the change is durable. The new state is in
+  // force at once; if it can't be stored, the old one is restored. One change at a time: while one is
+  // pending, another one fails.
   void change(const DrainState& to, std::function<void(bool durable)> done);
-  // Completes the drain when nothing is open, and looks again later while something is.
+  // Completes the drain if no work is open, else checks again later.
   void check_complete();
 
  private:
@@ -65,7 +69,7 @@
   DrainState state_;
   bool change_pending_ = false;
   bool file_failure_logged_ = false;
-  std::optional<Microseconds> idle_since_;  // on the steady clock; empty: something is held or owed
+  std::optional<Microseconds> idle_since_;  // on the steady clock; empty: work is open
   Timer timer_;
 };
 
--- a/relay/executor.cpp
+++ b/relay/executor.cpp
@@ -50,7 +50,7 @@
   Outgoing outgoing{send.id,
                     static_cast<int>(held->attempts.size()),
                     send.timeout,
-                    0,  // told when it begins
+                    0,  // set when the call begins
                     held->message.id,
                     held->message.body,
                     held->message.idempotency_key,
@@ -66,7 +66,8 @@
   plan.calls.back().messages.push_back(std::move(outgoing));
 }
 
-// It may have waited for its records, and its request have ended or its time have run out meanwhile.
+// Checks a planned message right before its call begins, and updates its times: while the call waited for its
+// records, the request may have ended or its deadline passed.
 bool Executor::may_still_begin(Outgoing& message, Microseconds now) const {
   const Held* const held = committer_.store().find(message.id);
   if (held == nullptr) return false;
@@ -78,7 +79,7 @@
 void Executor::begin(const EndpointId& endpoint, std::vector<Outgoing> messages) {
   HERONVANE_POINT("call.planned");
   const Microseconds now = committer_.store().clock().now();
-  // A long list reaches the module part by part: what it says of an endpoint binds at once.
+  // A long list reaches the decision module in parts, but an endpoint's new listing applies at once.
   const Endpoint* const listed = endpoints_.find(endpoint);
   const bool is_active = listed != nullptr && listed->listing == Listing::active;
   std::erase_if(messages, [&](Outgoing& message) {
@@ -131,7 +132,7 @@
   const auto kind = static_cast<std::size_t>(listed->kind);
   const auto& kinds = config_.settings.kinds;
   if (kind < kinds.size() && kinds[kind].per_endpoint_limits) return withdraw(endpoint);
-  // A copy: what hears of a withdrawal may change the directory.
+  // Copied, since the `withdrawn` hook may change the directory.
   const std::vector<EndpointId> sharing = endpoints_.endpoints_of(listed->destination);
   for (const auto& id : sharing) withdraw(id);
 }
--- a/relay/fail_points.hpp
+++ b/relay/fail_points.hpp
@@ -1,24 +1,23 @@
-// Points at which a test ends the relay. The shipped programs contain nothing of it: without
-// HERONVANE_FAIL_POINTS, which only the target heronvane_failing of the tests defines, a point is nothing.
+// Fail points, at which a test kills the relay. The shipped programs contain none: without
+// HERONVANE_FAIL_POINTS, which only the test target heronvane_failing defines, the macros do nothing.
 //
-// That program obeys its environment (tests/kill/fail_points.cpp):
-//   HERONVANE_KILL_AT=n        passing the n-th point, from 1 on, ends the process by SIGKILL
+// The test program reads these environment variables (tests/kill/fail_points.cpp):
+//   HERONVANE_KILL_AT=n        the n-th point that is passed, from 1 on, kills the process by SIGKILL
 //   HERONVANE_KILL_NAME=name   counts only points of that name
-//   HERONVANE_KILL_TOLD=file   a file that tells how many points of each name were passed, which outlasts the
-//                              process: lines of a name and a count, last the one that killed
-//   HERONVANE_DISK_FULL=f/c    the disk's operations that need room, from the f-th on and c of them, fail
-//   HERONVANE_DISK_FULL=seed   so do spells of them at random, for HERONVANE_DISK_FULL_MS (2000) after the
-//   first
+//   HERONVANE_KILL_TOLD=file   a file that outlasts the process and counts the points that were passed: lines
+//                              of a name and a count, the last for the point that killed
+//   HERONVANE_DISK_FULL=f/c    c disk operations that need space fail, starting with the f-th
+//   HERONVANE_DISK_FULL=seed   random series of them fail, for HERONVANE_DISK_FULL_MS (default 2000)
+//                              after the first
 //
-// Operations that need room are write, create and allocate. They fail with ENOSPC; a write may leave a part
-// of its bytes.
+// Operations that need space are write, create and allocate. They fail with ENOSPC; a failed write may have
+// written a part of its bytes.
 //
-//   HERONVANE_DEFECT=name      the process has that defect, for the tests of who has to find it (tests/lab):
-//   at
-//                              HERONVANE_DEFECT(name) in the sources it does what is wrong
+//   HERONVANE_DEFECT=name      turns on a deliberate defect, which the checks of tests/lab have to
+//                              detect: the code misbehaves at HERONVANE_DEFECT(name)
 //
-// Points: `disk.OPERATION.before` and `.after` around each operation of the store's Disk that changes
-// something, `disk.write.part` in the middle of a write; elsewhere as they stand in the sources.
+// Names of points: `disk.OPERATION.before` and `.after` around each operation of the store's Disk that
+// changes something, and `disk.write.part` in the middle of a write; other names are given in the sources.
 #pragma once
 
 #ifdef HERONVANE_FAIL_POINTS
@@ -33,9 +32,9 @@
 // Safe to call from any thread.
 void fail_point(const char* name);
 bool has_defect(const char* name);
-bool has_defect_now(const char* name);  // each twentieth time that it is asked
-bool second_life();                     // the folder that lasts held records when this was first asked
-// The disk with points around its operations, which fails as the environment says.
+bool has_defect_now(const char* name);  // true at every twentieth call
+bool second_life();                     // whether the state folder held records when this was first called
+// Wraps `disk` with fail points around its operations and with the failures that the environment asks for.
 std::unique_ptr<store::Disk> failing(std::unique_ptr<store::Disk> disk);
 
 }  // namespace heronvane
--- a/relay/log_copies_disabled.cpp
+++ b/relay/log_copies_disabled.cpp
@@ -1,4 +1,4 @@
-// A build without copies of the log: settings that ask for them are rejected.
+// Replaces log_copies_port.cpp in a build without log replication: rejects settings that turn it on.
 #include <stdexcept>
 #include <utility>
 
@@ -10,7 +10,8 @@
 std::unique_ptr<LogReplication> open_log_copies(boost::asio::io_context& /*io*/, store::Store& store,
                                                 const Config& config, bool force_own, LogCopiesHooks hooks) {
   if (config.own.copies.on)
-    throw std::runtime_error("settings: [copies]: this build has none: build with -DHERONVANE_COPIES=ON");
+    throw std::runtime_error(
+        "settings: [copies]: this build has no log replication: build with -DHERONVANE_COPIES=ON");
   return std::make_unique<StandaloneLog>(store, force_own, std::move(hooks.ready));
 }
 
--- a/relay/log_copies_port.hpp
+++ b/relay/log_copies_port.hpp
@@ -1,4 +1,4 @@
-// How the relay gets the copies of its log at further relays, or the null implementation of them.
+// Creates the replication of the relay's log to other relays, or its null implementation.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -12,24 +12,25 @@
 
 namespace heronvane {
 
-// What the copies ask of the relay; all are called on the event loop's thread.
+// Callbacks from replication into the relay; all are called on the event loop's thread.
 struct LogCopiesHooks {
-  // What was added to the store is to be written.
+  // Writes the records that replication added to the store.
   std::function<void()> commit;
-  // The store's durable() has moved on.
+  // Called when the store's durable() has advanced.
   std::function<void()> durable_advanced;
-  // The log is this relay's: what it holds may be acted on.
+  // Called once the log is known to be this relay's: the messages in it may be processed.
   std::function<void()> ready;
-  // The log went to another relay: nothing that is held is this one's any more.
+  // Called when another relay has taken over the log: this relay must give up all messages that it holds.
   std::function<void()> log_lost;
-  // The messages of these numbers were another relay's and are this one's now.
+  // Called when this relay has taken over another relay's messages: those with ids in [from, to).
   std::function<void(MessageId from, MessageId to)> taken_over;
-  // What waits for copies has waited too long.
+  // Called when replies have waited too long for replicas to acknowledge their records.
   std::function<void()> ack_timed_out;
 };
 
-// `store` outlives the copies. `force_own`: what the folder holds is this relay's, whatever others hold.
-// Throws std::exception where the settings ask for copies that can't be had, in this build or at all.
+// `store` outlives the result. With `force_own` the relay uses the log in its folder without asking the
+// relays that hold replicas. Throws std::exception if the settings turn replication on and it can't be
+// started, or this build has none.
 std::unique_ptr<LogReplication> open_log_copies(boost::asio::io_context& io, store::Store& store,
                                                 const Config& config, bool force_own, LogCopiesHooks hooks);
 
--- a/relay/main.cpp
+++ b/relay/main.cpp
@@ -1,7 +1,7 @@
-// heronvane: one relay, in the foreground. Its configuration and state folder are named by options, or by
-// LB_CONFIG and LB_STATE. SIGTERM and SIGINT end it, SIGHUP has it read the configuration again.
+// heronvane: runs one relay in the foreground. Options, or LB_CONFIG and LB_STATE, name the configuration
+// file and the state folder. SIGTERM and SIGINT stop the relay, SIGHUP reloads the configuration.
 //
-// Exit status: 0 after a signal, a drain or an option that only prints; 1 on an error, which the log names.
+// Exit status: 0 after a signal, a drain or an option that only prints; 1 after an error, which is logged.
 #include <array>
 #include <csignal>
 #include <cstdio>
@@ -60,7 +60,8 @@
   try {
     heronvane::open_standard_streams();
     std::signal(SIGPIPE, SIG_IGN);
-    // A file over the limit is an error of its write, which the store and the log handle.
+    // With SIGXFSZ ignored, a write past the file size limit fails with an error, which the store and the log
+    // handle.
     std::signal(SIGXFSZ, SIG_IGN);
     const auto options = heronvane::read_command_line({argv + (argc > 0 ? 1 : 0), argv + argc});
     if (options.help) return std::fputs(heronvane::kUsage, stdout) < 0;
--- a/relay/no_settings_file.cpp
+++ b/relay/no_settings_file.cpp
@@ -1,4 +1,4 @@
-// Stands in for settings_file.cpp in builds without toml++.
+// Replaces settings_file.cpp in builds without toml++.
 #include <stdexcept>
 #include <string>
 
--- a/relay/operator_settings.hpp
+++ b/relay/operator_settings.hpp
@@ -1,5 +1,5 @@
-// Settings that belong to the operator of an installation, not to the platform: the TOML file that --settings
-// or HERONVANE_SETTINGS names. deploy/heronvane.toml lists them all.
+// Settings that the operator of an installation makes, not the platform, in the TOML file that --settings or
+// HERONVANE_SETTINGS names. deploy/heronvane.toml lists them all.
 #pragma once
 
 #include <string>
@@ -15,20 +15,20 @@
   // The durable store: [store].
   struct Store {
     store::Durability durability = store::Durability::process;
-    bool keep_health = true;  // health, slow start, backoff and send rates of endpoints outlast a restart
-    bool keep_waits = false;  // so do waits by Retry-After; the platform's protocol lets a restart end them
-    Microseconds remember_window = 10'000'000;  // ids of completed requests, past their deadlines
+    bool keep_health = true;  // store health, slow start, backoff and send rates of endpoints over restarts
+    bool keep_waits = false;  // the same for Retry-After waits; the platform lets a restart end them
+    Microseconds remember_window = 10'000'000;  // for ids of completed requests, from their deadlines on
   };
   // The admin socket: [admin].
   struct Admin {
-    bool socket = false;  // FOLDER/admin.sock is served
-    bool drain = false;   // a drain may be asked for, and ends the process
+    bool socket = false;  // serve STATE_FOLDER/admin.sock
+    bool drain = false;   // allow drains, which end the process
   };
   // The relay: [relay].
   struct Relay {
-    bool wake = false;          // polls the endpoint list after a suspend; true where a file does not say
-    bool early_rounds = false;  // decides before the settings' tick is over; true where a file does not say
-    Microseconds start_timeout = 60'000'000;  // a start that waits for longer ends with status 1
+    bool wake = false;  // poll the endpoint list after a suspend; true if a settings file leaves it out
+    bool early_rounds = false;  // decide before the tick is over; true if a settings file leaves it out
+    Microseconds start_timeout = 60'000'000;  // a start that waits longer ends with status 1
   };
 
   Store store;
@@ -37,12 +37,12 @@
   copies::Settings copies;  // replication: [copies]
 };
 
-// Reads the text of the settings file `file`. Throws an exception whose text names the file, the line and the
-// key that is malformed or unknown.
+// Parses `text`, the content of the settings file `file`. Throws an exception whose text names the file, the
+// line and the malformed or unknown key.
 OperatorSettings read_operator_settings(const std::string& text, const std::string& file);
 
-// Reads a file. Returns the defaults where `file` is empty. Throws as above, and std::system_error where the
-// file can't be read.
+// Reads the settings file at the path `file`; returns the defaults if the path is empty. Throws as above, and
+// std::system_error if the file can't be read.
 OperatorSettings load_operator_settings(const std::string& file);
 
 }  // namespace heronvane
--- a/relay/relay_recovery.cpp
+++ b/relay/relay_recovery.cpp
@@ -1,5 +1,4 @@
-// Requests that were taken on by earlier incarnations of this relay, or by other relays: what is owed of
-// them.
+// Takes up requests that earlier incarnations of this relay, or other relays, accepted and did not finish.
 #include <algorithm>
 #include <limits>
 #include <string>
@@ -20,7 +19,7 @@
 
 }  // namespace
 
-// A request that an earlier incarnation took on is still owed its end.
+// Resumes the requests that earlier incarnations accepted: each is still owed its final answer.
 void RelayServer::recover() {
   if (HERONVANE_DEFECT("forget-folder")) return;
   std::vector<MessageId> unknown_class;
@@ -33,8 +32,8 @@
   cycle_.run();
 }
 
-// Takes up a request that is held and that the module does not know; false: of a class that the settings do
-// not have.
+// Registers a held request that the decision module does not know yet, and hands it to the module or, if it
+// has ended, sends its notification. Returns false if the settings do not have its class.
 bool RelayServer::resume_request(MessageId id, const Held& held) {
   requests_.add(id, held.message.id);
   status_.request_added(id, held.message.message_class, held_since(held));
@@ -60,7 +59,7 @@
     request.possibly_executed_age = std::max<Microseconds>(now - attempt.sent, 0);
   }
   if (held.doubt) {
-    // Sent at a time and place that no record tells.
+    // Records may have been lost: zone and time of a possible attempt are unknown.
     request.possibly_executed_zone = -1;
     request.possibly_executed_age = kUnknownAge;
   }
@@ -68,8 +67,8 @@
   return request;
 }
 
-// No record tells since when a request of an earlier incarnation is held: since its class's deadline began to
-// run, or its first attempt, if that was before.
+// When a request of an earlier incarnation was accepted is not recorded. Estimates it as the deadline less
+// the configured deadline of its class, or the time of the first attempt if that is earlier.
 Microseconds RelayServer::held_since(const Held& held) const {
   Microseconds since = store_.clock().now();
   const auto cls = config_.names.classes.find(held.message.message_class);
@@ -81,8 +80,8 @@
   return since;
 }
 
-// All that is held is another relay's: it is ended there. Calls that are out may still be answered, and
-// nobody asks.
+// Gives up all held requests after another relay took over the log; that relay finishes them. Answers to
+// calls that are still in flight are ignored.
 void RelayServer::on_log_lost() {
   committer_.reject_waiting_replies();
   committer_.withdraw_all();
@@ -98,11 +97,12 @@
   }
 }
 
-// What another relay had taken on, and is gone: from here on it is as if it had been taken on here.
+// Takes over the requests with ids in [from, to) of a failed relay; from here on they are treated as if this
+// relay had accepted them.
 void RelayServer::taken_over(MessageId from, MessageId to) {
   std::vector<MessageId> duplicates;
   std::vector<MessageId> unknown_class;
-  std::vector<MessageId> possibly_executed;  // of this relay's own
+  std::vector<MessageId> possibly_executed;  // ids of this relay's own requests
   std::size_t count = 0;
   for (auto it = store_.held().lower_bound(from); it != store_.held().end() && it->first < to; ++it) {
     const auto& [id, held] = *it;
@@ -111,7 +111,7 @@
       if (!resume_request(id, held)) unknown_class.push_back(id);
       continue;
     }
-    // The client sent it here, too: one request, of which one end is owed.
+    // The client sent the same request to this relay, too: only one final answer is owed.
     duplicates.push_back(id);
     const auto own_id = requests_.find(held.message.id);
     const Held* const own = own_id ? store_.find(*own_id) : nullptr;
@@ -120,7 +120,7 @@
   }
   WriteAheadPlan plan;
   for (const MessageId id : unknown_class) end_request(plan, id, {});
-  // It may have run over there: it must not run here.
+  // The other relay may have executed these, so they must not be executed here.
   for (const MessageId id : possibly_executed) {
     cycle_.notify(event::RequestWithdrawn{id});
     end_request(plan, id, {});
@@ -132,7 +132,7 @@
   cycle_.schedule(DecisionCycle::Urgency::urgent);
 }
 
-// Whether the request's class is not idempotent, or unknown.
+// True if the request's class is not idempotent, or unknown.
 bool RelayServer::may_be_non_idempotent(const Message& message) const {
   const auto cls = config_.names.classes.find(message.message_class);
   return cls == config_.names.classes.end() ||
--- a/relay/relay_requests.cpp
+++ b/relay/relay_requests.cpp
@@ -1,4 +1,4 @@
-// The way of a request through the relay: received, decided on, executed, completed.
+// The path of a request through the relay: received, decided on, executed, completed.
 #include <boost/asio/steady_timer.hpp>
 #include <chrono>
 #include <cstdlib>
@@ -16,7 +16,7 @@
 
 namespace {
 
-// What found no capacity may come again after this.
+// Retry-After, in microseconds, of a request that was rejected for lack of capacity.
 constexpr Microseconds kRetryAfter = 500'000;
 constexpr ClientReply kAccepted{202, 0};
 constexpr ClientReply kUnavailable{503, kRetryAfter};
@@ -32,7 +32,7 @@
 }  // namespace
 
 // ---- Requests. ----
-// Whether a request of that id was taken on already: it must not be sent a second time.
+// Whether a request with this client id was accepted already and must not be delivered a second time.
 bool RelayServer::is_known(const std::string& client_id) const {
   return requests_.is_in_flight(client_id) || store_.remembers(client_id) ||
          requests_.recently_completed(client_id);
@@ -40,14 +40,14 @@
 
 void RelayServer::on_request(Message message, Microseconds time_left, ReplyCallback reply) {
   if (requests_.coalesce(message.id, reply)) return;
-  // Sent again on a new connection, since the reply was lost.
+  // A duplicate: the client lost the reply and sent the request again on a new connection.
   if (is_known(message.id)) return reply(kAccepted);
   if (HERONVANE_DEFECT_NOW("forget-message")) return reply(kAccepted);
   if (HERONVANE_DEFECT_NOW("crash")) std::abort();
   if (drain_.draining()) return reject(reply, RejectReason::draining);
   if (!copies_->ready() || copies_->is_under_replicated()) return reject(reply, RejectReason::too_few_copies);
   if (!endpoints_.directory().knows_destination(message.destination)) {
-    // Before discovery has told its list, an unknown destination may only be unknown yet.
+    // Until the first endpoint list has arrived, an unknown destination may turn out to exist.
     if (!endpoints_.list_received()) return reject(reply, RejectReason::no_destination_list);
     return reply({404, 0, "unknown destination"});
   }
@@ -63,7 +63,7 @@
   cycle_.schedule(DecisionCycle::Urgency::urgent);
 }
 
-// Nothing was taken on; the client may come again.
+// Rejects a request that was not accepted; the client may retry.
 void RelayServer::reject(const ReplyCallback& reply, RejectReason reason) {
   status_.rejected(reason);
   reply(kUnavailable);
@@ -79,8 +79,8 @@
   if (was_acknowledged && !store_.remembers(client_id)) requests_.cache_completed(client_id, steady_now());
 }
 
-// Ends a request that was not delivered: by the reply where its client still waits for one, else by an
-// outcome notification.
+// Ends a request that was not delivered: by the reply if its client still waits for one, else by an outcome
+// notification.
 void RelayServer::end_request(WriteAheadPlan& plan, MessageId id, const Ending& decided) {
   const Held* const held = store_.find(id);
   if (held == nullptr || held->ending) return;
@@ -95,9 +95,9 @@
   plan.notifications.push_back(id);
 }
 
-// Ends that are due while their records can't be written, or don't last yet: they are owed in time all the
-// same. A restart that finds no record of such an end finds the request overdue, makes no call, and notifies
-// once more, which does no harm.
+// Ends requests past their deadline while the records of their ends can't be written or are not durable yet:
+// clients must be notified in time all the same. After a restart without such a record the request is
+// overdue, so that no call is made and the notification is sent once more, which is harmless.
 void RelayServer::expire_overdue() {
   const Microseconds now = store_.clock().now();
   std::vector<MessageId> overdue;
@@ -130,7 +130,7 @@
   committer_.compact_if_wanted();
 }
 
-// Gives the queued requests their ids and records.
+// Assigns ids to the queued requests and adds their records to the store.
 void RelayServer::admit_queued() {
   for (auto& [message, reply] : requests_.take_queued()) {
     const MessageId id = store_.next_number();
@@ -178,7 +178,7 @@
           platform_.unwatch();
         }
       },
-      [](const action::CheckHealth&) {},  // the settings of a relay ask for none
+      [](const action::CheckHealth&) {},  // a relay's settings turn no health checks on
       [&](const action::SendGossip& gossip) {
         if (peers_) peers_->send(gossip.peer, gossip.body);
       },
@@ -207,7 +207,7 @@
   committer_.commit_soon();
   cycle_.notify(ended);
   if (cycle_.dispatcher().queued_requests() > 0) cycle_.schedule(DecisionCycle::Urgency::urgent);
-  // Guards against calls whose connections come up after the endpoint asked to wait.
+  // Withdraws calls whose connections would come up after the endpoint asked to wait.
   if (ended.retry_after > 0) executor_.withdraw_rate_limited(ended.endpoint);
 }
 
@@ -244,7 +244,7 @@
 }
 
 #ifdef HERONVANE_FAIL_POINTS
-// A defect to be found: a notification, a second and a half late.
+// A deliberate defect for tests: sends the notification 1.5 s late.
 void RelayServer::notify_late(MessageId id, const Ending& ending) {
   const Held* const held = store_.find(id);
   if (held == nullptr) return;
--- a/relay/relay_server.cpp
+++ b/relay/relay_server.cpp
@@ -14,17 +14,18 @@
 
 namespace {
 
-// Share of the memory for bodies that are being read.
+// Request bodies that are being read may take this fraction of the memory: one eighth.
 constexpr std::size_t kBodyMemoryDivisor = 8;
 
-// A list may take a part of the memory; 4 MiB hold 30,000 endpoints.
+// The maximum size of an endpoint list: one eighth of the memory, and at least 4 MiB, which hold 30,000
+// endpoints.
 std::size_t max_list_bytes(const Config& config) {
   constexpr std::size_t kMinListBytes = 4 << 20;
   constexpr std::size_t kListMemoryDivisor = 8;
   return std::max<std::size_t>(kMinListBytes, config.memory_bytes / kListMemoryDivisor);
 }
 
-// `remembers`: whether a request's id is to be remembered once it is completed.
+// `remembers` says whether the id of a request is to be remembered once the request is completed.
 store::Options store_options(const Config& config, std::function<bool(const Message&)> remembers) {
   store::Options options;
   options.limit_bytes = config.disk_bytes;
@@ -57,7 +58,7 @@
   }
 }
 
-// Bound and listening: who connects from now on waits until the intake accepts.
+// Returns a listening socket. Clients that connect to it wait in the backlog until the intake accepts them.
 net::ip::tcp::acceptor listening(net::io_context& io, const net::ip::tcp::endpoint& address) {
   try {
     return {io, address};
@@ -104,7 +105,7 @@
   accept_clients();
 }
 
-// The copies refer to the store and to all that hears of them.
+// Replication is destroyed first: it refers to the store and calls hooks of the other members.
 RelayServer::~RelayServer() { copies_.reset(); }
 
 void RelayServer::recover_store() {
@@ -114,13 +115,14 @@
   drain_.resume();
   endpoints_.restore_learned_state();
   HERONVANE_POINT("recover.taken-back");
-  // Calls recover() once the log is known to be this relay's.
+  // Calls recover() once the log is confirmed to be this relay's.
   copies_->start();
   HERONVANE_POINT("recover.done");
 }
 
 void RelayServer::accept_clients() {
-  // Nothing is under way before: what fails by here leaves no completion behind that would reach this relay.
+  // No asynchronous operation is started before this point, so a constructor that has thrown leaves no
+  // handler behind that would refer to this relay.
   if (peers_) peers_->start();
   admin_->start();
   intake_.emplace(
@@ -139,7 +141,7 @@
   const auto& settings = config_.settings;
   if (!settings.gossip || !config_.peer_listen) return nullptr;
   const auto received = [this](int from, std::string body) {
-    // They would pile up while the module is not asked; any may be lost.
+    // Dropped while the decision module is not asked, since they would pile up; gossip may be lost.
     if (!committer_.is_writable() || !lifecycle_.rules().decides) return;
     cycle_.notify(event::GossipReceived{from, std::move(body)});
   };
@@ -152,7 +154,7 @@
   }
 }
 
-// ---- What the owners ask of one another. ----
+// ---- Hooks between the relay's parts. ----
 Committer::Hooks RelayServer::commit_hooks() {
   Committer::Hooks hooks;
   hooks.execute = [this](WriteAheadPlan plan) { execute(std::move(plan)); };
@@ -165,7 +167,7 @@
   hooks.plans_pending = [this] { copies_->send_now(); };
   hooks.writable_again = [this] {
     endpoints_.resynchronize();
-    cycle_.schedule();  // what came meanwhile is decided on now
+    cycle_.schedule();  // decides on the events that arrived meanwhile
   };
   hooks.expire_overdue = [this] { expire_overdue(); };
   return hooks;
--- a/relay/relay_server.hpp
+++ b/relay/relay_server.hpp
@@ -1,7 +1,7 @@
-// The relay: coordinates the owners of its state, from a client's request to its final answer.
+// The relay: coordinates the objects that own its state, from a client's request to its final answer.
 //
-// A request is stored, then acknowledged; an attempt is stored before its first byte; an end is stored before
-// anybody is notified of it. No decision is made here: that is the decision module's.
+// A request is stored before it is acknowledged, an attempt before its first byte is sent, and an end before
+// anybody is notified of it. Decisions are made by the decision module, not here.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -35,34 +35,35 @@
 
 namespace heronvane {
 
-// Lives on the event loop's thread: made, called and destroyed there. `io` and `config` outlive it.
+// Created, used and destroyed on the event loop's thread. `io` and `config` outlive it.
 class RelayServer {
  public:
   struct Start {
-    std::string run;               // the id of this process's run
-    std::optional<Fence> undrain;  // ends a drain that is stored; the start fails under a lower fence
-    bool force_own = false;  // with copies: what the folder holds is this relay's, its holders are not asked
-    std::function<void()> drained;  // a drain is complete: nothing is held or owed any more
-    Microseconds waited = 0;        // how long the start was waiting before this try, in microseconds
-    std::string waited_for;         // what for; empty: it was not waiting
+    std::string run;                // the id of this process's run
+    std::optional<Fence> undrain;   // ends a stored drain; the start fails if a higher fence is stored
+    bool force_own = false;         // with replication: use the folder's log without asking the replicas
+    std::function<void()> drained;  // called once a drain is complete
+    Microseconds waited = 0;        // microseconds that the start waited before this attempt
+    std::string waited_for;         // the reason of the wait; empty: there was none
   };
 
-  // Takes the folder and the addresses, then what an earlier process left; from then on clients are accepted.
-  // Throws startup::StartError where the folder or an address can't be had; what is held was not touched
-  // then.
+  // Locks the folder, binds the addresses, recovers what an earlier process left, then accepts clients.
+  // Throws startup::StartError if the folder can't be locked or an address can't be bound; the stored
+  // messages are untouched then.
   RelayServer(boost::asio::io_context& io, const Config& config, Start start);
   ~RelayServer();
   RelayServer(const RelayServer&) = delete;
   RelayServer& operator=(const RelayServer&) = delete;
 
-  // Takes over what may change while the relay runs: where discovery is found, who may hold copies.
+  // Applies the parts of `config` that may change while the relay runs: the address of discovery, the
+  // generation, and the members that may hold copies.
   void reconfigure(const Config& config);
-  // Graceful shutdown: answers clients on, lets calls come back, then calls `done`, within
+  // Shuts down gracefully: goes on answering clients, waits for calls in flight, then calls `done`, within
   // Lifecycle::kShutdownTime.
   void stop(std::function<void()> done);
 
  private:
-  // What the owners ask of one another.
+  // Hooks between the relay's parts.
   Committer::Hooks commit_hooks();
   DecisionCycle::Hooks cycle_hooks();
   EndpointView::Hooks endpoint_hooks();
@@ -101,7 +102,7 @@
   void notify_late(MessageId id, const Ending& ending);
 #endif
 
-  // relay_recovery.cpp: requests of earlier incarnations and of other relays
+  // relay_recovery.cpp: takes up requests of earlier incarnations and of other relays
   void recover();
   bool resume_request(MessageId id, const Held& held);
   heronvane::dispatch::event::RequestRecovered recovered(MessageId id, const Held& held) const;
@@ -110,7 +111,7 @@
   void taken_over(MessageId from, MessageId to);
   bool may_be_non_idempotent(const Message& message) const;
 
-  // relay_shutdown.cpp: the end, by a drain or a stop
+  // relay_shutdown.cpp: drain, graceful shutdown and suspension
   bool has_open_work() const;
   Lifecycle::OpenWork open_work() const;
   void check_shutdown();
@@ -120,13 +121,14 @@
   const Start start_;
   const Microseconds started_ = wall_now();
   const Microseconds started_steady_ = steady_now();
-  // In this order: a start that fails for want of the folder or an address has not touched what is held.
+  // In this order, so that a start that can't lock the folder or bind an address leaves the stored messages
+  // untouched.
   std::unique_ptr<store::Disk> folder_;
-  boost::asio::ip::tcp::acceptor listener_;  // until the intake has it
-  std::unique_ptr<Peers> peers_;             // null where the settings have no gossip
+  boost::asio::ip::tcp::acceptor listener_;  // until it is moved into the intake
+  std::unique_ptr<Peers> peers_;             // null if gossip is off
   std::unique_ptr<Frontend> admin_;
   Committer committer_;
-  store::Store& store_;  // the committer's
+  store::Store& store_;  // owned by the committer
   std::unique_ptr<LogReplication> copies_;
   DecisionCycle cycle_;
   EndpointView endpoints_;
@@ -139,7 +141,7 @@
   StatusReporter status_;
   Timer shutdown_timer_;
   std::function<void()> stopped_;
-  std::optional<Intake> intake_;  // last: it accepts once all else stands
+  std::optional<Intake> intake_;  // last: accepts clients once all other members exist
 };
 
 }  // namespace heronvane
--- a/relay/relay_shutdown.cpp
+++ b/relay/relay_shutdown.cpp
@@ -1,4 +1,4 @@
-// How a relay ends: graceful shutdown, drain, and what holds while the process was suspended.
+// Graceful shutdown, drain, and the hooks for a suspension of the process.
 #include <chrono>
 #include <string>
 #include <utility>
@@ -47,7 +47,8 @@
   return hooks;
 }
 
-// Whether something is held or owed: a drain waits for it.
+// Whether a drain has to wait: messages are held or queued, calls are in flight, notifications are owed, or
+// records are not durable.
 bool RelayServer::has_open_work() const {
   return !store_.held().empty() || requests_.queued() > 0 || executor_.calls_in_flight() > 0 ||
          platform_.has_pending_notices() || !committer_.is_settled();
@@ -74,8 +75,8 @@
 void RelayServer::check_shutdown() {
   const Microseconds now = steady_now();
   if (lifecycle_.advance(now)) {
-    // What waits for its records, or for its connection, would go too late for its answer to come back. None
-    // of it has run, and its record says so.
+    // Calls that still wait for their records or for a connection would begin too late for their answers to
+    // arrive. They are withdrawn, and their records say that they were not sent.
     executor_.withdraw_all();
     committer_.commit();
   }
@@ -83,11 +84,11 @@
   if (lifecycle_.idle_time_is_over(now)) intake_->close_idle();
   if (lifecycle_.accept_time_is_over(now)) intake_->shut_down();
   if (lifecycle_.is_done(now, open_work())) {
-    // No call that was answered is left without its record.
+    // Records the outcomes of all calls whose answers have arrived.
     executor_.read_pending_answers();
     committer_.commit();
     log("stopped: " + std::to_string(store_.held().size()) + " messages left in the store, " +
-        std::to_string(executor_.calls_in_flight()) + " calls out");
+        std::to_string(executor_.calls_in_flight()) + " calls in flight");
     return stopped_();
   }
   shutdown_timer_.set(kShutdownCheckInterval, [this] { check_shutdown(); });
--- a/relay/settings_file.cpp
+++ b/relay/settings_file.cpp
@@ -17,7 +17,7 @@
 constexpr std::uint64_t kBytesPerMegabyte = 1'000'000;
 constexpr std::size_t kMaxNameBytes = 64;
 
-// Names become those of folders.
+// Member names are used as folder names.
 bool is_plain_name(const std::string& name) {
   const auto is_plain = [](unsigned char c) {
     return std::isalnum(c) != 0 || c == '-' || c == '_' || c == '.';
@@ -50,7 +50,7 @@
         std::any_of(settings.members.begin(), settings.members.end(),
                     [&](const copies::Settings::Member& other) { return other.name == member.name; });
     if (is_listed) {
-      TomlSection(table, "copies.member", file).throw_malformed("name: " + member.name + " is there twice");
+      TomlSection(table, "copies.member", file).throw_malformed("name: " + member.name + " is listed twice");
     }
     settings.members.push_back(std::move(member));
   });
@@ -107,14 +107,14 @@
   }
 }
 
-// Throws where there is no such section.
+// Reads the section `name` into `settings`. Throws SettingsError if no section has this name.
 void read_section(const std::string& name, const toml::node& node, const std::string& file,
                   OperatorSettings& settings) {
   const toml::table* const table = node.as_table();
   const bool known = name == "admin" || name == "copies" || name == "relay" || name == "store";
   if (table == nullptr || !known) {
     throw SettingsError(file, node.source().begin.line,
-                        name + ": is no section; known are: admin, copies, relay, store");
+                        name + ": is not a section; known sections: admin, copies, relay, store");
   }
   TomlSection section(*table, name, file);
   if (name == "admin") read_admin(section, settings.admin);
@@ -128,7 +128,7 @@
 
 OperatorSettings read_operator_settings(const std::string& text, const std::string& file) {
   OperatorSettings settings;
-  // Without a file both are off.
+  // Both default to false without a settings file, and to true with one.
   settings.relay.wake = true;
   settings.relay.early_rounds = true;
   const toml::table document = parse(text, file);
--- a/relay/standalone_log.cpp
+++ b/relay/standalone_log.cpp
@@ -22,9 +22,10 @@
   if (keys.empty()) return;
   if (!store_.held().empty() && !force_own_) {
     throw std::runtime_error(
-        "settings: without [copies], but others hold copies of what this folder holds and may have taken it "
-        "over: start it with them, and drain it first; --force-own goes on all the same, and what was taken "
-        "over may run twice");
+        "settings: [copies] is off, but other relays hold copies of the messages in this folder and may have "
+        "taken them over: start the relay with [copies] and drain it first; with --force-own it starts all "
+        "the "
+        "same, and messages that were taken over may run twice");
   }
   for (const auto& key : keys) store_.put(store::record::Fact{key, {}});
 }
--- a/relay/standalone_log.hpp
+++ b/relay/standalone_log.hpp
@@ -1,5 +1,4 @@
-// The log of a relay that keeps no copies of it elsewhere: it is this relay's from the start, and on its disk
-// alone.
+// The log of a relay without replication: owned by this relay from the start, and stored on its disk alone.
 #pragma once
 
 #include <functional>
@@ -14,11 +13,11 @@
 // The null implementation of LogReplication.
 class StandaloneLog : public LogReplication {
  public:
-  // `store` outlives this. `ready`: what the log holds may be acted on.
+  // `store` outlives this. `ready` is called from start(): the messages in the log may be processed.
   StandaloneLog(store::Store& store, bool force_own, std::function<void()> ready);
 
-  // Throws std::runtime_error where the log had copies elsewhere, which may have taken over what it holds,
-  // and nobody was asked; not under `force_own`.
+  // Throws std::runtime_error if the log holds messages and was replicated before, since another relay may
+  // have taken it over; not with `force_own`.
   void start() override;
   bool ready() const override { return true; }
   bool is_under_replicated() const override { return false; }
--- a/relay/startup/event_loop.cpp
+++ b/relay/startup/event_loop.cpp
@@ -32,8 +32,7 @@
   return signals;
 }
 
-// Waits for so long at most; true once a signal has come that asks for the process's end. The signals must be
-// blocked.
+// Waits for a termination signal for at most `time`; true if one has arrived. The signals must be blocked.
 bool wait_for_termination_signal(std::chrono::milliseconds time) {
   const sigset_t signals = termination_signals();
   const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(time);
@@ -61,7 +60,7 @@
 std::unique_ptr<EventLoop> make_event_loop() {
   const BlockedSignals blocked;
   const Microseconds since = steady_now();
-  // The operator's own timeout is not read yet.
+  // The default, since the operator's settings are not read yet.
   const Microseconds timeout = OperatorSettings().relay.start_timeout;
   std::optional<Microseconds> logged_at;
   do {
--- a/relay/startup/event_loop.hpp
+++ b/relay/startup/event_loop.hpp
@@ -1,4 +1,4 @@
-// The event loop of the process, with the signals that it listens to.
+// The event loop of the process and its signal sets.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -10,8 +10,8 @@
 
 namespace heronvane::startup {
 
-// Blocks SIGTERM, SIGINT and SIGHUP in this thread while it lives, so that none ends the process, or is lost,
-// before the loop listens to them.
+// Blocks SIGTERM, SIGINT and SIGHUP in the calling thread until destruction, so that none ends the process or
+// is lost before the loop handles signals.
 class BlockedSignals {
  public:
   BlockedSignals();
@@ -20,7 +20,7 @@
   BlockedSignals& operator=(const BlockedSignals&) = delete;
 };
 
-// Everything runs on the thread that runs `io`.
+// All handlers run on the thread that runs `io`.
 struct EventLoop {
   boost::asio::io_context io{1};
   LostLineReporter lost_line_reporter{io};
@@ -28,9 +28,9 @@
   boost::asio::signal_set reload_signals{io, SIGHUP};
 };
 
-// Makes the event loop; blocks, and retries while the system is short of descriptors. Null where the process
-// was asked to end meanwhile. Throws StartError on a permanent error, and where it takes longer than a start
-// may.
+// Creates the event loop. Blocks and retries while it fails with a transient error, such as a lack of
+// descriptors. Returns null if a signal asked the process to end meanwhile. Throws StartError on a permanent
+// error, and when the default [relay] start_timeout has passed.
 std::unique_ptr<EventLoop> make_event_loop();
 
 }  // namespace heronvane::startup
--- a/relay/startup/resource_owner.cpp
+++ b/relay/startup/resource_owner.cpp
@@ -14,7 +14,7 @@
 namespace heronvane::startup {
 namespace {
 
-constexpr const char* kListeningState = "0A";  // of a socket in /proc/net/tcp
+constexpr const char* kListeningState = "0A";  // a listening socket's state in /proc/net/tcp
 
 // A line of /proc/locks: "1: FLOCK  ADVISORY  WRITE 4711 08:01:1234 0 EOF".
 struct LockLine {
@@ -50,7 +50,7 @@
   return size > 0 ? std::string(text.data(), static_cast<std::size_t>(size)) : std::string();
 }
 
-// A line of /proc/net/tcp. Fields that no one needs are skipped.
+// A line of /proc/net/tcp, without the fields that are not needed.
 struct TcpTableLine {
   std::string local_address;
   std::string state;
@@ -62,12 +62,12 @@
   std::string skipped;
   TcpTableLine socket;
   in >> skipped >> socket.local_address >> skipped >> socket.state;
-  // Queues, timer, retransmits, user and timeout.
+  // Skips queues, timer, retransmits, user and timeout.
   in >> skipped >> skipped >> skipped >> skipped >> skipped >> socket.inode;
   return socket;
 }
 
-// The inode of the socket that listens on `address`; empty where there is none.
+// The inode of the socket that listens on `address`; empty if there is none.
 std::string listening_inode(const boost::asio::ip::tcp::endpoint& address) {
   if (!address.address().is_v4()) return {};
   const std::string wanted = tcp_table_name(address);
@@ -80,7 +80,7 @@
   return {};
 }
 
-// The number that the whole of `text` is; nothing where it is none.
+// Parses `text` as a process id; empty if it is not a number.
 std::optional<pid_t> read_process_number(const std::string& text) {
   pid_t process = 0;
   const char* const last = text.data() + text.size();
--- a/relay/startup/resource_owner.hpp
+++ b/relay/startup/resource_owner.hpp
@@ -1,4 +1,4 @@
-// Finds the process that holds a resource which a start waits for, as far as /proc shows it.
+// Finds the process that holds a resource that a start waits for, from /proc.
 #pragma once
 
 #include <sys/types.h>
@@ -9,11 +9,11 @@
 
 namespace heronvane::startup {
 
-// The process that holds a lock (flock) on the file or folder at `path`. Nothing where that can't be known,
-// as for a process of another container.
+// The process that holds a lock (flock) on the file or folder at `path`. Empty if it can't be determined, for
+// example for a process in another container.
 std::optional<pid_t> locking_process(const std::string& path);
 
-// The process that listens on an IPv4 address. Nothing where none does, or it is another user's.
+// The process that listens on an IPv4 address. Empty if there is none or it belongs to another user.
 std::optional<pid_t> listening_process(const boost::asio::ip::tcp::endpoint& address);
 
 // "process 4711 (heronvane)", or "another process".
--- a/relay/startup/start_error.cpp
+++ b/relay/startup/start_error.cpp
@@ -26,14 +26,14 @@
 
 namespace {
 
-// By the value of errno.
+// Classifies a value of errno.
 Persistence persistence_of_errno(int number) {
   switch (number) {
     // No permission.
     case EACCES:
     case EPERM:
     case EROFS:
-    // Names something that is not there, or is something else.
+    // The path or address does not exist, or is of another type.
     case ENOENT:
     case ENOTDIR:
     case EISDIR:
@@ -42,7 +42,7 @@
     case ENOTSOCK:
     case ENXIO:
     case ENODEV:
-    // Asks for what this system can't do.
+    // Not supported by this system.
     case EINVAL:
     case EAFNOSUPPORT:
     case EPROTONOSUPPORT:
@@ -50,7 +50,7 @@
     case ESOCKTNOSUPPORT:
     case EOPNOTSUPP:
     case ENOSYS:
-    // A fault of the program.
+    // A bug of the program.
     case EBADF:
     case EFAULT:
       return Persistence::permanent;
@@ -67,8 +67,8 @@
   return is_errno ? persistence_of_errno(error.value()) : Persistence::permanent;
 }
 
-// Not by way of std::error_code: Boost 1.74 converts its system category into one that equals none of the
-// standard library's.
+// Does not convert to std::error_code: Boost 1.74 converts its system category into one that compares unequal
+// to those of the standard library.
 Persistence persistence_of(const boost::system::error_code& error) {
   const auto& category = error.category();
   const bool is_errno =
--- a/relay/startup/start_error.hpp
+++ b/relay/startup/start_error.hpp
@@ -1,4 +1,4 @@
-// Why a start failed: at which step, and whether a retry helps.
+// Errors of a start: the step that failed, and whether a retry may help.
 #pragma once
 
 #include <boost/system/error_code.hpp>
@@ -15,22 +15,22 @@
   configuration,  // the configuration and the operator's settings are read
   state_folder,   // the state folder is opened and locked
   listener,       // the addresses are bound
-  recovery,       // what an earlier process left is read and taken over
-  loop            // the event loop and its signals are set up
+  recovery,       // the requests that an earlier process left are recovered
+  loop            // the event loop and its signal sets are created
 };
 
 // The step's name in log lines.
 std::string_view name_of(Step step);
 
-// Whether a failure may be gone a moment later.
+// Whether a failure may pass by itself.
 enum class Persistence {
-  transient,  // a retry may succeed: a folder or an address in use, descriptors short, a disk error
-  permanent   // only an operator can change it
+  transient,  // a retry may succeed: folder or address in use, lack of descriptors, disk error
+  permanent   // needs an action of the operator
 };
 
-// The persistence of a system call's error during a start. Errors that are not known to be permanent count as
-// transient: a start that waits in vain ends by its timeout, one that gives up too soon leaves nobody to
-// serve.
+// Classifies the error of a system call during a start. Errors that are not known to be permanent count as
+// transient: a start that retries in vain ends by its timeout, while one that gives up too soon leaves
+// clients without a relay.
 Persistence persistence_of(const std::error_code& error);
 Persistence persistence_of(const boost::system::error_code& error);
 
@@ -48,7 +48,8 @@
   Persistence persistence_;
 };
 
-// Any exception of a start as a StartError; of `step` where the exception does not tell its own.
+// Converts any exception of a start into a StartError, with `step` unless the exception has a step of its
+// own.
 StartError to_start_error(const std::exception& error, Step step);
 
 }  // namespace heronvane::startup
--- a/relay/startup/startup.cpp
+++ b/relay/startup/startup.cpp
@@ -15,16 +15,16 @@
 namespace heronvane::startup {
 namespace {
 
-// A disk limit in bytes below which a relay holds few requests or none, although it looks healthy.
+// Below this disk limit, in bytes, a relay can hold few requests or none although it reports itself ready.
 constexpr std::uint64_t kLowDiskLimit = 1'000'000;
-// Short, since nobody serves meanwhile. An attempt that fails at a lock or an address costs some
+// Short, since no relay serves clients meanwhile. An attempt that fails at a lock or an address costs some
 // microseconds.
 constexpr auto kRetryInterval = std::chrono::milliseconds(50);
-// After a failed recovery, which may have read the whole folder.
+// Longer after a failed recovery, which may have read the whole folder.
 constexpr auto kRecoveryRetryInterval = std::chrono::milliseconds(250);
 constexpr Microseconds kLogInterval = 5'000'000;
 constexpr double kSecond = 1e6;            // microseconds
-constexpr std::size_t kSecondsBytes = 32;  // of a duration as text, at most
+constexpr std::size_t kSecondsBytes = 32;  // maximum size of a duration as text
 constexpr int kFailureStatus = 1;
 
 std::string seconds_text(Microseconds duration) {
@@ -47,7 +47,7 @@
                      "no state folder: name it by --state FOLDER or LB_STATE");
   }
   if (config.disk_bytes < kLowDiskLimit) {
-    log("configuration: limits.disk_mb is below 1: messages may be refused for want of room");
+    log("configuration: limits.disk_mb is below 1: messages may be refused for lack of disk space");
   }
   return config;
 }
--- a/relay/startup/startup.hpp
+++ b/relay/startup/startup.hpp
@@ -1,8 +1,8 @@
-// The start of a relay, from its configuration to its listener, and the reaction to the process's signals.
+// Starts a relay, from reading its configuration to opening its listener, and handles the process's signals.
 //
-// A start is retried until it succeeds. A transient failure is waited out; between two attempts nothing is
-// held, no file is changed and no request is attempted. A permanent failure ends the process, as does a
-// transient one that lasts longer than [relay] start_timeout.
+// After a transient failure the start is retried; between two attempts no lock or address is held, no file is
+// changed and no request is attempted. A permanent failure ends the process, and so does a transient one that
+// lasts longer than [relay] start_timeout.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,20 +18,21 @@
 
 namespace heronvane::startup {
 
-// Owns the relay. Used from the loop's thread only.
+// Owns the relay. Use on the event loop's thread only.
 class Startup {
  public:
-  // `io` must outlive it. Nothing happens before begin().
+  // `io` must outlive this. Does nothing before begin().
   Startup(boost::asio::io_context& io, ConfigPaths paths, RelayServer::Start start);
 
-  // Makes the first attempt at once; later ones are made by the loop.
+  // Makes the first attempt at once; retries run from the loop.
   void begin();
 
-  // SIGHUP: reads the configuration again, for the running relay or for the next attempt. One that can't be
-  // read leaves the old one in force, and is retried where that failure is transient.
+  // SIGHUP: reloads the configuration, for the running relay or for the next attempt. If it can't be read,
+  // the old one stays in force, and the reload is retried if the failure is transient.
   void reload();
 
-  // SIGTERM, SIGINT: ends the relay or the waiting, then stops the loop. `signal` is its name in the log.
+  // SIGTERM, SIGINT: stops the relay or the waiting start, then the loop. `signal` is the signal's name for
+  // the log.
   void stop(const std::string& signal);
 
   // The process's exit status, once the loop has stopped.
@@ -42,7 +43,7 @@
   struct Waiting {
     Microseconds since;                     // steady time of the first failure
     std::string reason;                     // the last failure
-    std::optional<Microseconds> logged_at;  // steady time of the last line about it
+    std::optional<Microseconds> logged_at;  // steady time of the last log line about the wait
   };
 
   void attempt();
@@ -52,16 +53,16 @@
   void handle_failure(const StartError& error);
   void fail_permanently(const std::string& reason);
   void log_waiting(const StartError& error);
-  // The error's text, with the process that holds what the start waits for.
+  // The error's text, with the process that holds the folder or the address, if it is known.
   std::string describe(const StartError& error) const;
-  // Throws StartError where what was read can't run a relay.
+  // Reads the configuration and checks that it names a state folder. Throws StartError if it does not.
   Config load_checked_config() const;
   Microseconds timeout() const;
 
   boost::asio::io_context& io_;
   const ConfigPaths paths_;
   const RelayServer::Start start_;
-  std::optional<Config> config_;        // does not change once the relay is made
+  std::optional<Config> config_;        // does not change once the relay exists
   std::unique_ptr<RelayServer> relay_;  // null until an attempt has succeeded
   std::optional<Waiting> waiting_;
   Timer retry_timer_;
--- a/relay/status_reporter.hpp
+++ b/relay/status_reporter.hpp
@@ -1,4 +1,4 @@
-// What the relay reports of itself: whether it is ready, the operator's status, rejected requests in the log.
+// Reports on the relay: whether it is ready, its status for the operator, and rejected requests in the log.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -22,7 +22,7 @@
 
 namespace heronvane {
 
-// Why a request was answered with a rejection or a failure, as the log counts it.
+// Why a request was rejected or failed; the log counts them by reason.
 enum class RejectReason {
   draining,
   too_few_copies,
@@ -35,10 +35,10 @@
   commit_failed
 };
 
-// Owned by the relay; called on the event loop's thread only. Changes nothing that it reports on.
+// Owned by the relay; called on the event loop's thread only. Reads the relay's parts and changes none.
 class StatusReporter {
  public:
-  // What it reports on; all of it outlives this.
+  // The parts of the relay that it reads; they outlive it.
   struct Sources {
     const Lifecycle& lifecycle;
     const DrainController& drain;
@@ -50,24 +50,24 @@
     const Platform& platform;
     std::function<std::size_t()> client_connections;
   };
-  // How this process came to run.
+  // How this process was started.
   struct StartInfo {
     std::string run;           // the id of this process's run
     Microseconds started = 0;  // wall time
     Microseconds started_steady = 0;
-    Microseconds waited = 0;  // how long the start was waiting for something that passed
-    std::string waited_for;   // what for; empty: it was not waiting
+    Microseconds waited = 0;  // how long the start waited for a transient failure to pass
+    std::string waited_for;   // the reason of the wait; empty: there was none
   };
 
   StatusReporter(boost::asio::io_context& io, const Config& config, StartInfo start, Sources sources);
 
-  // Requests in flight, counted for the operator's status where there is an admin socket. `since`: on the
+  // Count requests in flight for the operator's status, if there is an admin socket. `since` is on the
   // store's persistent clock.
   void request_added(MessageId id, const std::string& message_class, Microseconds since);
   void request_removed(MessageId id) { in_flight_.remove(id); }
-  // Counted, and logged once a second by reason.
+  // Counts a rejected request; the log has one line a second with the counts by reason.
   void rejected(RejectReason reason);
-  // The configuration that holds from now on.
+  // Sets the generation of the current configuration.
   void set_generation(std::int64_t generation) { generation_ = generation; }
 
   // Whether the health check may tell clients to send requests here.
--- a/relay/text_file.cpp
+++ b/relay/text_file.cpp
@@ -11,9 +11,9 @@
 namespace heronvane {
 namespace {
 
-constexpr std::size_t kReadBytes = 65536;  // at once
+constexpr std::size_t kReadBytes = 65536;  // by one read()
 
-// Owns a file descriptor, or -1.
+// Owns a file descriptor; -1: none.
 class Descriptor {
  public:
   explicit Descriptor(int fd) : fd_(fd) {}
--- a/relay/toml_section.cpp
+++ b/relay/toml_section.cpp
@@ -25,7 +25,8 @@
 void TomlSection::read_string(const std::string& key, std::string& value) {
   const toml::node* const node = find(key);
   if (node == nullptr) return;
-  if (!node->is_string() || node->as_string()->get().empty()) throw_malformed(*node, key, "must be a text");
+  if (!node->is_string() || node->as_string()->get().empty())
+    throw_malformed(*node, key, "must be a string that is not empty");
   value = node->as_string()->get();
 }
 
@@ -57,7 +58,8 @@
   if (node == nullptr) return;
   const toml::array* const tables = node->as_array();
   if (tables == nullptr || !tables->is_array_of_tables()) {
-    throw_malformed(*node, key, "must be tables, each begun by [[" + name_ + "." + key + "]]");
+    throw_malformed(*node, key,
+                    "must be an array of tables, each under a header [[" + name_ + "." + key + "]]");
   }
   for (const auto& table : *tables) read(*table.as_table());
 }
--- a/relay/toml_section.hpp
+++ b/relay/toml_section.hpp
@@ -1,4 +1,4 @@
-// A section of a TOML file, read key by key. Only in builds that read a settings file.
+// Reads a section of a TOML file key by key. Only in builds that read a settings file.
 #pragma once
 
 #define TOML_EXCEPTIONS 1
@@ -23,22 +23,22 @@
       : std::runtime_error(file + ":" + std::to_string(line) + ": " + reason) {}
 };
 
-// A word of the file and the value that it stands for.
+// A string in the file and the value that it stands for.
 template <class T>
 struct NamedValue {
   std::string_view name;
   T value;
 };
 
-// Each read function sets `value` where the section has the key, and leaves it as it is where not. It throws
-// SettingsError, naming the line, where the file's value has another type or is out of range.
+// Each read function sets `value` if the section has the key, else leaves it unchanged. Throws SettingsError,
+// which names the line, if the value in the file has another type or is out of range.
 class TomlSection {
  public:
-  // `name` is what error texts call the section. `table` and `file` must outlive it.
+  // `name` and `file` name the section and its file in error texts. `table` and `file` must outlive this.
   TomlSection(const toml::table& table, std::string name, const std::string& file);
 
   void read_bool(const std::string& key, bool& value);
-  // A text that is not empty.
+  // A string that is not empty.
   void read_string(const std::string& key, std::string& value);
   // An integer from `min` to `max`.
   void read_integer(const std::string& key, std::int64_t min, std::int64_t max, std::int64_t& value);
@@ -49,8 +49,8 @@
   // Calls `read` with each table of an array of tables.
   void read_tables(const std::string& key, const std::function<void(const toml::table&)>& read);
 
-  // Throws SettingsError for the first key that was not asked for: it is a typing error, and must not pass
-  // for a setting that has its default.
+  // Throws SettingsError for the first key that no read function was called for, so that a misspelt key does
+  // not silently leave its setting at the default.
   void reject_unknown_keys() const;
 
   [[noreturn]] void throw_malformed(const std::string& reason) const;
@@ -58,7 +58,7 @@
  private:
   [[noreturn]] void throw_malformed(const toml::node& node, const std::string& key,
                                     const std::string& reason) const;
-  // The value of a key, or nullptr; the key counts as asked for.
+  // Returns the value of a key, or nullptr, and adds the key to the known ones.
   const toml::node* find(const std::string& key);
 
   const toml::table& table_;
--- a/tests/admin_harness.hpp
+++ b/tests/admin_harness.hpp
@@ -1,4 +1,4 @@
-// The program with its admin socket, and a client of that.
+// A fixture that runs the relay with its admin socket, and a client for the socket.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -64,7 +64,7 @@
     c->read();
     return c;
   }
-  // Status 0 where none came.
+  // Sends a request on a new connection and returns the answer; its status is 0 if none came.
   Response ask_admin(const std::string& method, const std::string& target, const std::string& body = "") {
     const auto c = admin();
     c->write(admin_request(method, target, body));
@@ -103,11 +103,11 @@
     std::ifstream in(drained_path());
     return {std::istreambuf_iterator<char>(in), {}};
   }
-  // A start that may be over before it is ready.
+  // Starts the relay again and waits until it listens; it may end before it is ready.
   void start_anew() {
     std::filesystem::remove(folder + "/log");
     spawn(config());
-    wait_for([this] { return logged().find("listening as") != std::string::npos; }, "the relay listens");
+    wait_for([this] { return logged().find("listening as") != std::string::npos; }, "the relay to listen");
   }
 };
 
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -1,4 +1,4 @@
-// The admin socket: what it tells, and that nothing that comes there hurts the relay.
+// The admin socket: its answers, and that no request to it harms the relay.
 #include <sys/stat.h>
 
 #include <cstdlib>
@@ -25,7 +25,7 @@
   g.add(2, "a", 60 * kSecond);
   g.add(3, "b", 87 * kSecond);
   g.add(4, "b", 90 * kSecond);
-  g.add(4, "b", 90 * kSecond);  // twice
+  g.add(4, "b", 90 * kSecond);  // added a second time: no effect
   auto c = g.counts(90 * kSecond);
   EXPECT_EQ(c.by_class, (std::map<std::string, std::size_t>{{"a", 2}, {"b", 2}}));
   EXPECT_EQ(c.oldest, 90 * kSecond);
@@ -81,8 +81,8 @@
     EXPECT_EQ(error("POST", "/v1/drain", bad), 400u) << bad.substr(0, 40);
 }
 
-// ---- What it tells. ----
-TEST_F(AdminTest, StatusTellsWhatIsThere) {
+// ---- Answers. ----
+TEST_F(AdminTest, StatusReportsAllFields) {
   endpoint.on_request(stay_silent);
   more = ",\"generation\":12";
   arguments = {"--run", "0123456789abcdef"};
@@ -131,7 +131,7 @@
   EXPECT_EQ(s["list"]["endpoints"].GetInt(), 1);
 }
 
-TEST_F(AdminTest, StatusTellsWaitsAndWhatDrains) {
+TEST_F(AdminTest, StatusReportsWaitsAndDrainingEndpoints) {
   endpoint.on_request([](const Got& g) { g.session->answer(429, "X-Come-Back-Ms: 2000\r\n"); });
   start();
   EXPECT_EQ(hand_in("m1", kSafe), 202u);
@@ -144,9 +144,10 @@
   EXPECT_FALSE(status()["ready"].GetBool());
 }
 
-// Whoever asks takes an answer that is no JSON for none, and a relay without answers for one that hangs.
-TEST_F(AdminTest, NamesThatAreNoUtf8LeaveTheAnswerJson) {
-  const auto sound = [](const Response& answer) {
+// Operators' tools ignore an answer that is not valid JSON, and take a relay without answers for one that
+// hangs.
+TEST_F(AdminTest, AnswersAreValidJsonWithNamesThatAreNotUtf8) {
+  const auto is_valid_json = [](const Response& answer) {
     rapidjson::Document v;
     v.Parse<rapidjson::kParseValidateEncodingFlag>(answer.body().data(), answer.body().size());
     return !v.HasParseError();
@@ -158,12 +159,12 @@
   bytes.insert(bytes.find("X-Class"), "X-Tenant: \xc3\xc3\r\n");
   EXPECT_EQ(ask(bytes), 202u);
   const auto s = ask_admin("GET", "/v1/status"), m = ask_admin("GET", "/v1/messages/m1");
-  EXPECT_TRUE(sound(s)) << s.body();
+  EXPECT_TRUE(is_valid_json(s)) << s.body();
   EXPECT_NE(s.body().find("\"s-?\""), std::string::npos) << s.body();
-  EXPECT_TRUE(sound(m)) << m.body();
+  EXPECT_TRUE(is_valid_json(m)) << m.body();
 }
 
-TEST_F(AdminTest, TellsOfOneMessage) {
+TEST_F(AdminTest, ReportsASingleMessage) {
   finals_status = 503;
   endpoint.on_request([](const Got& g) {
     if (g.request["X-Request-Id"] == "over/1") return g.session->answer(200);
@@ -202,8 +203,8 @@
   EXPECT_EQ(s["held"]["given_up"].GetInt(), 1);
 }
 
-// What an earlier life took on is counted too.
-TEST_F(AdminTest, TheGaugeOutlastsARestart) {
+// Messages that an earlier incarnation accepted are counted, too.
+TEST_F(AdminTest, InFlightCountsSurviveARestart) {
   endpoint.on_request(stay_silent);
   start();
   EXPECT_EQ(hand_in("m1", kSafe), 202u);
@@ -219,26 +220,26 @@
   EXPECT_EQ(status()["held"]["by_class"].MemberCount(), 0u);
 }
 
-// ---- Who and what it lets in. ----
+// ---- Access and connections. ----
 TEST_F(AdminTest, WithoutTheSettingsThereIsNoSocket) {
   own_settings.clear();
   start();
   EXPECT_FALSE(std::filesystem::exists(socket_path()));
 }
 
-TEST_F(AdminTest, IsForItsOwnerAlone) {
+TEST_F(AdminTest, RejectsOtherUsers) {
   start();
   struct stat info {};
   ASSERT_EQ(::stat(socket_path().c_str(), &info), 0);
   EXPECT_TRUE(S_ISSOCK(info.st_mode));
   EXPECT_EQ(info.st_mode & 0777, 0600u);
   if (::geteuid() != 0) GTEST_SKIP() << "another user is needed for the rest";
-  // Though the file lets everybody in.
+  // Even if the file's mode lets everybody connect.
   ASSERT_EQ(::chmod(socket_path().c_str(), 0666), 0);
   std::filesystem::permissions(folder, std::filesystem::perms::all);
   std::filesystem::permissions(folder + "/state", std::filesystem::perms::all);
-  int said[2];
-  ASSERT_EQ(::pipe(said), 0);
+  int output[2];
+  ASSERT_EQ(::pipe(output), 0);
   const pid_t other = ::fork();
   if (other == 0) {
     if (::setuid(65534) != 0) ::_exit(1);
@@ -250,21 +251,21 @@
     net::write(socket, net::buffer(text), bad);
     char answer[256];
     const auto n = socket.read_some(net::buffer(answer), bad);
-    if (::write(said[1], answer, n) < 0) ::_exit(1);
+    if (::write(output[1], answer, n) < 0) ::_exit(1);
     ::_exit(0);
   }
-  ::close(said[1]);
+  ::close(output[1]);
   int ended = 0;
   wait_for([&] { return ::waitpid(other, &ended, WNOHANG) == other; }, "the other user is answered");
   char answer[256] = {};
-  EXPECT_GT(::read(said[0], answer, sizeof answer - 1), 0);
-  ::close(said[0]);
+  EXPECT_GT(::read(output[0], answer, sizeof answer - 1), 0);
+  ::close(output[0]);
   EXPECT_EQ(std::string(answer).substr(0, 13), "HTTP/1.1 403 ");
   EXPECT_NE(std::string(answer).find("\"forbidden\""), std::string::npos);
   EXPECT_EQ(ask_admin("GET", "/v1/status").result_int(), 200u);
 }
 
-TEST_F(AdminTest, APathTooLongIsRefusedAtTheStart) {
+TEST_F(AdminTest, APathTooLongFailsTheStart) {
   members = member("s-1", endpoint.address());
   const std::string deep = folder + "/" + std::string(100, 'x');
   std::filesystem::create_directories(deep);
@@ -279,7 +280,7 @@
   EXPECT_TRUE(std::filesystem::is_empty(deep));
 }
 
-TEST_F(AdminTest, AStaleSocketGoesAndWhatIsNoneStays) {
+TEST_F(AdminTest, ReplacesAStaleSocketButNoOtherFile) {
   start();
   kill_relay();
   EXPECT_TRUE(std::filesystem::exists(socket_path())) << "a kill leaves it";
@@ -296,7 +297,7 @@
   EXPECT_TRUE(std::filesystem::exists(socket_path()));
 }
 
-TEST_F(AdminTest, ASecondRelayLeavesTheFirstOnesSocket) {
+TEST_F(AdminTest, ASecondRelayLeavesTheSocketOfTheFirst) {
   start();
   const pid_t first = std::exchange(child, -1);
   const auto own = port;
@@ -310,8 +311,8 @@
   EXPECT_EQ(ask_admin("GET", "/v1/status").result_int(), 200u);
 }
 
-// Eight connections: an idle one makes room for the next; where none is idle the next is told so.
-TEST_F(AdminTest, HoldsAFewConnectionsOnly) {
+// The limit is eight connections: a new one replaces the longest idle one; if none is idle, it gets 503 busy.
+TEST_F(AdminTest, LimitsItsConnections) {
   start();
   const auto before = descriptors();
   std::vector<std::shared_ptr<AdminClient>> idle;
@@ -328,10 +329,10 @@
   EXPECT_FALSE(idle.back()->ended);
   for (const auto& c : idle) c->close();
   wait_for([&] { return descriptors() <= before; }, "the relay knows that they are closed");
-  std::vector<std::shared_ptr<AdminClient>> half;
+  std::vector<std::shared_ptr<AdminClient>> incomplete;
   for (int i = 0; i < 8; i++) {
-    half.push_back(admin());
-    half.back()->write("GET /v1/sta");
+    incomplete.push_back(admin());
+    incomplete.back()->write("GET /v1/sta");
   }
   const auto refused = [&] {
     const auto c = admin();
@@ -341,13 +342,16 @@
   };
   wait_for(refused, "all are in use");
   EXPECT_EQ(hand_in("m1", kSafe), 202u);
-  // Half requests are let go in time.
-  wait_for([&] { return std::all_of(half.begin(), half.end(), [](const auto& c) { return c->ended; }); },
-           "their time is up");
+  // Connections with incomplete requests are closed after a timeout.
+  wait_for(
+      [&] {
+        return std::all_of(incomplete.begin(), incomplete.end(), [](const auto& c) { return c->ended; });
+      },
+      "their time is up");
   EXPECT_EQ(ask_admin("GET", "/v1/status").result_int(), 200u);
 }
 
-TEST_F(AdminTest, RequestsInARowAndTooLargeOnes) {
+TEST_F(AdminTest, AnswersPipelinedRequestsAndRejectsLargeOnes) {
   start();
   const auto c = admin();
   c->write(admin_request("GET", "/v1/status") + admin_request("GET", "/nowhere") +
@@ -362,51 +366,51 @@
   EXPECT_FALSE(status()["draining"].GetBool());
 }
 
-// Thousands of requests that are wrong in all ways: each is answered or its connection ends, clients are
-// served meanwhile, and nothing is left behind.
+// Thousands of randomly damaged requests: each is answered or its connection closed, clients are served
+// meanwhile, and no descriptor leaks.
 TEST_F(AdminTest, SurvivesMalformedRequests) {
   start();
   wait_for([&] { return status()["list"]["told"].GetBool(); }, "the list is told");
   const auto files = descriptors();
   std::mt19937 random(20261201);
   const auto pick = [&](std::size_t n) { return static_cast<std::size_t>(random() % n); };
-  const std::vector<std::string> good = {
+  const std::vector<std::string> valid = {
       admin_request("GET", "/v1/status"),
       admin_request("GET", "/v1/messages/m1"),
-      // No undrain: two letters less, and it is asked to drain and end.
+      // Not /v1/undrain: with two letters removed it would be a drain, which ends the relay.
       admin_request("POST", "/v1/fences", "{\"fence\":0}"),
       admin_request("POST", "/v1/fence", "{\"fence\":0}"),
       "POST /v1/fence HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nb\r\n{\"fence\":0}\r\n0\r\n\r\n",
   };
-  const std::vector<std::string> bits = {"\r\n",
-                                         "\r\n\r\n",
-                                         "%",
-                                         "%00",
-                                         "{",
-                                         "[",
-                                         "\"fence\":",
-                                         "-1",
-                                         "1e400",
-                                         "HTTP/1.1",
-                                         "HTTP/9.9",
-                                         "Content-Length: 99999999999999999999\r\n",
-                                         "Content-Length: 1, 1\r\n",
-                                         "Transfer-Encoding: chunked\r\n",
-                                         "ffffffffffffffff\r\n",
-                                         std::string(3, '\0'),
-                                         "\xff\xfe",
-                                         std::string(20'000, 'a'),
-                                         std::string(300, '[')};
+  const std::vector<std::string> fragments = {"\r\n",
+                                              "\r\n\r\n",
+                                              "%",
+                                              "%00",
+                                              "{",
+                                              "[",
+                                              "\"fence\":",
+                                              "-1",
+                                              "1e400",
+                                              "HTTP/1.1",
+                                              "HTTP/9.9",
+                                              "Content-Length: 99999999999999999999\r\n",
+                                              "Content-Length: 1, 1\r\n",
+                                              "Transfer-Encoding: chunked\r\n",
+                                              "ffffffffffffffff\r\n",
+                                              std::string(3, '\0'),
+                                              "\xff\xfe",
+                                              std::string(20'000, 'a'),
+                                              std::string(300, '[')};
   int answered = 0, refused = 0;
   const char* const wanted = std::getenv("HERONVANE_ADMIN_CASES");
   const int cases = wanted == nullptr ? 3000 : std::atoi(wanted);
   for (int i = 0; i < cases; i++) {
-    std::string text = good[pick(good.size())];
+    std::string text = valid[pick(valid.size())];
     for (std::size_t n = 1 + pick(4); n > 0; n--) {
       const std::size_t at = pick(text.size() + 1);
       switch (pick(5)) {
         case 0:
-          text.insert(at, bits[pick(bits.size())]);
+          text.insert(at, fragments[pick(fragments.size())]);
           break;
         case 1:
           text.erase(at, 1 + pick(20));
@@ -426,7 +430,7 @@
     ASSERT_FALSE(c->ended) << "case " << i;
     c->write(text);
     if (i % 7 == 0) {
-      c->close();  // gone before its answer
+      c->close();  // closed before the answer
       continue;
     }
     c->end_sending();
@@ -451,21 +455,21 @@
   wait_for([&] { return descriptors() <= files + 4; }, "nothing is left behind");
 }
 
-// A crowd that asks without end takes a part of the loop only: clients are served.
-TEST_F(AdminTest, ACrowdOfRequestsDoesNotShutOutClients) {
+// Many admin requests at once take only a share of the event loop: clients are still served.
+TEST_F(AdminTest, ManyAdminRequestsDoNotStarveClients) {
   start();
-  std::vector<std::shared_ptr<AdminClient>> crowd;
+  std::vector<std::shared_ptr<AdminClient>> senders;
   std::string many;
   for (int i = 0; i < 100; i++) many += admin_request("GET", "/v1/status");
   for (int i = 0; i < 8; i++) {
-    crowd.push_back(admin());
-    crowd.back()->write(many);
+    senders.push_back(admin());
+    senders.back()->write(many);
   }
   for (int i = 0; i < 50; i++) ASSERT_EQ(hand_in("m" + std::to_string(i), kSafe), 202u);
   wait_for([&] { return endpoint.got.size() == 50; }, "the calls");
   wait_for(
       [&] {
-        return std::all_of(crowd.begin(), crowd.end(),
+        return std::all_of(senders.begin(), senders.end(),
                            [](const auto& c) { return c->answers.size() == 100; });
       },
       "all answers");
--- a/tests/clock_test.cpp
+++ b/tests/clock_test.cpp
@@ -1,4 +1,4 @@
-// Steps of the wall clock under the real program: deadlines, waits and windows are spans of real time.
+// Steps of the wall clock while the real program runs: deadlines, waits and windows are unaffected by them.
 #include "relay_harness.hpp"
 
 namespace heronvane::testing {
@@ -9,15 +9,15 @@
 
 class ClockTest : public RelayTest, public ::testing::WithParamInterface<int> {
  protected:
-  // From step() on the program's wall clock differs by GetParam() seconds.
+  // step() shifts the program's wall clock by GetParam() seconds.
   ClockTest() {
     faults = "[[step]]\nby_s = " + std::to_string(GetParam()) + ".0\nwhile = \"" + folder + "/stepped\"\n";
   }
   void step() { std::ofstream(folder + "/stepped") << "x"; }
 };
 
-// What waits when the clock is stepped is neither given up nor kept for ever.
-TEST_P(ClockTest, AMessageThatWaitsKeepsItsTime) {
+// A message that waits when the clock is stepped is neither given up early nor held too long.
+TEST_P(ClockTest, AWaitingMessageKeepsItsDeadline) {
   endpoint.on_request([](const Got& g) { g.session->answer(429, "X-Come-Back-Ms: 300\r\n"); });
   start();
   ASSERT_EQ(hand_in("long", kUnsafe, "x", "24000m"), 202u);
@@ -34,8 +34,8 @@
   EXPECT_FALSE(ended("long"));
 }
 
-// A step between two processes: what is held keeps its time, what must not run again does not.
-TEST_P(ClockTest, ARestartAfterAStepKeepsTimesAndIds) {
+// A step while no process runs: a held message keeps its deadline, and a completed id is still recognized.
+TEST_P(ClockTest, ARestartAfterAStepKeepsDeadlinesAndIds) {
   start();
   ASSERT_EQ(hand_in("done", kUnsafe), 202u);
   wait_for([&] { return calls_of("done") == 1; }, "its call");
--- a/tests/command_line_test.cpp
+++ b/tests/command_line_test.cpp
@@ -1,4 +1,4 @@
-// The command line: what it says, and the one line on what can't be understood.
+// The command line: its options, its output, and the one-line errors for invalid arguments.
 #include "command_line.hpp"
 
 #include "relay_harness.hpp"
@@ -15,7 +15,7 @@
   return "none";
 }
 
-TEST(CommandLine, IsRead) {
+TEST(CommandLine, ReadsAllOptions) {
   const auto c = read_command_line({"--config", "c.json", "--state=/var/lib/x=y", "--settings", "-", "--run",
                                     "0123456789abcdef", "--undrain", "0"});
   EXPECT_EQ(c.config, "c.json");
@@ -30,7 +30,7 @@
   EXPECT_TRUE(none.config.empty() && none.run.empty() && !none.undrain);
 }
 
-TEST(CommandLine, WhatCantBeUnderstoodIsNamed) {
+TEST(CommandLine, ErrorsNameTheArgument) {
   EXPECT_EQ(error({"--confg", "x"}), "unknown option '--confg'; --help lists the options");
   EXPECT_EQ(error({"config.json"}), "unexpected argument 'config.json'; --help lists the options");
   EXPECT_EQ(error({"-x"}), "unexpected argument '-x'; --help lists the options");
@@ -52,7 +52,7 @@
 
 class ProgramTest : public RelayTest {
  protected:
-  // Its exit status; what it says on standard output and error is logged().
+  // Runs the program and returns its exit status; logged() is its standard output and error.
   int run(std::vector<std::string> with) {
     std::filesystem::remove(folder + "/log");
     arguments = std::move(with);
@@ -67,7 +67,7 @@
   }
 };
 
-TEST_F(ProgramTest, SaysItsVersionAndUsage) {
+TEST_F(ProgramTest, PrintsVersionAndUsage) {
   EXPECT_EQ(run({"--version"}), 0);
   EXPECT_EQ(one_line().substr(0, 10), "heronvane ");
   EXPECT_EQ(run({"--help"}), 0);
@@ -76,7 +76,7 @@
     EXPECT_NE(logged().find(option), std::string::npos) << option;
 }
 
-TEST_F(ProgramTest, WithoutWhatItNeedsItSaysWhatToDo) {
+TEST_F(ProgramTest, ErrorsSayWhichOptionIsMissing) {
   EXPECT_EQ(run({}), 1);
   EXPECT_NE(one_line().find("no configuration: name its file by --config FILE or LB_CONFIG"),
             std::string::npos);
@@ -94,7 +94,7 @@
   EXPECT_NE(one_line().find(folder + "/fleet.toml: config: is no JSON at byte "), std::string::npos);
 }
 
-// All is read, nothing is touched: no state folder, no address.
+// --check-config reads all files, but uses neither the state folder nor the address.
 TEST_F(ProgramTest, ChecksAConfiguration) {
   members = member("s-1", endpoint.address());
   more = ",\"generation\":12";
@@ -119,8 +119,8 @@
 #endif
 }
 
-// What the options name wins over the environment.
-TEST_F(ProgramTest, OptionsWin) {
+// Options take precedence over environment variables.
+TEST_F(ProgramTest, OptionsOverrideTheEnvironment) {
   no_environment = output_in_log = false;
   members = member("s-1", endpoint.address());
   std::filesystem::create_directories(folder + "/other");
--- a/tests/committer_test.cpp
+++ b/tests/committer_test.cpp
@@ -1,4 +1,4 @@
-// Write ahead, on a folder in memory.
+// Write-ahead execution, with a disk in memory.
 #include "committer.hpp"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
 
 constexpr std::uint64_t kDiskBytes = 1'000'000;
 
-// A committer that records, in their order, what its hooks were called for.
+// Provides hooks that record their calls in order.
 class CommitterTest : public ::testing::Test {
  protected:
   Committer::Hooks hooks() {
@@ -43,7 +43,7 @@
     return options;
   }
 
-  // A reply to the request of that id, and an attempt of it.
+  // A plan with a reply to the request `id` and an attempt of it.
   static WriteAheadPlan plan_of(MessageId id) {
     WriteAheadPlan plan;
     plan.replies.push_back({id, [](const ClientReply&) {}, {202, 0}});
@@ -53,10 +53,10 @@
     return plan;
   }
 
-  // From here on nothing can be changed on the disk, until clear_faults().
+  // Makes all operations that change the disk fail until clear_faults().
   void break_disk() { disk_.fail_from(disk_.operations() + 1, {}); }
 
-  // Something to write, which makes a commit touch the disk.
+  // Adds a record, so that a commit writes to the disk.
   void add_record(Committer& committer, const std::string& key) { committer.keep(key, "value"); }
 
   boost::asio::io_context io_;
@@ -72,7 +72,7 @@
   EXPECT_TRUE(committer.is_settled());
 }
 
-TEST_F(CommitterTest, CommitsOnceForATurnOfTheLoop) {
+TEST_F(CommitterTest, CommitsOnceForATurnOfTheEventLoop) {
   Committer committer(io_, disk_, options(), hooks());
   committer.commit_soon();
   committer.commit_soon();
@@ -81,7 +81,7 @@
   EXPECT_FALSE(committer.commit_is_due());
 }
 
-TEST_F(CommitterTest, RejectsAndWithdrawsWhatCanNotBeWritten) {
+TEST_F(CommitterTest, RejectsAndWithdrawsPlansThatCantBeWritten) {
   Committer committer(io_, disk_, options(), hooks());
   committer.commit();
   break_disk();
@@ -92,7 +92,7 @@
   EXPECT_FALSE(committer.is_settled());
 }
 
-TEST_F(CommitterTest, KeepsTheLastValueOfEachKeyUntilItCanBeWritten) {
+TEST_F(CommitterTest, HoldsTheLastValueOfEachKeyUntilAWriteSucceeds) {
   Committer committer(io_, disk_, options(), hooks());
   committer.commit();
   break_disk();
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -1,4 +1,5 @@
-// Configurations that make no sense: one line that names the field, no start, and no change to one that runs.
+// Invalid configurations: an error of one line that names the field, no start, and no change to a running
+// relay.
 #include "relay_harness.hpp"
 
 namespace heronvane::testing {
@@ -12,7 +13,7 @@
     if (at == std::string::npos) ADD_FAILURE() << text;
     return c.replace(at, text.size(), by);
   }
-  // What the program says of this configuration before it ends.
+  // Starts the program with `text` replaced by `by`; expects it to fail with one line that names `field`.
   void expect_named(const std::string& text, const std::string& by, const std::string& field) {
     if (members.empty()) members = member("s-1", endpoint.address());
     std::filesystem::remove(folder + "/log");
@@ -25,8 +26,8 @@
   }
 };
 
-// Members were looked for in what has none: a segmentation fault.
-TEST_F(ConfigTest, WhatIsNoObjectIsNamed) {
+// Guards against a segmentation fault: members were looked up in values that are not objects.
+TEST_F(ConfigTest, WrongTypesAreNamed) {
   expect_named("\"Tick\":5000", "\"Tick\":5000,\"Report\":5", "settings.Report");
   expect_named("\"Tick\":5000", "\"Tick\":5000,\"Report\":\"answers\"", "settings.Report");
   expect_named("\"Tick\":5000", "\"Tick\":5000,\"Report\":[{}]", "settings.Report");
@@ -41,7 +42,7 @@
   expect_named("\"endpoints\":[", "\"endpoints\":[[],", "known.endpoints");
 }
 
-TEST_F(ConfigTest, WhatIsNoObjectChangesNothingAtSighup) {
+TEST_F(ConfigTest, AWrongTypeAtSighupChangesNothing) {
   start();
   wait_for([&] { return watches.size() == 1; }, "the watch");
   reload(with("\"Tick\":5000", "\"Tick\":5000,\"Report\":5"));
@@ -56,15 +57,15 @@
   EXPECT_EQ(watches.size(), 1u);
 }
 
-// Times that overflow where they are reckoned with.
-TEST_F(ConfigTest, TimesOutOfRangeAreNamed) {
+// Times that would overflow in calculations.
+TEST_F(ConfigTest, TimesOutOfRangeAreNamedAtTheStart) {
   expect_named("\"Tick\":5000", "\"Tick\":9000000000000000000", "settings.Tick");
   expect_named("\"Deadline\":6000000", "\"Deadline\":9000000000000000000", "settings.Classes.Deadline");
   expect_named("\"ConnIdle\":5000000", "\"ConnIdle\":9000000000000000000", "settings.Limits.ConnIdle");
   expect_named("\"since_ms\":0", "\"since_ms\":10000000000000000", "known.endpoints.since_ms");
   expect_named("\"since_ms\":0", "\"since_ms\":-10000000000000000", "known.endpoints.since_ms");
 }
-TEST_F(ConfigTest, ATimeOutOfRangeInAListIsNamed) {
+TEST_F(ConfigTest, ATimeOutOfRangeInAListIsLogged) {
   start();
   wait_for([&] { return watches.size() == 1; }, "the watch");
   std::string odd = member("s-1", endpoint.address());
--- a/tests/core/decision_cycle_test.cpp
+++ b/tests/core/decision_cycle_test.cpp
@@ -12,7 +12,7 @@
 constexpr Microseconds kInterval = 20'000;
 constexpr std::uint64_t kSeed = 1;
 
-// The least that the module takes.
+// The smallest settings that the decision module accepts.
 heronvane::dispatch::Settings valid_settings() {
   heronvane::dispatch::Settings settings;
   settings.classes.resize(1);
@@ -24,7 +24,7 @@
   return settings;
 }
 
-// A cycle that counts its runs, on a loop of its own.
+// Makes a cycle on its own loop, which counts its runs.
 class DecisionCycleTest : public ::testing::Test {
  protected:
   DecisionCycle cycle(bool early = false) {
@@ -40,24 +40,24 @@
   int runs_ = 0;
 };
 
-TEST_F(DecisionCycleTest, RunsOnceForAllThatCameMeanwhile) {
+TEST_F(DecisionCycleTest, RunsOnceForAllEventsSinceTheLastCycle) {
   DecisionCycle cycle = this->cycle();
   cycle.notify(event::EndpointListFailed{});
   cycle.notify(event::EndpointListFailed{});
   cycle.schedule(DecisionCycle::Urgency::urgent);
-  EXPECT_EQ(runs_, 0) << "never from inside";
+  EXPECT_EQ(runs_, 0) << "schedule() runs no cycle itself";
   io_.run();
   EXPECT_EQ(runs_, 1);
 }
 
-TEST_F(DecisionCycleTest, EventsAloneScheduleNothing) {
+TEST_F(DecisionCycleTest, EnqueueSchedulesNoCycle) {
   DecisionCycle cycle = this->cycle();
   cycle.enqueue(event::EndpointListFailed{});
   io_.run();
   EXPECT_EQ(runs_, 0);
 }
 
-TEST_F(DecisionCycleTest, FollowsTheLastOneNoSoonerThanThePacingAllows) {
+TEST_F(DecisionCycleTest, RunsNoSoonerThanThePacingAllows) {
   DecisionCycle cycle = this->cycle();
   cycle.run();
   const Microseconds first = cycle.started_at();
@@ -67,7 +67,7 @@
   EXPECT_GE(cycle.started_at() - first, kInterval);
 }
 
-TEST_F(DecisionCycleTest, DoesNothingWhileItMayNotRun) {
+TEST_F(DecisionCycleTest, SkipsCyclesThatMayNotRun) {
   DecisionCycle cycle = this->cycle();
   may_run_ = false;
   cycle.run();
@@ -79,7 +79,7 @@
   EXPECT_EQ(runs_, 1);
 }
 
-TEST_F(DecisionCycleTest, TheModulesTimersComeBackAsACycle) {
+TEST_F(DecisionCycleTest, ModuleTimersTriggerACycle) {
   DecisionCycle cycle = this->cycle();
   cycle.run();
   cycle.set_timer(kInterval, 1);
--- a/tests/core/lifecycle_test.cpp
+++ b/tests/core/lifecycle_test.cpp
@@ -14,7 +14,7 @@
   return lifecycle;
 }
 
-TEST(Lifecycle, RunsUntilItIsStoppedOnce) {
+TEST(Lifecycle, RunsUntilBeginStop) {
   Lifecycle lifecycle;
   EXPECT_EQ(lifecycle.phase(), Lifecycle::Phase::running);
   EXPECT_TRUE(lifecycle.rules().reports_ready);
@@ -32,22 +32,22 @@
   EXPECT_FALSE(lifecycle.rules().may_leave_requests);
 }
 
-TEST(Lifecycle, BeginsNoCallsOnceTheirTimeIsOver) {
+TEST(Lifecycle, BeginsNoCallsAfterBeginCallsTime) {
   Lifecycle lifecycle = stopped();
   EXPECT_FALSE(lifecycle.advance(kStop + Lifecycle::kBeginCallsTime + kJustBefore));
   EXPECT_TRUE(lifecycle.advance(kStop + Lifecycle::kBeginCallsTime));
   EXPECT_EQ(lifecycle.phase(), Lifecycle::Phase::awaiting_calls);
   EXPECT_FALSE(lifecycle.rules().decides);
-  EXPECT_FALSE(lifecycle.advance(kStop + Lifecycle::kBeginCallsTime)) << "told once";
+  EXPECT_FALSE(lifecycle.advance(kStop + Lifecycle::kBeginCallsTime)) << "true only once";
 }
 
-TEST(Lifecycle, LeavesRestingConnectionsOpenForTheirTime) {
+TEST(Lifecycle, KeepsIdleConnectionsOpenForIdleTime) {
   const Lifecycle lifecycle = stopped();
   EXPECT_FALSE(lifecycle.idle_time_is_over(kStop + Lifecycle::kIdleTime + kJustBefore));
   EXPECT_TRUE(lifecycle.idle_time_is_over(kStop + Lifecycle::kIdleTime));
 }
 
-TEST(Lifecycle, AcceptsConnectionsForItsTime) {
+TEST(Lifecycle, AcceptsConnectionsForAcceptTime) {
   const Lifecycle lifecycle = stopped();
   EXPECT_FALSE(lifecycle.accept_time_is_over(kStop + Lifecycle::kAcceptTime + kJustBefore));
   EXPECT_TRUE(lifecycle.accept_time_is_over(kStop + Lifecycle::kAcceptTime));
@@ -75,7 +75,7 @@
   EXPECT_FALSE(lifecycle.is_done(now, {.calls_in_flight = 1, .requests_held = 1}));
 }
 
-TEST(Lifecycle, EndsInTimeWhateverIsOpen) {
+TEST(Lifecycle, EndsAfterShutdownTimeWithWorkOpen) {
   const Lifecycle lifecycle = stopped();
   const Lifecycle::OpenWork open{.calls_in_flight = 1, .requests_held = 1, .writes_pending = true};
   EXPECT_FALSE(lifecycle.is_done(kStop + Lifecycle::kShutdownTime + kJustBefore, open));
--- a/tests/core/request_table_test.cpp
+++ b/tests/core/request_table_test.cpp
@@ -9,7 +9,7 @@
 
 constexpr Microseconds kLifetime = 1'000;
 
-// A reply that stores the status it was called with.
+// Returns a reply callback that stores the status that it is called with.
 ReplyCallback into(unsigned& status) {
   return [&status](const ClientReply& reply) { status = reply.status; };
 }
@@ -20,7 +20,7 @@
   return message;
 }
 
-TEST(RequestTable, DuplicatesOfAWaitingRequestGetItsReply) {
+TEST(RequestTable, DuplicatesOfAQueuedRequestGetItsReply) {
   RequestTable table(kLifetime);
   unsigned first = 0;
   unsigned second = 0;
@@ -39,7 +39,7 @@
   EXPECT_FALSE(table.coalesce("a", late)) << "the first one is answered";
 }
 
-TEST(RequestTable, QueuedRequestsAreTakenOnceInTheirOrder) {
+TEST(RequestTable, QueuedRequestsAreTakenOnceInOrder) {
   RequestTable table(kLifetime);
   table.enqueue(message_of("a"), [](const ClientReply&) {});
   table.enqueue(message_of("b"), [](const ClientReply&) {});
@@ -76,7 +76,7 @@
   EXPECT_TRUE(table.take_replies().empty());
 }
 
-TEST(RequestTable, CompletedRequestsAreKnownForTheirLifetime) {
+TEST(RequestTable, CompletedRequestsAreRememberedForTheirLifetime) {
   RequestTable table(kLifetime);
   table.cache_completed("a", 0);
   EXPECT_TRUE(table.recently_completed("a"));
--- a/tests/cycle_pacing_test.cpp
+++ b/tests/cycle_pacing_test.cpp
@@ -1,4 +1,4 @@
-// What can be sent does not wait for the settings' tick where the operator lets rounds come early.
+// With early_rounds, messages that can be sent at once do not wait for the configured tick.
 #include "core/cycle_pacing.hpp"
 
 #include <fstream>
@@ -8,14 +8,14 @@
 namespace heronvane::testing {
 namespace {
 
-TEST(CyclePacing, BindsToTheTickUnlessEarly) {
+TEST(CyclePacing, IsTheTickUnlessEarly) {
   CyclePacing pacing(5'000, false);
   EXPECT_EQ(pacing.urgent(), 5'000);
   pacing.record_duration(10);
   EXPECT_EQ(pacing.urgent(), 5'000);
 }
 
-TEST(CyclePacing, GrowsWithWhatARoundTakesUpToTheTick) {
+TEST(CyclePacing, GrowsWithTheDurationOfACycleUpToTheTick) {
   CyclePacing pacing(5'000, true);
   const auto idle = pacing.urgent();
   EXPECT_LT(idle, 1'000);
@@ -35,7 +35,7 @@
 class EarlyRounds : public RelayTest {
  protected:
   EarlyRounds() { tick = 2'000'000; }
-  // How long each of some messages took from its client to the endpoint.
+  // Sends `count` messages and returns the longest time from the client to the endpoint.
   std::chrono::steady_clock::duration longest_of(int count) {
     std::chrono::steady_clock::duration longest{};
     for (int i = 0; i < count; i++) {
@@ -50,17 +50,17 @@
   }
 };
 
-TEST_F(EarlyRounds, SendWhatNeedNotWait) {
+TEST_F(EarlyRounds, SendMessagesBeforeTheTick) {
   const std::string file = folder + "/settings.toml";
   std::ofstream(file) << "[relay]\nearly_rounds = true\n";
   ::setenv("HERONVANE_SETTINGS", file.c_str(), 1);
   start();
   ::unsetenv("HERONVANE_SETTINGS");
-  // In sum far less than the tick of one.
+  // Even the slowest of four takes less than one tick.
   EXPECT_LT(longest_of(4), std::chrono::microseconds(tick));
 }
 
-TEST_F(EarlyRounds, AreOffWithoutTheOperatorsWord) {
+TEST_F(EarlyRounds, AreOffWithoutASettingsFile) {
   start();
   EXPECT_GT(longest_of(2), std::chrono::microseconds(tick) / 2);
 }
--- a/tests/drain_test.cpp
+++ b/tests/drain_test.cpp
@@ -1,4 +1,4 @@
-// Drains and fences, over kills and restarts; waking from a stop.
+// Drains and fences, over kills and restarts; suspensions of the process.
 #include "core/drain.hpp"
 
 #include <fstream>
@@ -14,7 +14,7 @@
 const char* const kSafe = "load-status";
 const char* const kUnsafe = "pay-and-order";
 
-TEST(DrainState, IsReadAsItWasKept) {
+TEST(DrainState, IsReadAsItWasStored) {
   std::map<std::string, std::string> facts;
   const auto keep = [&](const std::string& key, const std::string& value) {
     value.empty() ? void(facts.erase(key)) : void(facts[key] = value);
@@ -31,7 +31,7 @@
 
 class DrainTest : public AdminTest {
  protected:
-  // Held until the test answers.
+  // Sends a message whose call the test answers later, and waits for the call.
   void hold(const std::string& id) {
     EXPECT_EQ(hand_in(id, kUnsafe, "x", "24000m"), 202u);
     const auto before = calls++;
@@ -40,7 +40,7 @@
   std::size_t calls = 0;
 };
 
-TEST_F(DrainTest, FinishesWhatIsHeldAndEnds) {
+TEST_F(DrainTest, FinishesHeldMessagesAndEnds) {
   endpoint.on_request([](const Got& g) {
     if (g.request["X-Request-Id"] == "done") g.session->answer(200);
   });
@@ -68,16 +68,16 @@
   EXPECT_FALSE(std::filesystem::exists(drained_path() + ".tmp"));
 }
 
-// Told to the one who asked, though there is nothing to wait for.
-TEST_F(DrainTest, EndsAtOnceWhereNothingIsHeld) {
+// The operator gets the answer although the relay ends at once.
+TEST_F(DrainTest, EndsAtOnceIfNothingIsHeld) {
   start();
-  const auto idle = admin();  // one that says nothing holds up no end
+  const auto idle = admin();  // an idle admin connection does not delay the end
   EXPECT_EQ(drain(1).body(), "{\"draining\":true,\"held\":0}");
   EXPECT_EQ(wait_exit(), 0);
   EXPECT_NE(drained(), "");
 }
 
-TEST_F(DrainTest, IsKeptOverAKillAndGoesOn) {
+TEST_F(DrainTest, ContinuesAfterAKill) {
   endpoint.on_request(stay_silent);
   finals_status = 503;
   start();
@@ -85,7 +85,7 @@
   EXPECT_EQ(drain(7).result_int(), 200u);
   kill_relay();
   EXPECT_EQ(drained(), "");
-  start_anew();  // the call was out: the message ends by a notice, which the platform does not take yet
+  start_anew();  // the call was in flight: the message ends by a notice, which the platform rejects for now
   wait_for([&] { return refused_finals > 0; }, "the notice is owed");
   EXPECT_EQ(health(), 503u);
   EXPECT_EQ(hand_in("m2", kUnsafe), 503u);
@@ -98,7 +98,7 @@
   EXPECT_EQ(wait_exit(), 0);
   EXPECT_EQ(finals, "{\"id\":\"m1\",\"status\":\"undeliverable\"}\n");
   EXPECT_EQ(drained().substr(0, 11), "{\"fence\":7,");
-  // Started once more it ends at once in the same way, and says whose run that was.
+  // Started again, it ends at once, and the file names the new run.
   arguments = {"--run", "00000000000000ff"};
   std::filesystem::remove(drained_path());
   start_anew();
@@ -106,8 +106,8 @@
   EXPECT_EQ(drained(), "{\"fence\":7,\"run\":\"00000000000000ff\"}\n");
 }
 
-// Whatever the settings say by then: what was asked for is not forgotten.
-TEST_F(DrainTest, HoldsWithoutTheSettings) {
+// A drain continues after a restart even if the settings no longer allow drains.
+TEST_F(DrainTest, ContinuesWithoutTheSettings) {
   start();
   EXPECT_EQ(drain(7).result_int(), 200u);
   EXPECT_EQ(wait_exit(), 0);
@@ -118,7 +118,7 @@
   EXPECT_NE(drained(), "");
 }
 
-TEST_F(DrainTest, IsTakenBackAtTheStart) {
+TEST_F(DrainTest, IsEndedAtTheStart) {
   start();
   EXPECT_EQ(drain(7).result_int(), 200u);
   EXPECT_EQ(wait_exit(), 0);
@@ -141,7 +141,7 @@
   EXPECT_EQ(drain(6).result_int(), 409u);
 }
 
-TEST_F(DrainTest, FencesRefuseLowerOnes) {
+TEST_F(DrainTest, LowerFencesAreRefused) {
   endpoint.on_request(stay_silent);
   start();
   hold("m1");
@@ -168,7 +168,7 @@
   EXPECT_TRUE(status()["draining"].GetBool());
 }
 
-TEST_F(DrainTest, IsTakenBackWhileItRuns) {
+TEST_F(DrainTest, IsCancelledWhileItRuns) {
   endpoint.on_request(stay_silent);
   start();
   hold("m1");
@@ -183,7 +183,7 @@
   EXPECT_FALSE(std::filesystem::exists(drained_path()));
 }
 
-TEST_F(DrainTest, MayBeOff) {
+TEST_F(DrainTest, IsRefusedWhereItIsOff) {
   own_settings = "[admin]\nsocket = true\n";
   start();
   const auto off = drain(1);
@@ -192,8 +192,8 @@
   EXPECT_EQ(health(), 200u);
 }
 
-// SIGTERM in a drain ends as ever; what is held and the drain are there for the next life.
-TEST_F(DrainTest, SigtermEndsItAndTheDrainStays) {
+// SIGTERM during a drain ends the relay as usual; the held messages and the drain are left to the next start.
+TEST_F(DrainTest, SigtermEndsTheRelayAndTheDrainContinues) {
   members = member("s-1", endpoint.address(), "draining") + "," +
             R"({"name":"s-9","address":"127.0.0.1:9","zone":"a","type":"small","group":8,"status":"ready"})";
   start();  // nothing may be sent to destination 7
@@ -209,14 +209,15 @@
   EXPECT_NE(drained(), "");
 }
 
-// A disk that takes nothing: the drain is refused and changes nothing, and is taken once it can be kept.
-TEST_F(DrainTest, WhatCantBeKeptIsNotBegun) {
+// With a disk that fails all writes the drain is refused and changes nothing; it is accepted once writes
+// succeed.
+TEST_F(DrainTest, ADrainThatCantBeStoredIsRefused) {
   start();
   EXPECT_EQ(hand_in("before", kUnsafe), 202u);
   wait_for([&] { return status()["held"]["total"].GetInt() == 0; }, "it is over");
   const rlimit none{1, RLIM_INFINITY};
   ASSERT_EQ(::prlimit(child, RLIMIT_FSIZE, &none, nullptr), 0);
-  // The first finds that out, the second comes while it is known.
+  // The first request detects the failure, the second arrives while it is known.
   for (int i = 0; i < 2; i++) {
     const auto refused = drain(1);
     EXPECT_EQ(refused.result_int(), 507u);
@@ -235,8 +236,8 @@
   EXPECT_NE(drained(), "");
 }
 
-// The file can't be written: the relay stays, drained, and ends once it can.
-TEST_F(DrainTest, EndsOnlyOnceTheFileStands) {
+// While the file `drained` can't be written, the relay keeps running; it ends once the file is written.
+TEST_F(DrainTest, EndsOnlyOnceTheFileIsWritten) {
   start();
   std::filesystem::create_directories(drained_path() + "/in/the/way");
   EXPECT_EQ(drain(1).result_int(), 200u);
@@ -256,7 +257,7 @@
     own_settings += "[store]\ndurability = \"machine\"\n";
   }
 };
-TEST_F(SyncedDrainTest, IsSyncedBeforeItIsTold) {
+TEST_F(SyncedDrainTest, IsSyncedBeforeItIsAnswered) {
   endpoint.on_request(stay_silent);
   start();
   hold("m1");
@@ -268,10 +269,10 @@
   EXPECT_EQ(drained().substr(0, 11), "{\"fence\":7,");
 }
 
-// ---- Waking. ----
+// ---- Suspension. ----
 class WakeTest : public AdminTest {
  protected:
-  // The list by GET alone, besides the watch.
+  // Answers GET requests for the list itself; the watch is served as usual.
   void serve_lists() {
     platform.on_request([this](const Got& g) {
       if (g.request.target() != "/catalog/members") return on_platform(g);
@@ -282,7 +283,7 @@
   std::string both(const std::string& status) {
     return member("s-1", endpoint.address(), status) + "," + member("s-2", other.address());
   }
-  // A connection to that port that has not come up.
+  // Whether the relay has a connection to that port that is not established yet.
   bool connecting(std::uint16_t to) const {
     std::ifstream in("/proc/" + std::to_string(child) + "/net/tcp");
     char remote[16];
@@ -296,9 +297,9 @@
   bool answers_lists = true;
 };
 
-// A message waits out a told wait while the process stands still; meanwhile its endpoint drains, which only
-// the list tells.
-TEST_F(WakeTest, TheListComesBeforeTheNextCall) {
+// A Retry-After wait ends while the process is stopped. Meanwhile the endpoint drains, which only the polled
+// list shows: the next call must wait for that list.
+TEST_F(WakeTest, TheListIsPolledBeforeTheNextCall) {
   endpoint.on_request([](const Got& g) { g.session->answer(429, "X-Come-Back-Ms: 1200\r\n"); });
   serve_lists();
   start();
@@ -312,8 +313,8 @@
   EXPECT_NE(logged().find("woken after a stop"), std::string::npos);
 }
 
-// The drain stands unread on the watch.
-TEST_F(WakeTest, WhatTheWatchToldMeanwhileCounts) {
+// The update with the drain arrived on the watch while the process was stopped.
+TEST_F(WakeTest, UpdatesOnTheWatchAreAppliedFirst) {
   endpoint.on_request([](const Got& g) { g.session->answer(429, "X-Come-Back-Ms: 1200\r\n"); });
   serve_lists();
   start();
@@ -327,9 +328,9 @@
   EXPECT_EQ(fetched, 1) << "and was not answered";
 }
 
-// A connection that comes up while the process stands still: its call has not begun, so it is not made.
-TEST_F(WakeTest, ACallWhoseConnectionCameUpMeanwhileIsTakenBack) {
-  // One that takes no connections: its backlog is full.
+// A connection is established while the process is stopped: its call has not begun and is withdrawn.
+TEST_F(WakeTest, ACallWhoseConnectionCameUpMeanwhileIsWithdrawn) {
+  // A listener whose backlog is full, so that connections to it stay pending.
   tcp::acceptor full(io);
   full.open(tcp::v4());
   full.bind({net::ip::make_address(own_address()), 0});
@@ -372,8 +373,8 @@
   EXPECT_EQ(bytes, 0u) << "nothing was sent to the endpoint that drains";
 }
 
-// Discovery does not answer: service goes on after a second.
-TEST_F(WakeTest, WithoutAListItGoesOn) {
+// If discovery does not answer, the relay continues after a second.
+TEST_F(WakeTest, ContinuesWithoutAListAfterATimeout) {
   serve_lists();
   start();
   EXPECT_EQ(hand_in("m1", kSafe), 202u);
@@ -385,7 +386,7 @@
   EXPECT_EQ(fetched, 1);
 }
 
-TEST_F(WakeTest, WithoutTheSettingsNothingIsAskedFor) {
+TEST_F(WakeTest, WithoutASettingsFileNoListIsPolled) {
   own_settings.clear();
   serve_lists();
   start();
