--- a/tests/kept_test.cpp
+++ b/tests/kept_test.cpp
@@ -1,4 +1,4 @@
-// What the relay keeps of endpoints over a restart, without sockets.
+// Endpoint state that is stored over a restart, and the operator's settings; without sockets.
 #include <gtest/gtest.h>
 
 #include "core/learned_state_store.hpp"
@@ -15,20 +15,20 @@
 
 struct Facts {
   std::map<std::string, std::string> all;
-  std::size_t most = SIZE_MAX;
+  std::size_t max_entries = SIZE_MAX;
   UnavailableEndpoints::Keep keep() {
     return [this](const std::string& key, const std::string& value) {
       if (value.empty()) return all.erase(key), true;
-      if (all.count(key) == 0 && all.size() >= most) return false;
+      if (all.count(key) == 0 && all.size() >= max_entries) return false;
       all[key] = value;
       return true;
     };
   }
 };
 
-EndpointList list(std::int64_t index, bool whole, std::vector<std::pair<std::string, Listing>> entries) {
+EndpointList list(std::int64_t index, bool snapshot, std::vector<std::pair<std::string, Listing>> entries) {
   EndpointList l;
-  l.index = index, l.snapshot = whole;
+  l.index = index, l.snapshot = snapshot;
   for (const auto& [id, listing] : entries) {
     ListedEndpoint m;
     m.endpoint.id = id, m.endpoint.listing = listing;
@@ -36,90 +36,97 @@
   }
   return l;
 }
-std::map<std::string, Listing> said(const EndpointList& l) {
+std::map<std::string, Listing> listings_of(const EndpointList& l) {
   std::map<std::string, Listing> all;
   for (const auto& m : l.endpoints) all[m.endpoint.id] = m.endpoint.listing;
   return all;
 }
-using Said = std::map<std::string, Listing>;
+using Listings = std::map<std::string, Listing>;
 const Listing kReady = Listing::active, kDraining = Listing::draining, kGone = Listing::gone;
-const std::string kHere = "127.0.0.1:8500", kThere = "127.0.0.1:8600";
+const std::string kDiscovery = "127.0.0.1:8500", kOtherDiscovery = "127.0.0.1:8600";
 
-TEST(UnavailableEndpoints, HoldsAgainstKnownAndOlderLists) {
+TEST(UnavailableEndpoints, OverrulesTheConfiguredAndOlderLists) {
   Facts facts;
   const auto known = list(90, true, {{"a", kReady}, {"b", kReady}, {"c", kReady}});
   {
     UnavailableEndpoints m(facts.all, known, kNow, facts.keep());
-    m.reconcile(list(41, false, {{"a", kDraining}, {"b", kGone}}), kHere, kNow);
+    m.reconcile(list(41, false, {{"a", kDraining}, {"b", kGone}}), kDiscovery, kNow);
   }
   UnavailableEndpoints m(facts.all, known, kNow + 60'000'000, facts.keep());
-  // Never until `known` says otherwise, whatever its index.
-  EXPECT_EQ(said(m.restrict_configured(known)), (Said{{"a", kDraining}, {"c", kReady}}));
-  // An older list of the same discovery neither.
-  EXPECT_EQ(said(m.reconcile(list(40, true, {{"a", kReady}, {"b", kReady}, {"c", kReady}}), kHere, kNow)),
-            (Said{{"a", kDraining}, {"c", kReady}}));
-  EXPECT_EQ(said(m.reconcile(list(40, false, {{"b", kReady}}), kHere, kNow)), (Said{{"b", kGone}}));
-  // One that is not older does.
-  EXPECT_EQ(said(m.reconcile(list(41, false, {{"a", kReady}}), kHere, kNow)), (Said{{"a", kReady}}));
+  // The configured list overrules nothing, whatever its index.
+  EXPECT_EQ(listings_of(m.restrict_configured(known)), (Listings{{"a", kDraining}, {"c", kReady}}));
+  // Nor does an older list of the same discovery.
+  EXPECT_EQ(listings_of(
+                m.reconcile(list(40, true, {{"a", kReady}, {"b", kReady}, {"c", kReady}}), kDiscovery, kNow)),
+            (Listings{{"a", kDraining}, {"c", kReady}}));
+  EXPECT_EQ(listings_of(m.reconcile(list(40, false, {{"b", kReady}}), kDiscovery, kNow)),
+            (Listings{{"b", kGone}}));
+  // A list that is not older does.
+  EXPECT_EQ(listings_of(m.reconcile(list(41, false, {{"a", kReady}}), kDiscovery, kNow)),
+            (Listings{{"a", kReady}}));
   EXPECT_EQ(facts.all.count("endpoint/a"), 0u);
   EXPECT_EQ(facts.all.count("endpoint/b"), 1u);
-  // Another discovery counts anew: its list is news.
-  EXPECT_EQ(said(m.reconcile(list(1, true, {{"b", kReady}}), kThere, kNow)), (Said{{"b", kReady}}));
+  // Another discovery has its own index: its list overrules the stored entries.
+  EXPECT_EQ(listings_of(m.reconcile(list(1, true, {{"b", kReady}}), kOtherDiscovery, kNow)),
+            (Listings{{"b", kReady}}));
   EXPECT_TRUE(facts.all.empty());
 }
 
-TEST(UnavailableEndpoints, WhatAWholeListLeavesOutIsGone) {
+TEST(UnavailableEndpoints, MarkGoneRemovesAConfiguredEndpoint) {
   Facts facts;
   const auto known = list(1, true, {{"a", kReady}});
-  UnavailableEndpoints(facts.all, known, kNow, facts.keep()).mark_gone("a", 5, kHere, kNow);
-  EXPECT_EQ(said(UnavailableEndpoints(facts.all, known, kNow, facts.keep()).restrict_configured(known)),
-            Said{});
+  UnavailableEndpoints(facts.all, known, kNow, facts.keep()).mark_gone("a", 5, kDiscovery, kNow);
+  EXPECT_EQ(
+      listings_of(UnavailableEndpoints(facts.all, known, kNow, facts.keep()).restrict_configured(known)),
+      Listings{});
 }
 
-// Nothing piles up: what no restart can bring back is dropped, and where there is no room the oldest is.
-TEST(UnavailableEndpoints, ForgetsWhatIsOldAndNotKnown) {
+// The number of entries is bounded: old ones that the configuration does not name are removed at a start, and
+// the oldest one is removed if there is no capacity.
+TEST(UnavailableEndpoints, RemovesOldEntriesThatAreNotConfigured) {
   Facts facts;
   {
     UnavailableEndpoints m(facts.all, {}, kNow, facts.keep());
-    m.mark_gone("a", 5, kHere, kNow), m.mark_gone("b", 6, kHere, kNow);
+    m.mark_gone("a", 5, kDiscovery, kNow), m.mark_gone("b", 6, kDiscovery, kNow);
   }
   UnavailableEndpoints m(facts.all, list(1, true, {{"a", kReady}}), kNow + 2 * kHour, facts.keep());
   EXPECT_EQ(m.size(), 1u);
   EXPECT_EQ(facts.all.count("endpoint/a"), 1u);
   EXPECT_EQ(facts.all.count("endpoint/b"), 0u);
 }
-TEST(UnavailableEndpoints, TheOldestMakesRoom) {
+TEST(UnavailableEndpoints, EvictsTheOldestEntry) {
   Facts facts;
-  facts.most = 3;
+  facts.max_entries = 3;
   const auto known = list(1, true, {{"e0", kReady}});
   UnavailableEndpoints m(facts.all, known, kNow, facts.keep());
-  for (int i = 0; i < 10; i++) m.mark_gone("e" + std::to_string(i), i, kHere, kNow + i);
+  for (int i = 0; i < 10; i++) m.mark_gone("e" + std::to_string(i), i, kDiscovery, kNow + i);
   EXPECT_EQ(facts.all.size(), 3u);
   EXPECT_EQ(facts.all.count("endpoint/e0"), 1u) << "known names it";
   EXPECT_EQ(facts.all.count("endpoint/e9"), 1u);
 }
-// What is kept is what is known, also where the newest one is the one to make room.
-TEST(UnavailableEndpoints, WhatMadeRoomForItselfIsNotKept) {
+// Stored and in-memory entries agree even if the newest entry is the one that is evicted.
+TEST(UnavailableEndpoints, AnEntryThatIsEvictedAtOnceIsNotStored) {
   Facts facts;
-  facts.most = 2;
+  facts.max_entries = 2;
   UnavailableEndpoints m(facts.all, list(1, true, {{"a", kReady}, {"b", kReady}}), kNow, facts.keep());
-  m.mark_gone("a", 1, kHere, kNow), m.mark_gone("b", 2, kHere, kNow), m.mark_gone("c", 3, kHere, kNow);
+  m.mark_gone("a", 1, kDiscovery, kNow), m.mark_gone("b", 2, kDiscovery, kNow),
+      m.mark_gone("c", 3, kDiscovery, kNow);
   EXPECT_EQ(m.size(), 2u);
   EXPECT_EQ(facts.all.count("endpoint/a"), 1u);
   EXPECT_EQ(facts.all.count("endpoint/b"), 1u);
 }
-// A discovery that began to count anew must not keep an endpoint from use for ever.
-TEST(UnavailableEndpoints, OlderListsAreNoNewsForAnHourAtMost) {
+// A discovery that has restarted its index must not keep an endpoint out of use for ever.
+TEST(UnavailableEndpoints, OlderListsAreOverruledForAnHourAtMost) {
   Facts facts;
   UnavailableEndpoints m(facts.all, {}, kNow, facts.keep());
-  m.reconcile(list(500, false, {{"a", kDraining}}), kHere, kNow);
-  EXPECT_EQ(said(m.reconcile(list(3, false, {{"a", kReady}}), kHere, kNow + kHour)),
-            (Said{{"a", kDraining}}));
-  EXPECT_EQ(said(m.reconcile(list(3, false, {{"a", kReady}}), kHere, kNow + kHour + 1)),
-            (Said{{"a", kReady}}));
+  m.reconcile(list(500, false, {{"a", kDraining}}), kDiscovery, kNow);
+  EXPECT_EQ(listings_of(m.reconcile(list(3, false, {{"a", kReady}}), kDiscovery, kNow + kHour)),
+            (Listings{{"a", kDraining}}));
+  EXPECT_EQ(listings_of(m.reconcile(list(3, false, {{"a", kReady}}), kDiscovery, kNow + kHour + 1)),
+            (Listings{{"a", kReady}}));
   EXPECT_TRUE(facts.all.empty());
 }
-TEST(UnavailableEndpoints, UnreadableFactsAreDropped) {
+TEST(UnavailableEndpoints, MalformedFactsAreRemoved) {
   Facts facts;
   facts.all = {{"endpoint/a", "what"}, {"endpoint/b", ""}, {"other", "x"}};
   UnavailableEndpoints m(facts.all, {}, kNow, facts.keep());
@@ -141,7 +148,7 @@
   EXPECT_EQ(read->learned_at, kNow);
   EXPECT_EQ(encode(*read), text);
   EXPECT_FALSE(decode_learned_state("s 1", text.substr(0, text.size() / 2)).has_value());
-  EXPECT_FALSE(decode_learned_state("s 1", "2" + text.substr(1)).has_value()) << "of another form";
+  EXPECT_FALSE(decode_learned_state("s 1", "2" + text.substr(1)).has_value()) << "of another format version";
 }
 
 TEST(LearnedState, WaitsAreNotShortenedByAReboot) {
@@ -155,13 +162,13 @@
     return r ? r->state.retry_after_left - r->age : -1;
   };
   EXPECT_EQ(wait(0, {true, true}), 2'000'000);
-  EXPECT_EQ(wait(8'000'000, {true, true}), 10'000'000) << "all of that time is only the wall clock's word";
+  EXPECT_EQ(wait(8'000'000, {true, true}), 10'000'000) << "only the wall clock shows that time";
   EXPECT_EQ(wait(0, {true, false}), -1) << "nothing else is known";
   EXPECT_EQ(wait(0, {false, true}), 2'000'000);
 }
 
-// Of endpoints that went while no relay ran nobody would ever drop it.
-TEST(LearnedState, WhatWasNotSeenForAWeekIsOutdated) {
+// The state of endpoints that disappeared while no relay ran would otherwise never be removed.
+TEST(LearnedState, RecordsOlderThanAWeekAreOutdated) {
   heronvane::dispatch::LearnedState m;
   m.health = Health::ejected;
   const auto text = encode(LearnedStateRecord{m, kNow});
@@ -177,7 +184,7 @@
 }
 
 #ifdef HERONVANE_SETTINGS_FILE
-TEST(OperatorSettings, AreReadAndTheirErrorsNameThePlace) {
+TEST(OperatorSettings, AreReadAndErrorsNameTheLine) {
   const auto s = read_operator_settings(
       "[store]\ndurability = \"machine\"\nkeep_health = false\nkeep_waits = true\nremember_window_s = 1.5\n",
       "f");
@@ -202,7 +209,7 @@
   EXPECT_EQ(error(""), "none");
 }
 
-TEST(OperatorSettings, WhoMayHoldCopies) {
+TEST(OperatorSettings, ReadTheCopiesSection) {
   const std::string head = "[copies]\ncluster = \"north\"\n", one = "[[copies.member]]\nname = \"n0\"\n";
   const auto c = read_operator_settings(head + "holders = 3\nacks = \"all\"\ntakeover_after_s = 0\n" + one +
                                             "address = \"10.0.0.1:9400\"\nzone = \"a\"\n",
--- a/tests/list_reader_test.cpp
+++ b/tests/list_reader_test.cpp
@@ -1,4 +1,4 @@
-// A list read in slices is the list read at once, whatever the slices; what can't be read is named.
+// A list read in slices of any size equals the list read at once; errors name the malformed field.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -20,7 +20,7 @@
   return text + R"( ], "last":["endpoints"]} )";
 }
 
-TEST(ListReader, ReadsInSlicesWhatIsReadAtOnce) {
+TEST(ListReader, SlicedReadingEqualsReadingAtOnce) {
   for (const int entries : {0, 1, 2, 50})
     for (const std::size_t slice : {std::size_t{1}, std::size_t{7}, std::size_t{100}, std::size_t{1} << 20}) {
       const auto text = list(entries);
@@ -31,7 +31,7 @@
     }
 }
 
-TEST(ListReader, NamesWhatCantBeRead) {
+TEST(ListReader, ErrorsNameTheField) {
   std::string why;
   EXPECT_FALSE(read_sliced(R"({"index":1,"snapshot":true,"endpoints":[{"name":5}]})", 8, &why));
   EXPECT_NE(why.find("members.endpoints"), std::string::npos) << why;
@@ -43,8 +43,9 @@
     EXPECT_FALSE(read_sliced(text, 3)) << text;
 }
 
-// Bytes changed, left out and doubled at random: never read otherwise than at once, never a crash.
-TEST(ListReader, DamagedTextsAreReadAsTheyAreAtOnce) {
+// Texts with bytes changed, removed and inserted at random: the result equals that of reading at once, and
+// nothing crashes.
+TEST(ListReader, DamagedTextsAreReadAsAtOnce) {
   std::mt19937_64 random(1);
   const std::string whole = list(3);
   const std::string bytes = "{}[],:\"\\ 0a\n";
--- a/tests/start_test.cpp
+++ b/tests/start_test.cpp
@@ -1,4 +1,4 @@
-// Starts of the real program under states that pass: a predecessor that has not ended, addresses in use,
+// Starts of the real program under transient failures: a predecessor that still runs, addresses in use,
 // system calls that fail for a while.
 #include <fcntl.h>
 #include <sys/file.h>
@@ -18,7 +18,7 @@
   ~StartTest() override {
     if (predecessor > 0) send_signal(predecessor, SIGKILL), ::waitpid(predecessor, nullptr, 0);
   }
-  // Starts the program once more on the folder and the address of the one that runs.
+  // Starts a second process with the folder and the address of the running one.
   void start_beside() {
     predecessor = child;
     spawn(config());
@@ -45,8 +45,8 @@
   pid_t predecessor = -1;
 };
 
-// Incident 1 (docs/incidents): a supervisor starts the next process, then ends the one before. The next one
-// used to end with status 1, and nobody served until it was started a third time.
+// Incident 1 (docs/incidents): a supervisor starts the next process before it ends the previous one. The next
+// one used to end with status 1, and no relay served until a third start.
 TEST_F(StartTest, AStartBesideItsPredecessorTakesOver) {
   endpoint.on_request(stay_silent);
   start();
@@ -75,7 +75,7 @@
   EXPECT_EQ(calls_of("m2"), 1);
 }
 
-// A start that finds no descriptor or buffer for a socket used to end with status 1.
+// A start that gets no descriptor or buffer for a socket used to end with status 1.
 TEST_F(StartTest, AStartWithoutASocketWaitsForOne) {
   for (const std::string error : {"ENFILE", "EMFILE", "ENOBUFS", "ENOMEM"}) {
     SCOPED_TRACE(error);
@@ -92,7 +92,7 @@
   }
 }
 
-// SIGTERM ends a start that waits, and that is no failure.
+// SIGTERM ends a waiting start with status 0.
 TEST_F(StartTest, AWaitingStartEndsAtSigterm) {
   start();
   start_beside();
@@ -103,7 +103,7 @@
   EXPECT_EQ(health(), 200u);
 }
 
-// SIGHUP does not end a start that waits; what was read by then counts.
+// SIGHUP does not end a waiting start; the next attempt uses the reloaded configuration.
 TEST_F(StartTest, AWaitingStartReadsItsConfigurationAgain) {
   start();
   start_beside();
@@ -122,7 +122,7 @@
   wait_for([&] { return health() == 200; }, "the successor is ready at its new address");
 }
 
-// Of several starts that wait one gets the folder, the others wait on.
+// Of several waiting starts one gets the folder, and the others go on waiting.
 TEST_F(StartTest, OneOfSeveralWaitingStartsTakesOver) {
   start();
   start_beside();
@@ -140,7 +140,7 @@
   EXPECT_FALSE(has_ended(third, status)) << "with status " << WEXITSTATUS(status);
 }
 
-// While the address is another's the folder is free between two tries, and nothing in it changes.
+// While the address is in use, the folder is unlocked between two attempts, and nothing in it changes.
 TEST_F(StartTest, AStartThatWaitsForItsAddressLeavesTheFolderFree) {
   members = member("s-1", endpoint.address());
   {
@@ -158,14 +158,15 @@
 }
 
 // ---- System calls that fail for a while. ----
-// Descriptors for the event loop itself, a configuration that can't be opened, a folder that can't be read.
+// Among them: the event loop gets no descriptors, the configuration can't be opened, the folder can't be
+// locked.
 TEST_F(StartTest, AStartWaitsOutSystemCallsThatFail) {
   struct Fault {
     const char *call, *error, *path;
   };
   for (const Fault fault :
        {Fault{"epoll_create", "EMFILE", ""},
-#ifndef __SANITIZE_ADDRESS__  // the sanitizers' runtime makes pipes of its own, and takes a failure for bad
+#ifndef __SANITIZE_ADDRESS__  // the sanitizers' runtime makes pipes itself, and takes a failure for bad
                               // memory
         Fault{"pipe", "ENFILE", ""},
 #endif
@@ -184,8 +185,8 @@
   }
 }
 
-// A disk that can't be read for a while: what the folder holds is recovered once it can be.
-TEST_F(StartTest, ARecoveryThatCannotReadWaits) {
+// The disk can't be read for a while: the messages in the folder are recovered once it can.
+TEST_F(StartTest, ARecoveryWaitsForAReadableDisk) {
   endpoint.on_request(stay_silent);
   members = member("s-1", endpoint.address());
   start();
@@ -201,9 +202,9 @@
   wait_for([&] { return calls_of("m1") == 2; }, "the call after the restart");
 }
 
-// Notes of other relays that are there as soon as a try has bound its socket: where its recovery then fails,
-// nothing is left behind that would tell them to what is gone.
-TEST_F(StartTest, NotesThatComeWhileARecoveryFailsHurtNobody) {
+// Gossip of other relays arrives as soon as an attempt has bound its socket. If the recovery of that attempt
+// fails, no handler may be left that would pass the gossip to a destroyed relay.
+TEST_F(StartTest, GossipDuringAFailedRecoveryIsHarmless) {
   start();
   ASSERT_EQ(hand_in("m1", kSafe), 202u);
   wait_for([&] { return calls_of("m1") == 1; }, "the call");
@@ -220,7 +221,7 @@
   faults = "report = \"" + folder + "/given\"\n" + switched("pread", "EIO") +
            "[[slow]]\ncall = \"bind\"\nms = 50\nwhile = \"" + folder + "/failing\"\n";
   spawn(config());
-  const auto tries = [&] {
+  const auto attempts = [&] {
     std::ifstream in(folder + "/given");
     const std::string text((std::istreambuf_iterator<char>(in)), {});
     std::size_t n = 0;
@@ -231,15 +232,16 @@
       [&] {
         error_code lost;
         sender.send_to(net::buffer("note", 4), to, 0, lost);
-        return tries() >= 4;
+        return attempts() >= 4;
       },
-      "notes were sent into some tries");
-  expect_running("while notes came");
+      "gossip was sent during some attempts");
+  expect_running("while gossip arrived");
   set_faults(false);
   wait_for([&] { return HasFailure() || health() == 200; }, "the relay is ready");
 }
 
-// The file for room that is set aside can't be opened for a moment: it used to be done without for good.
+// The file that reserves disk space can't be opened for a moment: the relay used to go without it from then
+// on.
 TEST_F(StartTest, TheReserveIsOpenedOnceItCanBe) {
   faults = switched("open", "EMFILE", "path = \"reserve\"\n");
   set_faults(true);
@@ -251,8 +253,8 @@
   wait_for([&] { return std::filesystem::exists(folder + "/state/reserve"); }, "the file for the reserve");
 }
 
-// A configuration that can't be opened for a moment at SIGHUP is read once it can be.
-TEST_F(StartTest, AReloadThatCannotOpenItsFileIsTriedAgain) {
+// A configuration that can't be opened for a moment at SIGHUP is read once it can be opened.
+TEST_F(StartTest, AReloadThatCantOpenItsFileIsRetried) {
   faults = switched("open", "EMFILE", "path = \"config.json\"\n");
   start();
   set_faults(true);
