--- a/relay/committer.cpp
+++ b/relay/committer.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr auto kWriteRetryInterval = std::chrono::milliseconds(50);
-// Guards against a full disk that keeps a core busy.
+// Keeps a full disk from causing a busy loop of failing compaction steps.
 constexpr auto kCompactionRetryInterval = std::chrono::milliseconds(250);
 
 std::unique_ptr<store::SyncThread> make_sync_thread(boost::asio::io_context& io, store::Disk& folder,
@@ -30,11 +30,11 @@
       retry_timer_(io),
       compaction_timer_(io) {}
 
-// Syncs that are under way need the store's files.
+// Joins the sync thread first: a running sync uses the store's files.
 Committer::~Committer() { sync_thread_.reset(); }
 
-void Committer::listen() {
-  store_.on_sync([this] { durable_moved_on(); });
+void Committer::start() {
+  store_.on_sync([this] { durable_advanced(); });
 }
 
 void Committer::commit(WriteAheadPlan plan) {
@@ -45,7 +45,7 @@
   HERONVANE_POINT("commit.after");
   outbox_.written(store_.written());
   if (!std::exchange(writable_, true)) resume_writing();
-  if (!outbox_.empty()) hooks_.plans_wait();
+  if (!outbox_.empty()) hooks_.plans_pending();
   execute_durable_plans();
   if (store_.sync_stalled()) reject_waiting_replies();
   if (!store_.unavailable_reason().empty() || !outbox_.empty()) retry_later();
@@ -60,8 +60,9 @@
   if (std::exchange(commit_due_, false)) commit();
 }
 
-// Nothing that was planned goes as it was planned: by the time the store can be written the module is asked
-// anew. Clients wait only so long: a request that stands in no record was not taken on.
+// No waiting plan is executed: once the store can be written again, the decision module decides anew. Replies
+// whose records are not written are rejected at once, since clients wait for a limited time and a request
+// without a record was not accepted.
 void Committer::commit_failed() {
   writable_ = false;
   HERONVANE_POINT("not-written");
@@ -72,11 +73,11 @@
 }
 
 void Committer::resume_writing() {
-  for (const auto& [key, value] : std::exchange(kept_meanwhile_, {})) store_.set_fact(key, value);
+  for (const auto& [key, value] : std::exchange(deferred_facts_, {})) store_.set_fact(key, value);
   hooks_.writable_again();
 }
 
-void Committer::durable_moved_on() {
+void Committer::durable_advanced() {
   execute_durable_plans();
   if (!store_.unavailable_reason().empty()) {
     reject_waiting_replies();
@@ -106,9 +107,9 @@
 bool Committer::keep(const std::string& key, const std::string& value) {
   if (writable_) return store_.set_fact(key, value);
   if (value.empty() && !store_.facts().contains(key)) {
-    kept_meanwhile_.erase(key);
+    deferred_facts_.erase(key);
   } else {
-    kept_meanwhile_[key] = value;
+    deferred_facts_[key] = value;
   }
   return true;
 }
--- a/relay/core/list_reader.cpp
+++ b/relay/core/list_reader.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-const std::string kPath = "members";            // of the list in error texts
-const std::string kEndpointsKey = "endpoints";  // the member of the list that holds its entries
+const std::string kPath = "members";            // name of the list in error texts
+const std::string kEndpointsKey = "endpoints";  // the key of the array that holds the entries
 constexpr const char* kWhitespace = " \t\r\n";
 constexpr int kEntryDepth = 2;  // open brackets around an entry
 
-// Parses without recursion: thousands of open brackets would overflow the stack.
+// Parses iteratively: with recursion, thousands of open brackets would overflow the stack.
 rapidjson::Document parse(const std::string& text) {
   rapidjson::Document document;
   document.Parse<rapidjson::kParseIterativeFlag>(text.data(), text.size());
@@ -29,11 +29,11 @@
 
 ListReader::ListReader(std::string text, const NameTables& names) : text_(std::move(text)), names_(names) {}
 
-// The entry is read as a list of its own.
+// Reads the entry as a list with one element.
 void ListReader::read_entry() {
   const std::size_t content = text_.find_first_not_of(kWhitespace, entry_begin_);
-  if (content >= at_) throw_malformed(kPath + ".endpoints", "holds an empty entry");
-  const std::string entry = text_.substr(entry_begin_, at_ - entry_begin_);
+  if (content >= offset_) throw_malformed(kPath + ".endpoints", "holds an empty entry");
+  const std::string entry = text_.substr(entry_begin_, offset_ - entry_begin_);
   const auto document = parse(R"({"index":0,"snapshot":false,"endpoints":[)" + entry + "]}");
   auto read = read_endpoint_list(document, kPath, names_);
   std::move(read.endpoints.begin(), read.endpoints.end(), std::back_inserter(list_.endpoints));
@@ -44,21 +44,21 @@
   auto frame = read_endpoint_list(parse(frame_), kPath, names_);
   list_.index = frame.index;
   list_.snapshot = frame.snapshot;
-  // Entries that were not cut out.
+  // The entries of an array that the scan did not recognize.
   if (!frame.endpoints.empty()) list_.endpoints = std::move(frame.endpoints);
   done_ = true;
 }
 
 void ListReader::scan_string(char c) {
   if (c == '\\') {
-    // An escaped name may be the array's: then all is read with the frame.
+    // An escaped key may be the array's key: the whole list is then read with the frame.
     if (depth_ == 1) position_ = Position::behind_array;
-    at_++;
+    offset_++;
     return;
   }
   if (c != '"') return;
   in_string_ = false;
-  if (depth_ == 1) last_string_ = text_.substr(string_begin_, at_ - string_begin_);
+  if (depth_ == 1) last_string_ = text_.substr(string_begin_, offset_ - string_begin_);
 }
 
 void ListReader::open_bracket(char c) {
@@ -66,17 +66,17 @@
   const bool is_array = depth_ == kEntryDepth && c == '[' && last_string_ == kEndpointsKey;
   if (!is_array || position_ != Position::before_array) return;
   position_ = Position::in_array;
-  frame_.append(text_, copied_, at_ + 1 - copied_);
-  entry_begin_ = at_ + 1;
+  frame_.append(text_, copied_, offset_ + 1 - copied_);
+  entry_begin_ = offset_ + 1;
 }
 
 void ListReader::close_bracket() {
   if (position_ == Position::in_array && depth_ == kEntryDepth) {
     const std::size_t content = text_.find_first_not_of(kWhitespace, entry_begin_);
-    // An array without any entry is no error; an empty entry behind a comma is one.
-    if (content < at_ || text_[entry_begin_ - 1] == ',') read_entry();
+    // An empty array is valid; an empty entry after a comma is an error.
+    if (content < offset_ || text_[entry_begin_ - 1] == ',') read_entry();
     position_ = Position::behind_array;
-    copied_ = at_;
+    copied_ = offset_;
   }
   depth_--;
   if (depth_ <= 0) position_ = Position::behind_array;
@@ -86,7 +86,7 @@
   switch (c) {
     case '"':
       in_string_ = true;
-      string_begin_ = at_ + 1;
+      string_begin_ = offset_ + 1;
       break;
     case '{':
     case '[':
@@ -99,7 +99,7 @@
     case ',':
       if (position_ != Position::in_array || depth_ != kEntryDepth) break;
       read_entry();
-      entry_begin_ = at_ + 1;
+      entry_begin_ = offset_ + 1;
       break;
     default:
       break;
@@ -107,15 +107,15 @@
 }
 
 bool ListReader::step(std::size_t bytes) {
-  const std::size_t until = std::min(text_.size(), at_ + std::min(bytes, text_.size()));
-  for (; at_ < until; at_++) {
+  const std::size_t until = std::min(text_.size(), offset_ + std::min(bytes, text_.size()));
+  for (; offset_ < until; offset_++) {
     if (in_string_) {
-      scan_string(text_[at_]);
+      scan_string(text_[offset_]);
     } else {
-      scan(text_[at_]);
+      scan(text_[offset_]);
     }
   }
-  if (at_ < text_.size()) return false;
+  if (offset_ < text_.size()) return false;
   if (!done_) finish();
   return true;
 }
--- a/relay/core/status.cpp
+++ b/relay/core/status.cpp
@@ -17,9 +17,9 @@
 
 constexpr Microseconds kMillisecond = 1000;
 constexpr double kMillisecondsPerSecond = 1e3;
-constexpr double kShownFractions = 1000;  // of 1: numbers are rounded to a thousandth
+constexpr double kShownFractions = 1000;  // numbers are rounded to 1/1000
 
-// Names come from lists and clients and may hold any bytes, which are no JSON.
+// Names come from endpoint lists and clients and may contain bytes that are invalid in JSON.
 void text(Writer& w, const std::string& value) {
   const std::string valid = printable(value);
   w.String(valid.data(), static_cast<rapidjson::SizeType>(valid.size()));
@@ -51,7 +51,7 @@
 
 std::int64_t milliseconds(Microseconds time) { return time / kMillisecond; }
 
-// JSON has no infinity.
+// Rounds a number for JSON; 0 for infinity and NaN, which JSON can't express.
 double rounded(double value) {
   return std::isfinite(value) ? std::round(value * kShownFractions) / kShownFractions : 0;
 }
@@ -116,7 +116,7 @@
   field(w, "draining", s.draining);
   field(w, "stopping", s.stopping);
   field(w, "fence", s.fence);
-  field(w, "trouble", s.trouble);
+  field(w, "trouble", s.unavailable_reason);
 }
 
 void write_held(Writer& w, const Status& s) {
@@ -136,7 +136,7 @@
   field(w, "1000", std::uint64_t{s.counts.up_to_1s});
   field(w, "5000", std::uint64_t{s.counts.up_to_5s});
   field(w, "30000", std::uint64_t{s.counts.up_to_30s});
-  field(w, "more", std::uint64_t{s.counts.more});
+  field(w, "more", std::uint64_t{s.counts.over_30s});
   w.EndObject();
   w.EndObject();
 }
@@ -186,13 +186,13 @@
 void write_list(Writer& w, const Status& s) {
   w.Key("list");
   w.StartObject();
-  field(w, "told", s.list_told);
+  field(w, "told", s.list_received);
   field(w, "index", s.list_index);
   field(w, "endpoints", std::uint64_t{s.endpoints});
   w.EndObject();
 }
 
-// Empty where the zone is unknown.
+// Empty if the zone is unknown.
 std::string zone_name(const NameIndex& zones, int zone) {
   for (const auto& [name, index] : zones) {
     if (index == zone) return name;
@@ -254,7 +254,7 @@
   return {buffer.GetString(), buffer.GetSize()};
 }
 
-std::string over_json(const std::string& id) {
+std::string completed_json(const std::string& id) {
   rapidjson::StringBuffer buffer;
   Writer w(buffer);
   w.StartObject();
--- a/relay/frontends/admin_request.cpp
+++ b/relay/frontends/admin_request.cpp
@@ -1,11 +1,11 @@
-#include "frontends/admin_request.hpp"
-
 #include <rapidjson/document.h>
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
 
 #include <optional>
 
+#include "frontends/admin_request.hpp"
+
 namespace heronvane {
 namespace {
 
@@ -69,9 +69,9 @@
   if (!document.IsObject()) return admin_error(400, "bad_request", "the body is not a JSON object", hint);
   const auto fence = document.FindMember("fence");
   if (fence == document.MemberEnd() || !fence->value.IsInt64() || fence->value.GetInt64() < 0 ||
-      fence->value.GetInt64() > kMostFence)
+      fence->value.GetInt64() > kMaxFence)
     return admin_error(400, "bad_request",
-                       "fence: must be a whole number from 0 to " + std::to_string(kMostFence), hint);
+                       "fence: must be a whole number from 0 to " + std::to_string(kMaxFence), hint);
   return Fenced{fence->value.GetInt64()};
 }
 
--- a/relay/relay_server.cpp
+++ b/relay/relay_server.cpp
@@ -14,17 +14,18 @@
 
 namespace {
 
-// Share of the memory for bodies that are being read.
-constexpr std::size_t kBodyPart = 8;
+// Request bodies that are being read may take this fraction of the memory: one eighth.
+constexpr std::size_t kBodyMemoryDivisor = 8;
 
-// A list may take a part of the memory; 4 MiB hold 30,000 endpoints.
-std::size_t most_list_bytes(const Config& config) {
-  constexpr std::size_t kLeast = 4 << 20;
-  constexpr std::size_t kPart = 8;
-  return std::max<std::size_t>(kLeast, config.memory_bytes / kPart);
+// The maximum size of an endpoint list: one eighth of the memory, and at least 4 MiB, which hold 30,000
+// endpoints.
+std::size_t max_list_bytes(const Config& config) {
+  constexpr std::size_t kMinListBytes = 4 << 20;
+  constexpr std::size_t kListMemoryDivisor = 8;
+  return std::max<std::size_t>(kMinListBytes, config.memory_bytes / kListMemoryDivisor);
 }
 
-// `remembers`: whether a request's id is to be remembered once it is completed.
+// `remembers` says whether the id of a request is to be remembered once the request is completed.
 store::Options store_options(const Config& config, std::function<bool(const Message&)> remembers) {
   store::Options options;
   options.limit_bytes = config.disk_bytes;
@@ -57,7 +58,7 @@
   }
 }
 
-// Bound and listening: who connects from now on waits until the intake accepts.
+// Returns a listening socket. Clients that connect to it wait in the backlog until the intake accepts them.
 net::ip::tcp::acceptor listening(net::io_context& io, const net::ip::tcp::endpoint& address) {
   try {
     return {io, address};
@@ -76,9 +77,9 @@
       folder_(locked_folder(config.state_folder)),
       listener_(listening(io, config.listen)),
       peers_(open_peers()),
-      admin_(open_admin_front(io, config, [this] { return admin_context(); })),
+      admin_(open_admin_frontend(io, config, [this] { return admin_context(); })),
       committer_(io, *folder_,
-                 store_options(config, [this](const Message& m) { return may_not_run_twice(m); }),
+                 store_options(config, [this](const Message& m) { return may_be_non_idempotent(m); }),
                  commit_hooks()),
       store_(committer_.store()),
       copies_(open_log_copies(io, store_, config, start_.force_own, copies_hooks())),
@@ -88,7 +89,7 @@
       endpoints_(config, committer_, cycle_, endpoint_hooks()),
       executor_(io, config, committer_, endpoints_.directory(), executor_hooks()),
       platform_(
-          io, config.discovery, config.names, config.known.index, most_list_bytes(config),
+          io, config.discovery, config.names, config.known.index, max_list_bytes(config),
           [this](EndpointList list) { endpoints_.apply(std::move(list), text_of(platform_.address())); },
           [this] { cycle_.notify(event::EndpointListFailed{}); },
           [this](const std::vector<MessageId>& ids) {
@@ -104,28 +105,29 @@
   accept_clients();
 }
 
-// The copies refer to the store and to all that hears of them.
+// Replication is destroyed first: it refers to the store and calls hooks of the other members.
 RelayServer::~RelayServer() { copies_.reset(); }
 
 void RelayServer::recover_store() {
   endpoints_.start();
-  committer_.listen();
+  committer_.start();
   if (start_.undrain) drain_.end_at_start(*start_.undrain, store_);
   drain_.resume();
   endpoints_.restore_learned_state();
   HERONVANE_POINT("recover.taken-back");
-  // Calls recover() once the log is known to be this relay's.
+  // Calls recover() once the log is confirmed to be this relay's.
   copies_->start();
   HERONVANE_POINT("recover.done");
 }
 
 void RelayServer::accept_clients() {
-  // Nothing is under way before: what fails by here leaves no completion behind that would reach this relay.
+  // No asynchronous operation is started before this point, so a constructor that has thrown leaves no
+  // handler behind that would refer to this relay.
   if (peers_) peers_->start();
   admin_->start();
   intake_.emplace(
       io_, std::move(listener_), config_.settings, config_.names,
-      IntakeLimits{config_.client_connections, config_.memory_bytes / kBodyPart},
+      IntakeLimits{config_.client_connections, config_.memory_bytes / kBodyMemoryDivisor},
       [this](Message message, Microseconds time_left, ReplyCallback reply) {
         on_request(std::move(message), time_left, std::move(reply));
       },
@@ -139,7 +141,7 @@
   const auto& settings = config_.settings;
   if (!settings.gossip || !config_.peer_listen) return nullptr;
   const auto received = [this](int from, std::string body) {
-    // They would pile up while the module is not asked; any may be lost.
+    // Dropped while the decision module is not asked, since they would pile up; gossip may be lost.
     if (!committer_.is_writable() || !lifecycle_.rules().decides) return;
     cycle_.notify(event::GossipReceived{from, std::move(body)});
   };
@@ -152,7 +154,7 @@
   }
 }
 
-// ---- What the owners ask of one another. ----
+// ---- Hooks between the relay's parts. ----
 Committer::Hooks RelayServer::commit_hooks() {
   Committer::Hooks hooks;
   hooks.execute = [this](WriteAheadPlan plan) { execute(std::move(plan)); };
@@ -160,12 +162,12 @@
     reject_uncommitted(replies, why);
   };
   hooks.withdrawn = [this](const EndpointId& endpoint, const Outgoing& message) {
-    executor_.take_back(endpoint, message);
+    executor_.withdraw_message(endpoint, message);
   };
-  hooks.plans_wait = [this] { copies_->hurry(); };
+  hooks.plans_pending = [this] { copies_->send_now(); };
   hooks.writable_again = [this] {
     endpoints_.resynchronize();
-    cycle_.schedule();  // what came meanwhile is decided on now
+    cycle_.schedule();  // decides on the events that arrived meanwhile
   };
   hooks.expire_overdue = [this] { expire_overdue(); };
   return hooks;
@@ -180,8 +182,8 @@
 
 EndpointView::Hooks RelayServer::endpoint_hooks() {
   EndpointView::Hooks hooks;
-  hooks.located = [this](const ListedEndpoint& member) { executor_.locate(member); };
-  hooks.inactive = [this](const EndpointId& endpoint) { executor_.abandon(endpoint); };
+  hooks.located = [this](const ListedEndpoint& member) { executor_.set_address(member); };
+  hooks.inactive = [this](const EndpointId& endpoint) { executor_.deactivate(endpoint); };
   return hooks;
 }
 
@@ -196,11 +198,11 @@
 LogCopiesHooks RelayServer::copies_hooks() {
   LogCopiesHooks hooks;
   hooks.commit = [this] { committer_.commit(); };
-  hooks.durable_moved_on = [this] { committer_.durable_moved_on(); };
+  hooks.durable_advanced = [this] { committer_.durable_advanced(); };
   hooks.ready = [this] { recover(); };
-  hooks.disown = [this] { disown(); };
+  hooks.log_lost = [this] { on_log_lost(); };
   hooks.taken_over = [this](MessageId from, MessageId to) { taken_over(from, to); };
-  hooks.wait_is_over = [this] { committer_.reject_waiting_replies(); };
+  hooks.ack_timed_out = [this] { committer_.reject_waiting_replies(); };
   return hooks;
 }
 
--- a/tests/committer_test.cpp
+++ b/tests/committer_test.cpp
@@ -1,12 +1,11 @@
-// Write ahead, on a folder in memory.
-#include "committer.hpp"
-
+// Write-ahead execution, with a disk in memory.
 #include <gtest/gtest.h>
 
 #include <boost/asio/io_context.hpp>
 #include <string>
 #include <vector>
 
+#include "committer.hpp"
 #include "store/memory_disk.hpp"
 
 namespace heronvane {
@@ -16,7 +15,7 @@
 
 constexpr std::uint64_t kDiskBytes = 1'000'000;
 
-// A committer that records, in their order, what its hooks were called for.
+// Provides hooks that record their calls in order.
 class CommitterTest : public ::testing::Test {
  protected:
   Committer::Hooks hooks() {
@@ -31,7 +30,7 @@
     hooks.withdrawn = [this](const EndpointId& endpoint, const Outgoing& message) {
       calls_.push_back("withdrawn " + endpoint + " " + std::to_string(message.id));
     };
-    hooks.plans_wait = [] {};
+    hooks.plans_pending = [] {};
     hooks.writable_again = [this] { calls_.emplace_back("writable"); };
     hooks.expire_overdue = [] {};
     return hooks;
@@ -43,7 +42,7 @@
     return options;
   }
 
-  // A reply to the request of that id, and an attempt of it.
+  // A plan with a reply to the request `id` and an attempt of it.
   static WriteAheadPlan plan_of(MessageId id) {
     WriteAheadPlan plan;
     plan.replies.push_back({id, [](const ClientReply&) {}, {202, 0}});
@@ -53,10 +52,10 @@
     return plan;
   }
 
-  // From here on nothing can be changed on the disk, until clear_faults().
+  // Makes all operations that change the disk fail until clear_faults().
   void break_disk() { disk_.fail_from(disk_.operations() + 1, {}); }
 
-  // Something to write, which makes a commit touch the disk.
+  // Adds a record, so that a commit writes to the disk.
   void add_record(Committer& committer, const std::string& key) { committer.keep(key, "value"); }
 
   boost::asio::io_context io_;
@@ -72,7 +71,7 @@
   EXPECT_TRUE(committer.is_settled());
 }
 
-TEST_F(CommitterTest, CommitsOnceForATurnOfTheLoop) {
+TEST_F(CommitterTest, CommitsOnceForATurnOfTheEventLoop) {
   Committer committer(io_, disk_, options(), hooks());
   committer.commit_soon();
   committer.commit_soon();
@@ -81,7 +80,7 @@
   EXPECT_FALSE(committer.commit_is_due());
 }
 
-TEST_F(CommitterTest, RejectsAndWithdrawsWhatCanNotBeWritten) {
+TEST_F(CommitterTest, RejectsAndWithdrawsPlansThatCantBeWritten) {
   Committer committer(io_, disk_, options(), hooks());
   committer.commit();
   break_disk();
@@ -92,7 +91,7 @@
   EXPECT_FALSE(committer.is_settled());
 }
 
-TEST_F(CommitterTest, KeepsTheLastValueOfEachKeyUntilItCanBeWritten) {
+TEST_F(CommitterTest, HoldsTheLastValueOfEachKeyUntilAWriteSucceeds) {
   Committer committer(io_, disk_, options(), hooks());
   committer.commit();
   break_disk();
