--- a/cli/changing.cpp
+++ b/cli/changing.cpp
@@ -127,7 +127,7 @@
       for (const auto& s : seen) failed.push_back(std::get_if<Failure>(&s));
       const int exit = report_failures(failed);
       print_failure({kRefused, "no agent that answers has an instance " + name + "; nothing was changed",
-                     "see which there are: heronvanectl list, with the same --agent", "", false});
+                     "list the instances: heronvanectl list, with the same --agent", "", false});
       return exit == kDone ? kRefused : kPartial;
     }
   }
@@ -162,10 +162,11 @@
   for (const auto& o : connection.as(connection.get("/v1/operations?limit=50"), read_operations))
     if ((o.kind == "apply" || o.kind == "rollback") && o.generation > 1)
       return static_cast<std::uint64_t>(o.generation) - 1;
-  throw Failure{
-      kRefused,
-      "agent " + connection.address() + ": none of its last 50 operations changed the fleet from another one",
-      "name the generation to go back to: " + connection.command + " rollback GENERATION", "", false};
+  throw Failure{kRefused,
+                "agent " + connection.address() +
+                    ": none of the agent's last 50 operations changed the fleet from an earlier generation",
+                "name the generation to go back to: " + connection.command + " rollback GENERATION", "",
+                false};
 }
 
 bool Run::confirm(const std::string& question) {
@@ -186,11 +187,11 @@
   const auto results = session_.ask<Parsed<std::string>>([&](AgentConnection& p) {
     p.get("/v1/agent");  // learns the API version, which change() checks
     auto json = p.change("POST", "/v1/takeover/" + c.relay, "{}");
-    return Parsed<std::string>{p.as(json, read_taker), json};
+    return Parsed<std::string>{p.as(json, read_new_owner), json};
   });
   return finish(results, [&](const auto& all) {
     const auto& by = all.front().value;
-    return by + " takes over what " + c.relay + " owes; see how it goes: " + all.front().command + " show " +
+    return by + " takes over what " + c.relay + " owes; see its progress: " + all.front().command + " show " +
            by + "\n";
   });
 }
@@ -258,7 +259,7 @@
     }
     d.fleet = fleet_json(text, c.file, read_file);
   } catch (const FleetFileError& e) {
-    print_failure({kUsage, e.what(), "mend the file; the agent was not asked", "", false});
+    print_failure({kUsage, e.what(), "correct the file; nothing was sent to the agent", "", false});
     return kUsage;
   }
   return plan_and_start(std::move(d), c.yes, "Apply this? [y/N] ");
--- a/cli/client.cpp
+++ b/cli/client.cpp
@@ -56,7 +56,7 @@
       if (e == http::error::body_limit || e == http::error::header_limit)
         throw MalformedAnswer("the answer is larger than " +
                               std::string(e == http::error::body_limit ? "16 MiB" : "16 KiB of headers"));
-      if (e) throw MalformedAnswer("the answer is no HTTP: " + e.message());
+      if (e) throw MalformedAnswer("the answer is not valid HTTP: " + e.message());
       if (parser_.eager() && used == 0) break;
       // Eager parsing is enabled only after the header: an eager parser continues past its own error for a
       // Content-Length above the limit.
--- a/cli/commands.hpp
+++ b/cli/commands.hpp
@@ -1,5 +1,6 @@
-// What can be asked for, as parsed from the command line. A new command: a struct, its name in kCommands, its
-// place in Command; parsing (options.cpp) and run.cpp then fail to compile until they know it.
+// The commands and their options, as parsed from the command line. A new command needs a struct, an entry in
+// kCommands and an alternative in Command; run.hpp then has to declare a call operator for it, and
+// options.cpp has to parse it.
 #pragma once
 
 #include <array>
@@ -14,7 +15,7 @@
 struct CommandInfo {
   std::string_view name, help;
   enum class Takes { nothing, instances, file, other } takes;
-  std::string_view options;  // its own, for completion; "FILE" etc. are left to the shell
+  std::string_view options;  // the command's own options, for completion; the shell completes file names
 };
 
 inline constexpr std::string_view kGlobalOptions =
@@ -51,20 +52,21 @@
     CommandInfo{"version", "The versions of this tool and of agents", CommandInfo::Takes::nothing, ""},
 };
 
-// Of whatever starts an operation.
+// Options of every command that starts an operation.
 struct ChangeOptions {
   bool wait = true;
   bool supersede = false;
   std::optional<unsigned> max_unavailable;
 };
 
-// up, down, drain, undrain, restart: `kind` as the API names it. No names: all.
+// up, down, drain, undrain, restart. `kind` is the operation's name in the API; empty `names` means all
+// instances.
 struct Change {
   std::string kind;
   std::vector<std::string> names;
   ChangeOptions options;
 };
-// Of a relay that may be on a machine that is gone.
+// Takes over the messages of a relay, whose machine may be lost.
 struct TakeOver {
   std::string relay;
   bool yes = false;
@@ -75,12 +77,12 @@
   ChangeOptions options;
 };
 struct Rollback {
-  std::optional<std::uint64_t> to;  // none: the one before the last apply or rollback
+  std::optional<std::uint64_t> to;  // empty: the generation before the last apply or rollback
   bool dry_run = false, yes = false;
   ChangeOptions options;
 };
 struct List {
-  bool names = false;  // only these, a line each
+  bool names = false;  // print only the names, one per line
 };
 struct Status {
   bool watch = false;
@@ -110,8 +112,8 @@
   std::string shell;
 };
 struct Demo {
-  std::optional<double> seconds;  // none: until Ctrl-C
-  bool plain = false;             // lines, no screen
+  std::optional<double> seconds;  // empty: until Ctrl-C
+  bool plain = false;             // print lines rather than draw a screen
 };
 struct Version {};
 
@@ -121,11 +123,11 @@
 enum class Output { table, json };
 
 struct Global {
-  std::vector<std::string> agents;  // never empty once parsed
-  bool agents_named = false;        // by --agent, rather than found
+  std::vector<std::string> agents;  // socket paths or URLs; at least one after parsing
+  bool agents_named = false;        // given with --agent, not the default address
   std::string cert, key, ca;
   Output output = Output::table;
-  std::optional<double> timeout;  // seconds
+  std::optional<double> timeout;  // seconds; empty: the defaults
 };
 
 struct Invocation {
--- a/cli/completion.cpp
+++ b/cli/completion.cpp
@@ -8,14 +8,15 @@
 
 using Takes = CommandInfo::Takes;
 
-std::string names() {
+std::string command_names() {
   std::string all;
   for (const auto& c : kCommands) all.append(all.empty() ? "" : " ").append(c.name);
   return all;
 }
 
-// The agents of the line so far are asked, shortly; one that does not answer completes nothing.
-constexpr const char* kList = "--timeout 1 list --names 2>/dev/null </dev/null";
+// Arguments that list instance names for completion. The timeout of 1 s keeps the shell responsive if an
+// agent does not answer; there are no completions then.
+constexpr const char* kListArguments = "--timeout 1 list --names 2>/dev/null </dev/null";
 
 std::string bash() {
   std::string s =
@@ -42,7 +43,7 @@
       "  esac\n"
       "  case $command in\n"
       "    '') words='" +
-      names() + "' ;;\n";
+      command_names() + "' ;;\n";
   for (const auto& c : kCommands) {
     s.append("    ").append(c.name).append(") options+=' ").append(c.options).append("'");
     if (c.takes == Takes::instances) s += "; takes=instances";
@@ -57,7 +58,7 @@
        "    COMPREPLY=($(compgen -f -- \"$cur\"))\n"
        "  elif [[ $takes == instances ]]; then\n"
        "    words=$(\"${COMP_WORDS[0]}\" \"${agent[@]}\" " +
-       std::string(kList) +
+       std::string(kListArguments) +
        ")\n"
        "    COMPREPLY=($(compgen -W \"$words\" -- \"$cur\"))\n"
        "  else\n"
@@ -103,7 +104,7 @@
     if (!c.options.empty())
       s.append(" [[ $words[CURRENT] == -* ]] && compadd -- ").append(c.options).append(";");
     if (c.takes == Takes::instances)
-      s.append(" compadd -- ${(f)\"$($words[1] $agent ").append(kList).append(")\"}");
+      s.append(" compadd -- ${(f)\"$($words[1] $agent ").append(kListArguments).append(")\"}");
     if (c.takes == Takes::file) s += " _files";
     if (c.name == "completion") s += " compadd bash zsh fish";
     s += " ;;\n";
@@ -145,7 +146,7 @@
       s.append("complete -c heronvanectl -n ")
           .append(seen)
           .append(" -a '(heronvanectl ")
-          .append(kList)
+          .append(kListArguments)
           .append(")'\n");
     if (c.takes == Takes::file) s.append("complete -c heronvanectl -n ").append(seen).append(" -F\n");
     if (c.name == "completion")
--- a/cli/dial.cpp
+++ b/cli/dial.cpp
@@ -228,11 +228,11 @@
   const std::string_view scheme = "https://";
   if (agent.rfind("http://", 0) == 0)
     throw std::invalid_argument(
-        agent + ": agents are spoken to over https:// or a socket's path, never in the clear");
+        agent + ": agents are reached over https:// or a Unix socket, never over unencrypted http://");
   if (agent.rfind(scheme, 0) != 0) {
     if (agent.empty()) throw std::invalid_argument("--agent: is empty");
     if (agent.size() >= sizeof(sockaddr_un::sun_path))
-      throw std::invalid_argument(agent + ": longer than a socket's path may be (" +
+      throw std::invalid_argument(agent + ": too long for the path of a Unix socket (" +
                                   std::to_string(sizeof(sockaddr_un::sun_path) - 1) + " bytes)");
     return std::make_unique<UnixDialer>(agent, stop);
   }
@@ -246,7 +246,7 @@
   if (host.size() > 2 && host.front() == '[' && host.back() == ']') host = host.substr(1, host.size() - 2);
   if (credentials.cert.empty() || credentials.key.empty())
     throw std::invalid_argument(agent +
-                                ": an agent over TLS asks for a client certificate: give --cert and --key");
+                                ": an agent over TLS requires a client certificate: give --cert and --key");
   return std::make_unique<TlsDialer>(host, rest.substr(colon + 1), credentials, stop);
 }
 
--- a/cli/fleet_file.cpp
+++ b/cli/fleet_file.cpp
@@ -18,13 +18,14 @@
 
 using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
 
-std::string put_together(const std::vector<std::string>& words) {
+std::string joined(const std::vector<std::string>& keys) {
   std::string all;
-  for (const auto& w : words) all.append(all.empty() ? "" : ", ").append(w);
+  for (const auto& w : keys) all.append(all.empty() ? "" : ", ").append(w);
   return all;
 }
 
-// A table of the file: what is asked for is known, the rest is refused.
+// A table of the file. Every key that is looked up is recorded as known; refuse_unknown_keys() refuses the
+// others.
 class Section {
  public:
   Section(const toml::table& table, std::string name, const std::string& file)
@@ -36,7 +37,7 @@
                          (name_.empty() || key.empty() ? name_ + key : name_ + "." + key) + ": " + what);
   }
   const toml::node* find(const std::string& key) {
-    known_.push_back(key);
+    known_keys_.push_back(key);
     return table_.get(key);
   }
   const toml::table* table(const std::string& key) {
@@ -44,27 +45,27 @@
     if (node != nullptr && !node->is_table()) malformed(node, key, "must be a table: [" + key + "]");
     return node == nullptr ? nullptr : node->as_table();
   }
-  std::string text(const std::string& key, const char* otherwise = nullptr) {
+  std::string text(const std::string& key, const char* fallback = nullptr) {
     const auto* node = find(key);
     if (node == nullptr) {
-      if (otherwise == nullptr) malformed(nullptr, key, "is missing");
-      return otherwise;
+      if (fallback == nullptr) malformed(nullptr, key, "is missing");
+      return fallback;
     }
     if (!node->is_string() || node->as_string()->get().empty()) malformed(node, key, "must be text");
     return node->as_string()->get();
   }
-  std::int64_t whole(const std::string& key, std::int64_t least, std::int64_t most, std::int64_t otherwise) {
+  std::int64_t integer(const std::string& key, std::int64_t least, std::int64_t most, std::int64_t fallback) {
     const auto* node = find(key);
-    if (node == nullptr) return otherwise;
+    if (node == nullptr) return fallback;
     const auto* n = node->as_integer();
     if (n == nullptr || n->get() < least || n->get() > most)
       malformed(node, key,
                 "must be a whole number from " + std::to_string(least) + " to " + std::to_string(most));
     return n->get();
   }
-  std::string address(const std::string& key, bool must, std::set<std::string>* taken = nullptr) {
-    if (!must && table_.get(key) == nullptr) {
-      known_.push_back(key);
+  std::string address(const std::string& key, bool required, std::set<std::string>* taken = nullptr) {
+    if (!required && table_.get(key) == nullptr) {
+      known_keys_.push_back(key);
       return {};
     }
     const auto t = text(key);
@@ -78,10 +79,10 @@
       malformed(table_.get(key), key, "\"" + t + "\" is used twice");
     return t;
   }
-  void done() const {
+  void refuse_unknown_keys() const {
     for (const auto& [key, node] : table_)
-      if (std::find(known_.begin(), known_.end(), key.str()) == known_.end())
-        malformed(&node, std::string(key.str()), "is not known; known here: " + put_together(known_));
+      if (std::find(known_keys_.begin(), known_keys_.end(), key.str()) == known_keys_.end())
+        malformed(&node, std::string(key.str()), "is not known; known here: " + joined(known_keys_));
   }
   const toml::node* get(const std::string& key) const { return table_.get(key); }
 
@@ -89,7 +90,7 @@
   const toml::table& table_;
   std::string name_;
   const std::string& file_;
-  std::vector<std::string> known_;
+  std::vector<std::string> known_keys_;
 };
 
 class FleetFile {
@@ -102,7 +103,7 @@
     const auto* fleet_table = top.table("fleet");
     Section fleet(fleet_table != nullptr ? *fleet_table : none, "fleet", file_);
     w_.StartObject();
-    w_.Key("max_unavailable"), w_.Int64(fleet.whole("max_unavailable", 1, 10'000, 1));
+    w_.Key("max_unavailable"), w_.Int64(fleet.integer("max_unavailable", 1, 10'000, 1));
     text("program", fleet.text("program", "heronvane"));
     const auto* platform = top.table("platform");
     const auto discovery = fleet.address("discovery", false);
@@ -114,14 +115,14 @@
                       "is missing: without [platform] the relays' discovery must be named");
     text("discovery", discovery);
     if (const auto settings = fleet.text("settings", ""); !settings.empty())
-      w_.Key("settings"), named(fleet, "settings", settings, false);
+      w_.Key("settings"), insert_json_file(fleet, "settings", settings, false);
     if (const auto* t = fleet.table("limits")) limits(*t);
     if (const auto* t = fleet.table("store")) store(*t);
     if (const auto* t = fleet.table("copies")) copies(*t);
-    fleet.done();
+    fleet.refuse_unknown_keys();
     if (platform != nullptr) this->platform(*platform);
     instances(top);
-    top.done();
+    top.refuse_unknown_keys();
     w_.EndObject();
     return {out_.GetString(), out_.GetSize()};
   }
@@ -141,11 +142,11 @@
       w_.Key("cores"), w_.Double(*n);
     }
     for (const char* key : {"disk_mb", "memory_mb", "sockets"})
-      if (const auto n = s.whole(key, 1, 1'000'000'000, 0); n > 0) w_.Key(key), w_.Int64(n);
-    s.done();
+      if (const auto n = s.integer(key, 1, 1'000'000'000, 0); n > 0) w_.Key(key), w_.Int64(n);
+    s.refuse_unknown_keys();
     w_.EndObject();
   }
-  // The relay's own settings file ([store]) knows these.
+  // The keys are those of [store] in a relay's settings file.
   void store(const toml::table& table) {
     Section s(table, "fleet.store", file_);
     w_.Key("store");
@@ -167,16 +168,16 @@
         s.malformed(node, "remember_window_s", "must be a number of seconds from 0 to 86400");
       w_.Key("remember_window_s"), w_.Double(*n);
     }
-    s.done();
+    s.refuse_unknown_keys();
     w_.EndObject();
   }
-  // As [copies] of a relay's own settings has it; the agent reads it as the relay does.
+  // The keys are those of [copies] in a relay's settings; the agent parses the result like the relay.
   void copies(const toml::table& table) {
     Section s(table, "fleet.copies", file_);
     w_.Key("copies");
     w_.StartObject();
     text("cluster", s.text("cluster"));
-    w_.Key("holders"), w_.Int64(s.whole("holders", 0, 4, 2));
+    w_.Key("holders"), w_.Int64(s.integer("holders", 0, 4, 2));
     if (const auto* node = s.find("acks")) {
       const auto word = node->value<std::string>();
       if (word != "majority" && word != "all") s.malformed(node, "acks", "must be \"majority\" or \"all\"");
@@ -189,7 +190,7 @@
           s.malformed(node, key, "must be a number of seconds from 0 to 86400");
         w_.Key(key), w_.Double(*n);
       }
-    if (const auto n = s.whole("disk_mb", 1, 1'000'000'000, 0); n > 0) w_.Key("disk_mb"), w_.Int64(n);
+    if (const auto n = s.integer("disk_mb", 1, 1'000'000'000, 0); n > 0) w_.Key("disk_mb"), w_.Int64(n);
     if (const auto* node = s.find("member")) {
       const auto* all = node->as_array();
       if (all == nullptr) s.malformed(node, "member", "must be a list of tables: [[fleet.copies.member]]");
@@ -200,17 +201,17 @@
         Section m(*one.as_table(), "fleet.copies.member", file_);
         w_.StartObject();
         text("name", m.text("name"));
-        text("address", m.address("address", true, &taken_));
-        place(m);
-        m.done();
+        text("address", m.address("address", true, &used_addresses_));
+        placement(m);
+        m.refuse_unknown_keys();
         w_.EndObject();
       }
       w_.EndArray();
     }
-    s.done();
+    s.refuse_unknown_keys();
     w_.EndObject();
   }
-  void place(Section& s) {
+  void placement(Section& s) {
     for (const char* key : {"machine", "zone"})
       if (const auto v = s.text(key, ""); !v.empty()) text(key, v);
   }
@@ -218,22 +219,22 @@
     Section s(table, "platform", file_);
     w_.Key("platform");
     w_.StartObject();
-    text("listen", s.address("listen", true, &taken_));
-    const auto* here = s.find("partners");
-    const auto* there = s.find("partners_file");
-    if ((here == nullptr) == (there == nullptr))
-      s.malformed(there, here == nullptr ? "partners" : "partners_file",
+    text("listen", s.address("listen", true, &used_addresses_));
+    const auto* local_partners = s.find("partners");
+    const auto* remote_partners = s.find("partners_file");
+    if ((local_partners == nullptr) == (remote_partners == nullptr))
+      s.malformed(remote_partners, local_partners == nullptr ? "partners" : "partners_file",
                   "one of partners (a file here) and partners_file (on the agent's machine) must be given");
-    if (here != nullptr) {
+    if (local_partners != nullptr) {
       w_.Key("partners");
-      named(s, "partners", s.text("partners"), true);
+      insert_json_file(s, "partners", s.text("partners"), true);
     } else {
       const auto path = s.text("partners_file");
       if (path.front() != '/')
-        s.malformed(there, "partners_file", "must be an absolute path on the agent's machine");
+        s.malformed(remote_partners, "partners_file", "must be an absolute path on the agent's machine");
       text("partners_file", path);
     }
-    s.done();
+    s.refuse_unknown_keys();
     w_.EndObject();
   }
   void instances(Section& top) {
@@ -253,17 +254,18 @@
         if (!names.insert(name).second) s.malformed(s.get("name"), "name", "\"" + name + "\" is used twice");
         w_.StartObject();
         text("name", name);
-        text("listen", s.address("listen", true, &taken_));
-        if (const auto there = s.address("copies", false, &taken_); !there.empty()) text("copies", there);
-        place(s);
-        s.done();
+        text("listen", s.address("listen", true, &used_addresses_));
+        if (const auto copies_address = s.address("copies", false, &used_addresses_); !copies_address.empty())
+          text("copies", copies_address);
+        placement(s);
+        s.refuse_unknown_keys();
         w_.EndObject();
       }
     }
     w_.EndArray();
   }
-  // A JSON file that the fleet file names: the settings' object, or the partners' list.
-  void named(Section& section, const char* key, const std::string& path, bool list) {
+  // Inserts a JSON file that the fleet file names: an object (settings) or a list (partners).
+  void insert_json_file(Section& section, const char* key, const std::string& path, bool list) {
     const auto slash = file_.rfind('/');
     const auto where =
         path.front() == '/' || slash == std::string::npos ? path : file_.substr(0, slash + 1) + path;
@@ -284,7 +286,7 @@
                            rapidjson::GetParseError_En(d.GetParseError()));
     }
     const rapidjson::Value* v = &d;
-    if (list && d.IsObject()) {  // as discovery's list has it
+    if (list && d.IsObject()) {  // the format of discovery's list
       const auto m = d.FindMember("endpoints");
       if (m == d.MemberEnd()) throw FleetFileError(where + ":1: endpoints: is missing");
       v = &m->value;
@@ -302,7 +304,7 @@
   const ReadFile& read_;
   rapidjson::StringBuffer out_;
   Writer w_;
-  std::set<std::string> taken_;  // addresses
+  std::set<std::string> used_addresses_;  // addresses in use, to refuse duplicates
 };
 
 }  // namespace
--- a/cli/fleet_file.hpp
+++ b/cli/fleet_file.hpp
@@ -1,5 +1,5 @@
-// The fleet file: TOML of the operator in, the JSON object that agents take out. No I/O: what the file names
-// is read through `read`.
+// Converts the operator's fleet file (TOML) to the JSON object that agents accept. No I/O: files that the
+// fleet file names are read through `read`.
 #pragma once
 
 #include <functional>
@@ -13,10 +13,11 @@
   using std::runtime_error::runtime_error;
 };
 
-// The content of a file, or std::runtime_error saying why not.
+// Returns the content of a file; throws std::runtime_error with the reason on failure.
 using ReadFile = std::function<std::string(const std::string& path)>;
 
-// `file` names the text in errors; what it names is looked for beside it.
+// Converts `text`, the content of `file`. Relative paths in it are resolved against the directory of `file`.
+// Throws FleetFileError.
 std::string fleet_json(const std::string& text, const std::string& file, const ReadFile& read);
 
 }  // namespace heronvane::cli
--- a/cli/model.cpp
+++ b/cli/model.cpp
@@ -22,15 +22,16 @@
   return d;
 }
 
-// One object of an answer, with the path that leads to it.
+// One JSON object of an answer, with its path for error messages. The members read a field into `to`, which
+// keeps its value if the field is missing or null.
 class Fields {
  public:
   Fields(const Value& v, std::string path) : v_(v), path_(std::move(path)) {
-    if (!v_.IsObject()) wrong("", "an object");
+    if (!v_.IsObject()) wrong_type("", "an object");
   }
   void operator()(const char* key, std::string& to) const {
     if (const auto* v = find(key)) {
-      if (!v->IsString()) wrong(key, "text");
+      if (!v->IsString()) wrong_type(key, "text");
       to.assign(v->GetString(), v->GetStringLength());
     }
   }
@@ -41,18 +42,18 @@
       else if (v->IsNumber() && std::abs(v->GetDouble()) < 9e15)
         to = std::llround(v->GetDouble());
       else
-        wrong(key, "a number");
+        wrong_type(key, "a number");
     }
   }
   void operator()(const char* key, double& to) const {
     if (const auto* v = find(key)) {
-      if (!v->IsNumber()) wrong(key, "a number");
+      if (!v->IsNumber()) wrong_type(key, "a number");
       to = v->GetDouble();
     }
   }
   void operator()(const char* key, bool& to) const {
     if (const auto* v = find(key)) {
-      if (!v->IsBool()) wrong(key, "true or false");
+      if (!v->IsBool()) wrong_type(key, "true or false");
       to = v->GetBool();
     }
   }
@@ -71,8 +72,8 @@
       }
     });
   }
-  // Text, a number or a truth ("yes", or nothing), as text.
-  void word(const char* key, std::string& to) const {
+  // Reads a string, a number or a boolean as text; true becomes "yes", false "".
+  void scalar_text(const char* key, std::string& to) const {
     const auto* v = find(key);
     if (v == nullptr) return;
     if (v->IsString()) return (*this)(key, to);
@@ -85,7 +86,7 @@
   void each(const char* key, F f) const {
     const auto* v = find(key);
     if (v == nullptr) return;
-    if (!v->IsArray()) wrong(key, "a list");
+    if (!v->IsArray()) wrong_type(key, "a list");
     for (rapidjson::SizeType i = 0; i < v->Size(); i++) f((*v)[i], at(key) + "[" + std::to_string(i) + "]");
   }
   template <class F>
@@ -97,7 +98,7 @@
   std::string at(const char* key) const {
     return path_.empty() ? key : *key == '\0' ? path_ : path_ + "." + key;
   }
-  [[noreturn]] void wrong(const char* key, const char* what) const {
+  [[noreturn]] void wrong_type(const char* key, const char* what) const {
     const auto where = at(key);
     throw MalformedAnswer("the answer" + (where.empty() ? where : "'s " + where) + " is not " + what);
   }
@@ -124,7 +125,7 @@
     c("bytes", s.store_bytes), c("limit", s.store_limit), c("segments", s.segments);
   });
   f.object("list", [&](const Fields& c) {
-    c("told", s.list_told), c("index", s.list_index), c("endpoints", s.list_endpoints);
+    c("told", s.list_received), c("index", s.list_index), c("endpoints", s.list_endpoints);
   });
   f.object("copies", [&](const Fields& c) {
     auto& k = s.copies.emplace();
@@ -219,7 +220,7 @@
 Operation read_operation(const std::string& json) {
   const auto d = parse(json);
   auto o = operation(Fields(d, ""));
-  if (o.state.empty()) throw MalformedAnswer("the answer is no operation: it has no state");
+  if (o.state.empty()) throw MalformedAnswer("the answer is not an operation: it has no state");
   return o;
 }
 
@@ -231,7 +232,7 @@
   return all;
 }
 
-std::string read_taker(const std::string& json) {
+std::string read_new_owner(const std::string& json) {
   const auto d = parse(json);
   std::string by;
   Fields(d, "")("by", by);
@@ -248,12 +249,14 @@
     FoundMessage found;
     m("instance", found.instance), m("id", found.id), m("class", found.message_class),
         m("state", found.state);
-    m.word("doubt", found.doubt), m.word("tenant", found.tenant), m.word("destination", found.destination);
+    m.scalar_text("doubt", found.doubt), m.scalar_text("tenant", found.tenant),
+        m.scalar_text("destination", found.destination);
     m("number", found.number), m("deadline_ms", found.deadline_ms);
     m.each("attempts", [&](const Value& w, const std::string& where) {
       const Fields t(w, where);
       Attempt attempt;
-      t("at_ms", attempt.at_ms), t.word("zone", attempt.zone), t.word("outcome", attempt.outcome);
+      t("at_ms", attempt.at_ms), t.scalar_text("zone", attempt.zone),
+          t.scalar_text("outcome", attempt.outcome);
       found.attempts.push_back(std::move(attempt));
     });
     a.found.push_back(std::move(found));
--- a/cli/model.hpp
+++ b/cli/model.hpp
@@ -1,6 +1,6 @@
-// What agents answer (docs/design/fleet.md), read from their JSON. Fields that are missing keep their
-// defaults, so that an agent of another version can be read; fields of another type are MalformedAnswer,
-// naming the field.
+// The answers of agents (docs/design/fleet.md), parsed from JSON. Missing fields keep their defaults, so that
+// answers of other agent versions can be parsed; a field of the wrong type throws MalformedAnswer, which
+// names the field. Times ending in _ms are Unix time in ms, or durations in ms.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 struct Platform {
   std::string listen;
   std::int64_t index = 0, endpoints = 0, watchers = 0, finals = 0;
-  std::string trouble;  // what hinders it and what to do
+  std::string trouble;  // the problem that keeps it from working and what to do about it; "" if none
 };
 
 struct AgentInfo {
@@ -38,7 +38,7 @@
   std::int64_t calls = 0, slots = 0, clients = 0;
   std::vector<Target> targets;
   std::int64_t store_bytes = 0, store_limit = 0, segments = 0, memory_kb = 0, descriptors = 0;
-  bool list_told = false;
+  bool list_received = false;
   std::int64_t list_index = 0, list_endpoints = 0;
   struct Copies {
     struct Holder {
@@ -56,7 +56,7 @@
     std::vector<Holder> holders;
     std::vector<Held> held;
   };
-  std::optional<Copies> copies;  // where its log has any
+  std::optional<Copies> copies;  // only if the relay's log is replicated
 };
 
 struct Instance {
@@ -64,13 +64,13 @@
   std::int64_t pid = 0, since_ms = 0, generation = 0, wanted_generation = 0, restarts = 0, next_start_ms = 0;
   bool ready = false;
   std::int64_t held = 0, oldest_ms = 0, operation = 0;
-  struct Copies {  // of its log, at others
+  struct Copies {  // of its log, on other relays
     std::string phase;
     std::int64_t have = 0, wanted = 0, lag = 0, epoch = 0;
     bool whole() const { return phase == "owning" && have >= wanted; }
   };
-  std::optional<Copies> copies;       // where it keeps any
-  std::optional<RelayStatus> status;  // only where one instance was asked for
+  std::optional<Copies> copies;       // only if its log is replicated
+  std::optional<RelayStatus> status;  // only in the answer for a single instance
   std::int64_t status_age_ms = 0;
 };
 
@@ -94,7 +94,7 @@
 
 struct FoundMessage {
   std::string instance, id, message_class, state, doubt;
-  std::string tenant, destination;  // as JSON told them, text or number
+  std::string tenant, destination;  // as text, whether the JSON has text or a number
   std::int64_t number = 0, deadline_ms = 0;
   std::vector<Attempt> attempts;
 };
@@ -104,10 +104,10 @@
   std::vector<std::string> not_asked;
 };
 
-// Who takes over, of an answer to a take-over.
-std::string read_taker(const std::string& json);
+// The name of the relay that takes over, from the answer to a takeover request.
+std::string read_new_owner(const std::string& json);
 
-// The error object of an answer; `with` of a conflict.
+// The error object of an answer. `with` is the conflicting operation, if the error is a conflict.
 struct AgentError {
   std::string code, message, hint;
   struct Holder {
@@ -125,7 +125,7 @@
 std::vector<Operation> read_operations(const std::string& json);
 MessageAnswer read_message(const std::string& json);
 std::int64_t read_generation(const std::string& json);
-// None where the body is no error object.
+// Empty if the body is not an error object.
 std::optional<AgentError> read_error(const std::string& json);
 // Throws MalformedAnswer unless the text is one JSON value.
 void check_json(const std::string& json);
--- a/cli/options.hpp
+++ b/cli/options.hpp
@@ -1,4 +1,4 @@
-// The command line. CLI11 stays within options.cpp.
+// Parses the command line. Only options.cpp depends on CLI11.
 #pragma once
 
 #include <functional>
@@ -9,12 +9,12 @@
 
 namespace heronvane::cli {
 
-struct Finished {  // help was asked for, or the line is wrong
+struct Finished {  // help was requested, or the command line is invalid
   int exit;
   std::string out, err;
 };
 
-// `environment` gives a variable's value, "" where it is not set.
+// `environment` returns the value of a variable, "" if it is not set.
 std::variant<Invocation, Finished> parse_options(int argc, const char* const* argv,
                                                  const std::function<std::string(const char*)>& environment);
 
--- a/cli/render.cpp
+++ b/cli/render.cpp
@@ -26,13 +26,13 @@
   return at_ms > 0 ? duration(now_ms - at_ms) : "-";
 }
 
-std::string since_now(std::int64_t at_ms, std::int64_t now_ms) {
+std::string time_until(std::int64_t at_ms, std::int64_t now_ms) {
   const auto ms = at_ms - now_ms;
   return ms <= 0 ? "now" : "in " + duration(ms);
 }
 
 template <class T>
-bool several(const std::vector<AgentResult<T>>& all) {
+bool has_labels(const std::vector<AgentResult<T>>& all) {
   return std::any_of(all.begin(), all.end(), [](const auto& a) { return !a.label.empty(); });
 }
 
@@ -47,29 +47,32 @@
       std::count_if(o.steps.begin(), o.steps.end(), [](const Step& s) { return s.state == "done"; }));
 }
 
-// "operation 7 (restart by ana@web1 pid 71)"
-std::string named(const Operation& o) {
+// Such as "operation 7 (restart by ana@web1 pid 71)".
+std::string operation_title(const Operation& o) {
   return "operation " + std::to_string(o.id) + " (" + o.kind + (o.by.empty() ? "" : " by " + o.by) + ")";
 }
 
 struct Attention {
-  std::string what, next;
+  std::string problem, hint;
 };
 
-// What keeps an instance from being what is wanted of it, and what to do; none where it is as wanted.
+// The difference between an instance and its desired state, and the command that helps; empty if there is
+// none.
 std::optional<Attention> attention(const Instance& i, const std::string& command, std::int64_t now_ms) {
   const auto logs = command + " logs " + i.name;
   const auto exit = i.last_exit.empty() ? "" : "; last ended with " + i.last_exit;
-  const auto for_ = i.since_ms > 0 ? " for " + duration(now_ms - i.since_ms) : "";
+  const auto phase_duration = i.since_ms > 0 ? " for " + duration(now_ms - i.since_ms) : "";
   if (i.phase == "backoff")
-    return Attention{"crashed, starts again " + since_now(i.next_start_ms, now_ms) + exit, logs};
+    return Attention{"crashed, starts again " + time_until(i.next_start_ms, now_ms) + exit, logs};
   if (i.phase == "looping")
     return Attention{"crashes over and over (" + count(i.restarts, "restart", "restarts") +
-                         "), still tried, " + since_now(i.next_start_ms, now_ms) + exit,
+                         "), still tried, " + time_until(i.next_start_ms, now_ms) + exit,
                      logs};
   if (i.phase == "stalled")
-    return Attention{"its process stands but has not answered" + for_, command + " restart " + i.name};
-  if (i.phase == "unready") return Attention{"answers, but is not ready" + for_, command + " show " + i.name};
+    return Attention{"its process stands but has not answered" + phase_duration,
+                     command + " restart " + i.name};
+  if (i.phase == "unready")
+    return Attention{"answers, but is not ready" + phase_duration, command + " show " + i.name};
   const bool settled = i.operation == 0;
   if (settled && i.desired == "running" &&
       (i.phase == "absent" || i.phase == "stopped" || i.phase == "drained"))
@@ -93,8 +96,8 @@
   return {};
 }
 
-std::string status_of(const AgentResult<StatusView>& told, const Style& style, std::int64_t now_ms) {
-  const auto& v = told.value;
+std::string status_of(const AgentResult<StatusView>& result, const Style& style, std::int64_t now_ms) {
+  const auto& v = result.value;
   const auto& a = v.agent;
   std::string out;
   const auto line = [&](const std::string& text, Tone tone = Tone::plain) {
@@ -103,11 +106,11 @@
     out += toned(l, tone, style) + "\n";
   };
   auto title = "Agent " + (a.name.empty() ? "without a name" : a.name);
-  if (!told.label.empty() && told.label != a.name) title += " (" + told.label + ")";
+  if (!result.label.empty() && result.label != a.name) title += " (" + result.label + ")";
   title += ", up " + since(a.started_ms, now_ms) + ", generation " + std::to_string(a.generation);
   line(title, Tone::bold);
 
-  // Phases in the order in which they want to be seen.
+  // The order in which phases are printed; unknown phases follow.
   static constexpr const char* kPhases[] = {"ready",   "starting", "unready", "draining",
                                             "drained", "stopping", "stopped", "backoff",
                                             "looping", "stalled",  "absent"};
@@ -130,7 +133,7 @@
     }
   for (const auto& [phase, n] : phases) add(phase, n);
   line(v.instances.empty()
-           ? "No instances yet: " + told.command + " apply FILE"
+           ? "No instances yet: " + result.command + " apply FILE"
            : count(static_cast<std::int64_t>(v.instances.size()), "instance", "instances") + by_phase);
   if (!v.instances.empty())
     line(held == 0 ? "No messages held"
@@ -149,7 +152,7 @@
          count(a.platform->finals, "notice", "notices"));
   if (v.operation) {
     const auto& o = *v.operation;
-    line("Running: " + named(o) + ", " + std::to_string(ended_steps(o)) + " of " +
+    line("Running: " + operation_title(o) + ", " + std::to_string(ended_steps(o)) + " of " +
              count(static_cast<std::int64_t>(o.steps.size()), "step", "steps") + ", for " +
              since(o.created_ms, now_ms),
          Tone::warn);
@@ -164,16 +167,17 @@
     any = true;
   }
   for (const auto& i : v.instances) {
-    const auto what = attention(i, told.command, now_ms);
+    const auto what = attention(i, result.command, now_ms);
     if (!what) continue;
     if (!any) out += "\n" + toned("Needs attention", Tone::bold, style) + "\n";
     any = true;
     out += "  " + toned(safe(i.name), Tone::bold, style) + "  " +
            toned(safe(i.phase), phase_tone(i.phase), style) + "\n" +
-           wrapped(safe(what->what), 4, style.width) + wrapped("next: " + safe(what->next), 4, style.width);
+           wrapped(safe(what->problem), 4, style.width) +
+           wrapped("next: " + safe(what->hint), 4, style.width);
   }
-  if (v.not_looked_at > 0)
-    line("\n" + count(static_cast<std::int64_t>(v.not_looked_at), "instance was", "instances were") +
+  if (v.status_not_read > 0)
+    line("\n" + count(static_cast<std::int64_t>(v.status_not_read), "instance was", "instances were") +
          " not looked into, for lack of time.");
   else if (!any && !v.instances.empty())
     out += toned("Nothing needs attention.", Tone::good, style) + "\n";
@@ -184,7 +188,7 @@
 
 std::string render_list(const std::vector<AgentResult<Listing>>& all, const Style& style,
                         std::int64_t now_ms) {
-  const bool many = several(all);
+  const bool many = has_labels(all);
   std::vector<Table::Column> titles;
   if (many) titles.push_back({"AGENT"});
   titles.insert(titles.end(), {{"NAME"},
@@ -197,10 +201,10 @@
                                {"OPERATION", 6, true},
                                {"LISTEN", 2}});
   Table table(titles);
-  for (const auto& told : all)
-    for (const auto& i : told.value.instances) {
+  for (const auto& result : all)
+    for (const auto& i : result.value.instances) {
       std::vector<Table::Cell> row;
-      if (many) row.emplace_back(told.label);
+      if (many) row.emplace_back(result.label);
       const bool runs = i.pid > 0;
       row.insert(row.end(), {{i.name},
                              {i.phase, phase_tone(i.phase)},
@@ -220,16 +224,16 @@
 std::string render_status(const std::vector<AgentResult<StatusView>>& all, const Style& style,
                           std::int64_t now_ms) {
   std::string out;
-  for (const auto& told : all) {
+  for (const auto& result : all) {
     if (!out.empty()) out += "\n";
-    out += status_of(told, style, now_ms);
+    out += status_of(result, style, now_ms);
   }
   return out;
 }
 
 std::string render_history(const std::vector<AgentResult<std::vector<Operation>>>& all, const Style& style,
                            std::int64_t now_ms) {
-  const bool many = several(all);
+  const bool many = has_labels(all);
   std::vector<Table::Column> titles;
   if (many) titles.push_back({"AGENT"});
   titles.insert(titles.end(), {{"ID", 0, true},
@@ -242,8 +246,8 @@
                                {"BY", 1}});
   Table table(titles);
   std::vector<std::pair<std::string, const Operation*>> rows;
-  for (const auto& told : all)
-    for (const auto& o : told.value) rows.emplace_back(told.label, &o);
+  for (const auto& result : all)
+    for (const auto& o : result.value) rows.emplace_back(result.label, &o);
   std::stable_sort(rows.begin(), rows.end(),
                    [](const auto& a, const auto& b) { return a.second->created_ms > b.second->created_ms; });
   for (const auto& [label, o] : rows) {
@@ -263,10 +267,10 @@
   return table.empty() ? "No operations yet.\n" : table.text(style);
 }
 
-std::string render_operation(const AgentResult<Operation>& told, const Style& style, std::int64_t now_ms) {
-  const auto& o = told.value;
+std::string render_operation(const AgentResult<Operation>& result, const Style& style, std::int64_t now_ms) {
+  const auto& o = result.value;
   auto head = "operation " + std::to_string(o.id) + ", " + o.kind + ": " + o.state;
-  if (!told.label.empty()) head = told.label + ": " + head;
+  if (!result.label.empty()) head = result.label + ": " + head;
   if (o.state == "superseded" && o.superseded_by > 0)
     head += " by operation " + std::to_string(o.superseded_by);
   if (!o.steps.empty())
@@ -289,16 +293,16 @@
     }
     out += "\n" + table.text(style);
   }
-  if (o.state == "failed") out += "next: " + told.command + " status    (what is wrong now)\n";
+  if (o.state == "failed") out += "next: " + result.command + " status    (what is wrong now)\n";
   if (o.state == "failed" && o.kind == "apply")
-    out += "      " + told.command + " rollback    (takes it back)\n";
+    out += "      " + result.command + " rollback    (takes it back)\n";
   return out;
 }
 
-// Of a first apply everything is new, and the reader has the file: many values of one part are one line.
-// Later changes are told one by one.
-static std::vector<std::string> folded(const std::vector<std::string>& diff) {
-  constexpr std::size_t kShown = 3;
+// The diff of a first apply lists every value, which the reader has in the fleet file; so more than
+// kMaxShownValues values of one part are summarized in one line. Later diffs are returned unchanged.
+static std::vector<std::string> summarized_diff(const std::vector<std::string>& diff) {
+  constexpr std::size_t kMaxShownValues = 3;
   const auto starts = [](const std::string& s, std::string_view with) { return s.rfind(with, 0) == 0; };
   if (std::none_of(diff.begin(), diff.end(), [&](const auto& l) { return starts(l, "~ program none -> "); }))
     return diff;
@@ -308,13 +312,13 @@
     const std::string key = line.substr(0, end);
     return key.substr(0, std::min(key.find(key.find('[') < key.size() ? '[' : '.'), key.size()));
   };
-  std::map<std::string, std::size_t> of;
-  for (const auto& line : diff) of[part(line)]++;
+  std::map<std::string, std::size_t> counts;
+  for (const auto& line : diff) counts[part(line)]++;
   std::vector<std::string> out;
   for (const auto& line : diff) {
     const auto p = part(line);
-    auto& n = of[p];
-    if (p.empty() || (n > 0 && n <= kShown))
+    auto& n = counts[p];
+    if (p.empty() || (n > 0 && n <= kMaxShownValues))
       out.push_back(line);
     else if (n > 0)
       out.push_back(p + ": " + std::to_string(n) + " values, as in the file"), n = 0;
@@ -322,12 +326,12 @@
   return out;
 }
 
-std::string render_diff(const AgentResult<Operation>& told, const Style& style) {
-  const auto& o = told.value;
+std::string render_diff(const AgentResult<Operation>& result, const Style& style) {
+  const auto& o = result.value;
   std::string out;
-  if (!told.label.empty()) out += toned(safe(told.label) + ":", Tone::bold, style) + "\n";
+  if (!result.label.empty()) out += toned(safe(result.label) + ":", Tone::bold, style) + "\n";
   if (o.diff.empty() && o.steps.empty()) return out + "No changes.\n";
-  for (const auto& line : folded(o.diff)) {
+  for (const auto& line : summarized_diff(o.diff)) {
     const Tone tone = line.empty()     ? Tone::plain
                       : line[0] == '+' ? Tone::good
                       : line[0] == '-' ? Tone::bad
@@ -348,24 +352,24 @@
 std::string render_versions(const std::vector<AgentResult<AgentInfo>>& all, const std::string& own,
                             const Style& style) {
   std::string out = "heronvanectl " + own + "\n";
-  for (const auto& told : all) {
-    const auto& a = told.value;
-    const auto where = told.label.empty() ? a.name : told.label;
+  for (const auto& result : all) {
+    const auto& a = result.value;
+    const auto where = result.label.empty() ? a.name : result.label;
     out += wrapped(safe("heronvane-agent " + a.version + " (API " + std::to_string(a.api) + ") on " + where),
                    0, style.width);
   }
   return out;
 }
 
-std::string progress_line(const AgentResult<Operation>& told, const Style& style, std::int64_t now_ms) {
-  const auto& o = told.value;
+std::string progress_line(const AgentResult<Operation>& result, const Style& style, std::int64_t now_ms) {
+  const auto& o = result.value;
   const auto ended = ended_steps(o);
   std::string head =
-      (told.label.empty() ? "" : safe(told.label) + " ") + safe(o.kind) + " " + std::to_string(o.id);
+      (result.label.empty() ? "" : safe(result.label) + " ") + safe(o.kind) + " " + std::to_string(o.id);
   const auto tail = std::to_string(ended) + "/" + std::to_string(o.steps.size());
   const auto took = duration((o.ended_ms > 0 ? o.ended_ms : now_ms) - o.created_ms);
-  constexpr std::size_t kBar = 20;
-  const auto full = o.steps.empty() ? (o.running() ? 0 : kBar) : ended * kBar / o.steps.size();
+  constexpr std::size_t kBarWidth = 20;
+  const auto full = o.steps.empty() ? (o.running() ? 0 : kBarWidth) : ended * kBarWidth / o.steps.size();
   std::string what;
   if (o.running()) {
     for (const auto& s : o.steps)
@@ -375,13 +379,14 @@
     what = o.state;
   }
   what = safe(what);
-  auto line = head + " [" + std::string(full, '#') + std::string(kBar - full, '.') + "] " + tail + " " + took;
-  // A line that wraps could not be drawn over: what there is no room for goes, the words on steps first.
-  const auto room = style.width > 0 ? style.width - 1 : line.size() + what.size() + 2;
-  if (columns(line) + 2 + columns(what) <= room) return what.empty() ? line : line + "  " + what;
-  if (columns(line) + 6 <= room && columns(what) == what.size())
-    return line + "  " + what.substr(0, room - columns(line) - 5) + "...";
-  return columns(line) <= room ? line : line.substr(0, room);
+  auto line =
+      head + " [" + std::string(full, '#') + std::string(kBarWidth - full, '.') + "] " + tail + " " + took;
+  // A line that wraps can't be redrawn in place, so the line is cut to the width, the step texts first.
+  const auto max_columns = style.width > 0 ? style.width - 1 : line.size() + what.size() + 2;
+  if (columns(line) + 2 + columns(what) <= max_columns) return what.empty() ? line : line + "  " + what;
+  if (columns(line) + 6 <= max_columns && columns(what) == what.size())
+    return line + "  " + what.substr(0, max_columns - columns(line) - 5) + "...";
+  return columns(line) <= max_columns ? line : line.substr(0, max_columns);
 }
 
 std::string step_lines(const Operation& before, const AgentResult<Operation>& after) {
@@ -389,10 +394,10 @@
   const auto& o = after.value;
   for (const auto& s : o.steps) {
     if (s.state == "waiting" || s.state == "acting") continue;
-    const bool known = std::any_of(before.steps.begin(), before.steps.end(), [&](const Step& b) {
+    const bool already_ended = std::any_of(before.steps.begin(), before.steps.end(), [&](const Step& b) {
       return b.instance == s.instance && b.state == s.state;
     });
-    if (known) continue;
+    if (already_ended) continue;
     out += (after.label.empty() ? "" : safe(after.label) + ": ") + safe(o.kind) + " " + std::to_string(o.id) +
            ": " + safe(s.instance) + " " + safe(s.state) + (s.what.empty() ? "" : ": " + safe(s.what)) + "\n";
   }
--- a/cli/render.hpp
+++ b/cli/render.hpp
@@ -1,4 +1,4 @@
-// Models in, text out. Pure: width, colour and the time now are handed in.
+// Renders the models as text. No I/O: width, colour and the current time are parameters.
 #pragma once
 
 #include <optional>
@@ -11,8 +11,8 @@
 
 namespace heronvane::cli {
 
-// What one agent told. `label` names it in tables where several were asked; "" where one was. `command`: how
-// the tool is called for this agent ("heronvanectl --agent X"), for what is told to do next.
+// The result from one agent. `label` names the agent in tables, "" if only one agent was queried. `command`
+// is the command line that addresses this agent ("heronvanectl --agent X"), for suggestions.
 template <class T>
 struct AgentResult {
   std::string label, command;
@@ -22,8 +22,8 @@
 struct StatusView {
   AgentInfo agent;
   std::vector<Instance> instances;
-  std::optional<Operation> operation;  // that runs
-  std::size_t not_looked_at = 0;       // instances whose own status was not asked for, for lack of time
+  std::optional<Operation> operation;  // the running one
+  std::size_t status_not_read = 0;     // instances whose status was not read within the time budget
 };
 
 struct Listing {
@@ -45,9 +45,9 @@
 std::string render_versions(const std::vector<AgentResult<AgentInfo>>& all, const std::string& own,
                             const Style& style);
 
-// A line that fits the style's width, without its end.
+// One line within the style's width, without a line end.
 std::string progress_line(const AgentResult<Operation>& one, const Style& style, std::int64_t now_ms);
-// A line for each step that ended since `before`.
+// One line for each step that ended since `before`.
 std::string step_lines(const Operation& before, const AgentResult<Operation>& after);
 
 }  // namespace heronvane::cli
--- a/cli/render_detail.cpp
+++ b/cli/render_detail.cpp
@@ -1,4 +1,4 @@
-// One instance, one message: all that is known of them.
+// Renders the details of one instance and of one message.
 #include <algorithm>
 
 #include "render.hpp"
@@ -7,22 +7,22 @@
 
 namespace {
 
-// "held         3, the oldest for 812ms"
+// Such as "held         3, the oldest for 812ms".
 void field(std::string& out, const std::string& name, const std::string& value, const Style& style) {
-  constexpr std::size_t kName = 13;
-  auto text = wrapped(safe(value), kName, style.width);
-  const auto head = name + std::string(name.size() < kName ? kName - name.size() : 1, ' ');
-  out += toned(head, Tone::dim, style) + text.substr(std::min(kName, text.size()));
+  constexpr std::size_t kNameWidth = 13;
+  auto text = wrapped(safe(value), kNameWidth, style.width);
+  const auto head = name + std::string(name.size() < kNameWidth ? kNameWidth - name.size() : 1, ' ');
+  out += toned(head, Tone::dim, style) + text.substr(std::min(kNameWidth, text.size()));
 }
 
-std::string pairs(const std::vector<std::pair<std::string, std::int64_t>>& all) {
+std::string class_counts(const std::vector<std::pair<std::string, std::int64_t>>& all) {
   std::string out;
   for (const auto& [name, n] : all) out += (out.empty() ? "" : ", ") + std::to_string(n) + " " + name;
   return out;
 }
 
-// Counts by age: the key is the upper bound in ms, "more" what is older than any.
-std::string ages(const std::vector<std::pair<std::string, std::int64_t>>& all) {
+// Counts by age. The key is the upper bound in ms, or "more" above the largest bound.
+std::string age_counts(const std::vector<std::pair<std::string, std::int64_t>>& all) {
   std::string out;
   for (const auto& [bound, n] : all) {
     const bool number =
@@ -51,7 +51,7 @@
   return table.empty() ? "" : "\n" + table.text(style);
 }
 
-// Who holds its log, and whose logs it holds.
+// The replicas of its log, and the logs of other relays that it stores.
 void copies(std::string& out, const RelayStatus::Copies& c, const Style& style) {
   const auto f = [&](const std::string& name, const std::string& value) { field(out, name, value, style); };
   f("copies",
@@ -85,11 +85,11 @@
 
 }  // namespace
 
-std::string render_instance(const AgentResult<Instance>& told, const Style& style, std::int64_t now_ms) {
-  const auto& i = told.value;
+std::string render_instance(const AgentResult<Instance>& result, const Style& style, std::int64_t now_ms) {
+  const auto& i = result.value;
   std::string out;
   const auto f = [&](const std::string& name, const std::string& value) { field(out, name, value, style); };
-  f("instance", i.name + (told.label.empty() ? "" : " on " + told.label));
+  f("instance", i.name + (result.label.empty() ? "" : " on " + result.label));
   f("phase",
     i.phase + (i.since_ms > 0 ? " for " + duration(now_ms - i.since_ms) : "") + "; wanted: " + i.desired);
   f("listen", i.listen);
@@ -115,16 +115,16 @@
   f("held", s.held == 0 ? "none"
                         : std::to_string(s.held) + ", the oldest for " + duration(s.oldest_ms) +
                               (s.given_up > 0 ? ", " + std::to_string(s.given_up) + " given up" : ""));
-  if (!s.by_class.empty()) f("  by class", pairs(s.by_class));
-  if (s.held > 0 && !s.by_age.empty()) f("  by age", ages(s.by_age));
+  if (!s.by_class.empty()) f("  by class", class_counts(s.by_class));
+  if (s.held > 0 && !s.by_age.empty()) f("  by age", age_counts(s.by_age));
   f("calls", std::to_string(s.calls) + " of " + count(s.slots, "slot", "slots") + " out, " +
                  count(s.clients, "client", "clients"));
   f("store",
     bytes(s.store_bytes) + " of " + bytes(s.store_limit) + " in " + count(s.segments, "segment", "segments"));
   f("memory", bytes(s.memory_kb * 1024) + ", " + count(s.descriptors, "descriptor", "descriptors"));
-  f("list", s.list_told ? count(s.list_endpoints, "endpoint", "endpoints") + " at index " +
-                              std::to_string(s.list_index)
-                        : "not told yet");
+  f("list", s.list_received ? count(s.list_endpoints, "endpoint", "endpoints") + " at index " +
+                                  std::to_string(s.list_index)
+                            : "not told yet");
   if (s.copies) copies(out, *s.copies, style);
   return out + targets(s, style);
 }
@@ -132,20 +132,20 @@
 std::string render_message(const std::vector<AgentResult<MessageAnswer>>& all, const Style& style,
                            std::int64_t now_ms) {
   std::string out, not_asked;
-  for (const auto& told : all) {
+  for (const auto& result : all) {
     const auto at = [&](const std::string& instance) {
-      return instance + (told.label.empty() ? "" : " on " + told.label);
+      return instance + (result.label.empty() ? "" : " on " + result.label);
     };
-    for (const auto& n : told.value.not_asked) not_asked += (not_asked.empty() ? "" : ", ") + at(n);
-    for (const auto& m : told.value.found) {
+    for (const auto& n : result.value.not_asked) not_asked += (not_asked.empty() ? "" : ", ") + at(n);
+    for (const auto& m : result.value.found) {
       if (!out.empty()) out += "\n";
       const auto f = [&](const std::string& name, const std::string& value) {
         field(out, name, value, style);
       };
       f("message", m.id);
       f("instance", at(m.instance));
-      const auto words = m.state == "given_up" ? "given up, its notice is owed" : m.state;
-      f("state", words);
+      const auto state_text = m.state == "given_up" ? "given up, its notice is owed" : m.state;
+      f("state", state_text);
       if (!m.message_class.empty()) f("class", m.message_class);
       if (!m.tenant.empty()) f("tenant", m.tenant);
       if (!m.destination.empty()) f("destination", m.destination);
--- a/cli/session.cpp
+++ b/cli/session.cpp
@@ -65,34 +65,35 @@
     case Why::absent:
       f.message = "no agent at " + address_ + ": " + e.what();
       f.hint =
-          tls ? "see that heronvane-agent runs there with --listen-tls, and that the address is right"
+          tls ? "check that heronvane-agent runs there with --listen-tls, and that the address is right"
               : "start one: heronvane-agent --data FOLDER; or name one that runs: --agent FOLDER/agent.sock";
       return f;
     case Why::forbidden:
-      f.message = named() + ": this user may not speak to it: " + e.what();
+      f.message = named() + ": this user has no permission to connect: " + e.what();
       f.hint = "run this as the user that the agent runs as, or as root";
       return f;
     case Why::untrusted:
       f.message = named() + ": TLS: " + e.what();
       f.hint =
-          "see that --cert and --key are of a client that the agent knows, and --ca signed its certificate";
+          "check that the agent accepts the client certificate of --cert and --key, and that --ca signed the "
+          "agent's certificate";
       return f;
     case Why::late:
       f.message = named() + ": no answer within " + duration(timeout_.count());
-      f.hint = "wait longer: --timeout SECONDS; or see whether the agent's machine is well";
+      f.hint = "wait longer: --timeout SECONDS; or check the agent's machine";
       break;
     case Why::broken:
     case Why::interrupted:
       f.message = named() + ": " + e.what();
       // If an agent closes the connection at once, the TLS alert that gives the reason for refusing the
       // certificate can be lost; so the certificate is suggested as a cause here too.
-      f.hint = tls ? "see that --cert and --key are of a client that the agent knows; then try again"
-                   : "try again; see whether the agent runs: " + command + " version";
+      f.hint = tls ? "check that the agent accepts the client certificate of --cert and --key; then try again"
+                   : "try again; check whether the agent runs: " + command + " version";
       break;
   }
   if (change) {
     f.message += "; whether it took the change is not known";
-    f.hint = "look before trying again: " + command + " history";
+    f.hint = "check the operations before trying again: " + command + " history";
   }
   return f;
 }
@@ -111,8 +112,8 @@
 Failure AgentConnection::malformed(const std::string& what) {
   if (other_api() != 0)
     return {kUnreachable, named() + " speaks " + versions() + ": " + what,
-            "use the heronvanectl that came with that agent", "", false};
-  return {kUnreachable, named() + ": " + what, "see that a heronvane-agent listens there, and its version",
+            "use the heronvanectl of that agent's version", "", false};
+  return {kUnreachable, named() + ": " + what, "check that a heronvane-agent listens there, and its version",
           "", false};
 }
 
@@ -132,8 +133,8 @@
       for (const auto& n : e.with->names) names += (names.empty() ? "" : ", ") + n;
       f.message = named() + ": conflict: operation " + std::to_string(e.with->operation) + " (" +
                   e.with->kind + " by " + e.with->by + ") holds " +
-                  (names.empty() ? "what this would touch" : names) + ", since " + moment(e.with->since_ms) +
-                  " (" + duration(unix_ms() - e.with->since_ms) + ")";
+                  (names.empty() ? "the instances of this change" : names) + ", since " +
+                  moment(e.with->since_ms) + " (" + duration(unix_ms() - e.with->since_ms) + ")";
       f.hint = "wait for it: " + command + " operation " + std::to_string(e.with->operation) +
                "; or end it: the same command with --supersede";
     }
@@ -146,7 +147,7 @@
 
 std::string AgentConnection::checked(Answer a, bool json) {
   if (a.api == 0)
-    throw Failure{kUnreachable, "what answers at " + address_ + " is no heronvane-agent",
+    throw Failure{kUnreachable, "the server at " + address_ + " is no heronvane-agent",
                   "name the agent: --agent PATH|https://HOST:PORT", "", false};
   api_ = a.api;
   if (a.status >= 200 && a.status < 300) {
@@ -174,7 +175,7 @@
                                     const std::string& body) {
   if (other_api() != 0)
     throw Failure{kRefused, named() + " speaks " + versions() + ": nothing was changed",
-                  "use the heronvanectl that came with that agent", "", false};
+                  "use the heronvanectl of that agent's version", "", false};
   try {
     return checked(client_.request(method, target, body, deadline()), true);
   } catch (const TransportError& e) {
@@ -238,7 +239,7 @@
                            partial.erase(0, end + 1);
                          }
                          if (partial.size() > kMaxLineBytes)
-                           throw MalformedAnswer("a line of it is larger than 4 MiB");
+                           throw MalformedAnswer("a line of the followed operation is larger than 4 MiB");
                          return !ended;
                        });
     if (a.status != 200 || a.api == 0) checked(std::move(a), true);
--- a/cli/terminal.cpp
+++ b/cli/terminal.cpp
@@ -50,32 +50,32 @@
   sigset_t set;
   ::sigemptyset(&set);
   for (const int s : {SIGINT, SIGTERM, SIGHUP, SIGWINCH}) ::sigaddset(&set, s);
-  ::pthread_sigmask(SIG_BLOCK, &set, &before_);
+  ::pthread_sigmask(SIG_BLOCK, &set, &previous_mask_);
   fd_ = ::signalfd(-1, &set, SFD_CLOEXEC | SFD_NONBLOCK);
   if (fd_ < 0) throw std::system_error(errno, std::generic_category(), "signalfd");
 }
 
 Interrupt::~Interrupt() {
-  // One that came too late to be seen must not end the process once it is let through.
+  // Discards pending signals, which would otherwise end the process once they are unblocked.
   signalfd_siginfo info;
   while (::read(fd_, &info, sizeof info) > 0) {
   }
   ::close(fd_);
-  ::pthread_sigmask(SIG_SETMASK, &before_, nullptr);
+  ::pthread_sigmask(SIG_SETMASK, &previous_mask_, nullptr);
 }
 
-Interrupt::Seen Interrupt::wait(int descriptor, std::optional<Instant> until) {
+Interrupt::Seen Interrupt::wait(int descriptor, std::optional<Instant> deadline) {
   for (;;) {
     int ms = -1;
-    if (until) {
+    if (deadline) {
       const auto left =
-          std::chrono::ceil<std::chrono::milliseconds>(*until - std::chrono::steady_clock::now());
+          std::chrono::ceil<std::chrono::milliseconds>(*deadline - std::chrono::steady_clock::now());
       ms = static_cast<int>(std::clamp<std::int64_t>(left.count(), 0, 3'600'000));
     }
     pollfd p[2] = {{fd_, POLLIN, 0}, {descriptor, POLLIN, 0}};
     const auto n = ::poll(p, 2, ms);
     if (n < 0 && errno != EINTR) throw std::system_error(errno, std::generic_category(), "poll");
-    if (n == 0 && until && std::chrono::steady_clock::now() >= *until) return Seen::late;
+    if (n == 0 && deadline && std::chrono::steady_clock::now() >= *deadline) return Seen::late;
     if (n <= 0) continue;
     signalfd_siginfo info;
     if (::read(fd_, &info, sizeof info) == static_cast<ssize_t>(sizeof info))
@@ -90,24 +90,24 @@
 Screen::~Screen() {
   try {
     put(descriptor_, "\x1b[?25h\x1b[?1049l");
-  } catch (const std::exception&) {  // the terminal is gone
+  } catch (const std::exception&) {  // the terminal was closed
   }
 }
 void Screen::draw(const std::string& text) { put(descriptor_, frame(text, terminal_size(descriptor_).rows)); }
 
 std::string frame(const std::string& text, std::size_t rows) {
   const auto lines = static_cast<std::size_t>(std::count(text.begin(), text.end(), '\n'));
-  const bool whole = lines <= rows;
-  const auto shown = whole ? lines : rows - 1;
+  const bool fits = lines <= rows;
+  const auto shown = fits ? lines : rows - 1;
   std::string out = "\x1b[H";
   std::size_t at = 0;
   for (std::size_t i = 0; i < shown; i++) {
     const auto end = text.find('\n', at);
-    // The last row gets no line end: the terminal would scroll.
+    // No line end after the last row, since the terminal would scroll.
     out.append(text, at, end - at).append("\x1b[0m\x1b[K").append(i + 1 < rows ? "\r\n" : "");
     at = end + 1;
   }
-  if (!whole) out += count(static_cast<std::int64_t>(lines - shown), "more line", "more lines") + "\x1b[K";
+  if (!fits) out += count(static_cast<std::int64_t>(lines - shown), "more line", "more lines") + "\x1b[K";
   return out + "\x1b[J";
 }
 
--- a/cli/terminal.hpp
+++ b/cli/terminal.hpp
@@ -1,4 +1,4 @@
-// The terminal and the signals that come from it.
+// Terminal output and the signals of the terminal.
 #pragma once
 
 #include <signal.h>
@@ -17,13 +17,13 @@
   std::size_t columns = 80, rows = 24;
 };
 Size terminal_size(int descriptor);
-// For what goes to `descriptor`: no limit of width and no colour where it is no terminal.
+// The style for output to `descriptor`; without colour and width limit if it is not a terminal.
 Style style_of(int descriptor);
-// All of it, or the process ends as one that writes to a closed pipe does.
+// Writes all of `text`. std::system_error on failure; a closed pipe ends the process through SIGPIPE.
 void put(int descriptor, std::string_view text);
 
-// While it lives, SIGINT, SIGTERM, SIGHUP and SIGWINCH are told by wait() and do nothing else. Made before
-// threads are, so that they block the signals too.
+// During its lifetime, SIGINT, SIGTERM, SIGHUP and SIGWINCH are blocked and only reported by wait(). Create
+// it before starting threads, so that they inherit the signal mask.
 class Interrupt {
  public:
   Interrupt();
@@ -32,29 +32,29 @@
   Interrupt& operator=(const Interrupt&) = delete;
 
   enum class Seen { ready, late, resized, interrupted };
-  // Until `descriptor` can be read (-1: none) or `until` has come (none: never).
-  Seen wait(int descriptor, std::optional<Instant> until);
+  // Blocks until a signal arrives, `descriptor` is readable (-1: none) or `deadline` passes (empty: never).
+  Seen wait(int descriptor, std::optional<Instant> deadline);
 
  private:
   int fd_;
-  sigset_t before_;
+  sigset_t previous_mask_;
 };
 
-// The terminal's other screen, without a cursor; the first is back, untouched, once this ends.
+// Switches to the terminal's alternate screen and hides the cursor; the destructor restores both.
 class Screen {
  public:
   explicit Screen(int descriptor);
   ~Screen();
   Screen(const Screen&) = delete;
   Screen& operator=(const Screen&) = delete;
-  // Draws over what stood there; lines that have no room are left out, and that is told in the last one.
+  // Replaces the content of the screen. If `text` has too many lines, the last row says how many are omitted.
   void draw(const std::string& text);
 
  private:
   int descriptor_;
 };
 
-// `text` in `rows` lines, each ended so that nothing older stays beside or below it.
+// The escape sequences and text that replace the content of a screen of `rows` rows by `text`.
 std::string frame(const std::string& text, std::size_t rows);
 
 }  // namespace heronvane::cli
--- a/cli/text.cpp
+++ b/cli/text.cpp
@@ -34,12 +34,12 @@
 std::string duration(std::int64_t ms) {
   if (ms <= 0) return "0s";
   if (ms < 1000) return std::to_string(ms) + "ms";
-  const auto two = [](std::int64_t n) { return (n < 10 ? "0" : "") + std::to_string(n); };
+  const auto two_digits = [](std::int64_t n) { return (n < 10 ? "0" : "") + std::to_string(n); };
   const auto s = ms / 1000;
   if (s < 10) return std::to_string(s) + "." + std::to_string(ms % 1000 / 100) + "s";
   if (s < 60) return std::to_string(s) + "s";
-  if (s < 3600) return std::to_string(s / 60) + "m" + two(s % 60) + "s";
-  if (s < 86400) return std::to_string(s / 3600) + "h" + two(s % 3600 / 60) + "m";
+  if (s < 3600) return std::to_string(s / 60) + "m" + two_digits(s % 60) + "s";
+  if (s < 86400) return std::to_string(s / 3600) + "h" + two_digits(s % 3600 / 60) + "m";
   return std::to_string(s / 86400) + "d" + std::to_string(s % 86400 / 3600) + "h";
 }
 
@@ -69,7 +69,7 @@
   for (std::size_t i = 0; i < text.size(); i++) {
     const auto c = static_cast<unsigned char>(text[i]);
     const bool line = c == '\n' || c == '\t';
-    // C1 controls, two bytes in UTF-8, act like escape sequences.
+    // C1 control characters (two bytes in UTF-8) act like escape sequences.
     const bool c1 = c == 0xc2 && i + 1 < text.size() && static_cast<unsigned char>(text[i + 1]) >= 0x80 &&
                     static_cast<unsigned char>(text[i + 1]) < 0xa0;
     if (c1) i++;
@@ -96,14 +96,14 @@
     const auto end = std::min(text.find(' '), text.size());
     const auto word = text.substr(0, end);
     text.remove_prefix(std::min(end + 1, text.size()));
-    const auto w = columns(word);
-    if (at > 0 && width > 0 && at + 1 + w > width) out += '\n', at = 0;
+    const auto word_columns = columns(word);
+    if (at > 0 && width > 0 && at + 1 + word_columns > width) out += '\n', at = 0;
     if (at == 0)
       out += margin, at = indent;
     else
       out += ' ', at++;
     out += word;
-    at += w;
+    at += word_columns;
   }
   return out + "\n";
 }
@@ -121,26 +121,26 @@
     return sum - 2;
   };
   while (style.width > 0 && total() > style.width) {
-    std::size_t worst = columns_.size();
+    std::size_t next_dropped = columns_.size();
     for (std::size_t i = 0; i < columns_.size(); i++)
       if (shown[i] && columns_[i].drop > 0 &&
-          (worst == columns_.size() || columns_[i].drop > columns_[worst].drop))
-        worst = i;
-    if (worst == columns_.size()) break;
-    shown[worst] = false;
+          (next_dropped == columns_.size() || columns_[i].drop > columns_[next_dropped].drop))
+        next_dropped = i;
+    if (next_dropped == columns_.size()) break;
+    shown[next_dropped] = false;
   }
   std::string out;
   const auto line = [&](const auto& cell) {
     std::string l(indent, ' ');
-    std::size_t blank = 0;
+    std::size_t padding = 0;
     for (std::size_t i = 0; i < columns_.size(); i++) {
       if (!shown[i]) continue;
       const Cell c = cell(i);
       const auto fill = widths[i] - columns(c.text);
-      if (columns_[i].right) blank += fill;
-      if (!c.text.empty()) l.append(blank, ' ').append(toned(c.text, c.tone, style)), blank = 0;
-      if (!columns_[i].right) blank += fill;
-      blank += 2;
+      if (columns_[i].right) padding += fill;
+      if (!c.text.empty()) l.append(padding, ' ').append(toned(c.text, c.tone, style)), padding = 0;
+      if (!columns_[i].right) padding += fill;
+      padding += 2;
     }
     out += l + "\n";
   };
--- a/cli/text.hpp
+++ b/cli/text.hpp
@@ -1,4 +1,4 @@
-// Text for people: durations, sizes, tables. Pure.
+// Formats durations, sizes and tables for terminals. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -9,7 +9,7 @@
 
 namespace heronvane::cli {
 
-// How to draw. `width` 0: no limit (what is read is no terminal).
+// The output style. `width` is in columns; 0 means no limit (the output is not a terminal).
 struct Style {
   std::size_t width = 80;
   bool colour = false;
@@ -18,21 +18,24 @@
 enum class Tone { plain, good, warn, bad, dim, bold };
 
 std::string toned(std::string_view text, Tone tone, const Style& style);
-// 812ms, 4.2s, 3m12s, 5h07m, 12d3h; "0s" for what is below nothing (clocks of two machines differ).
+// Such as 812ms, 4.2s, 3m12s, 5h07m, 12d3h. Negative durations, which clock skew between machines can cause,
+// become "0s".
 std::string duration(std::int64_t ms);
-std::string bytes(std::int64_t n);  // 3.0 MB
-// 2026-12-01 10:13:20 UTC
+std::string bytes(std::int64_t n);  // such as "3.0 MB"; decimal units
+// Such as "2026-12-01 10:13:20 UTC".
 std::string moment(std::int64_t unix_ms);
-// Agents' text as it may go to a terminal: control characters become '?', so that none moves the cursor.
+// Replaces control characters by '?', so that text from agents can't control the terminal. `keep_lines` keeps
+// line ends and tabs.
 std::string safe(std::string_view text, bool keep_lines = false);
-std::size_t columns(std::string_view utf8);  // a code point each
-// "3 instances", "1 instance"
+std::size_t columns(std::string_view utf8);  // one per code point
+// Such as "3 instances" or "1 instance".
 std::string count(std::int64_t n, std::string_view one, std::string_view many);
-// `text` in lines of at most `width`, each after `indent` spaces; words are never cut.
+// Wraps `text` to lines of at most `width` columns, each indented by `indent` spaces. Words are never split,
+// so a long word may exceed `width`.
 std::string wrapped(std::string_view text, std::size_t indent, std::size_t width);
 
-// Columns that fit: where the table is wider than the style allows, the columns with the highest `drop` go
-// first; those with 0 stay whatever it costs. No cell is ever cut.
+// A table that omits columns until it fits the style's width, those with the highest `drop` first. Columns
+// with drop 0 are never omitted, and cells are never cut, so the table may still be too wide.
 class Table {
  public:
   struct Column {
--- a/cli/watching.cpp
+++ b/cli/watching.cpp
@@ -31,7 +31,7 @@
   for (auto& i : v.instances) {
     if (i.pid == 0) continue;
     if (std::chrono::steady_clock::now() > deadline) {
-      v.not_looked_at++;
+      v.status_not_read++;
       continue;
     }
     try {
--- a/tests/cli/apply_test.cpp
+++ b/tests/cli/apply_test.cpp
@@ -1,4 +1,4 @@
-// apply and rollback: plan, question, change.
+// apply and rollback: the plan, the confirmation and the change.
 #include <gtest/gtest.h>
 
 #include "stand_in.hpp"
@@ -31,7 +31,7 @@
   }
 };
 
-TEST_F(Apply, DryRunShowsWhatWouldBe) {
+TEST_F(Apply, DryRunShowsThePlan) {
   const auto r = run_tool(words({"apply", "--dry-run", file}));
   EXPECT_EQ(r.exit, 0) << r.err;
   EXPECT_EQ(r.out, "-n0 disk_mb 100\n+n0 disk_mb 200\nSteps: n0 (restart)\n");
@@ -44,7 +44,7 @@
       << posts[0].body;
 }
 
-TEST_F(Apply, OffATerminalItDoesNotAsk) {
+TEST_F(Apply, DoesNotAskWithoutATerminal) {
   agent.on("POST /v1/operations", Reply::json(done, 202));
   const auto r = run_tool(words({"apply", file}));
   EXPECT_EQ(r.exit, 0) << r.err;
@@ -54,7 +54,7 @@
   EXPECT_TRUE(has(posts[1].body, "\"generation\":12") && !has(posts[1].body, "dry_run")) << posts[1].body;
 }
 
-TEST_F(Apply, OnATerminalItAsks) {
+TEST_F(Apply, AsksOnATerminal) {
   agent.on("POST /v1/operations", Reply::json(done, 202));
   Tool no(words({"apply", file}), true);
   ASSERT_TRUE(no.wrote("Apply this? [y/N] "));
@@ -65,7 +65,7 @@
   EXPECT_EQ(agent.requests("POST /v1/operations").size(), 1u);
 }
 
-TEST_F(Apply, AnsweredWithYesItGoesOn) {
+TEST_F(Apply, ContinuesAfterYes) {
   agent.on("POST /v1/operations", Reply::json(done, 202));
   Tool yes(words({"apply", file}), true);
   ASSERT_TRUE(yes.wrote("Apply this? [y/N] "));
@@ -82,7 +82,7 @@
   EXPECT_EQ(r.out, done + "\n");
 }
 
-TEST_F(Apply, ChangedByAnotherSinceThePlan) {
+TEST_F(Apply, FleetChangedSinceThePlanIsAConflict) {
   agent.on("POST /v1/operations", Reply::error(412, "stale", "the fleet was changed"));
   agent.on(
       "GET /v1/operations?limit=20",
@@ -92,7 +92,7 @@
   EXPECT_TRUE(has(r.err, "operation 8, apply by bob") && has(r.err, "+n5")) << r.err;
 }
 
-TEST_F(Apply, OneThatFailsSaysHowToTakeItBack) {
+TEST_F(Apply, FailedApplySuggestsRollback) {
   agent.on("POST /v1/operations",
            Reply::json(operation_json(7, "apply", "failed",
                                       R"({"instance":"n0","state":"failed","what":"not ready within 30s"})"),
@@ -102,7 +102,7 @@
   EXPECT_TRUE(has(r.out, "not ready within 30s") && has(r.out, "rollback")) << r.out;
 }
 
-TEST_F(Apply, AFaultInTheFileAsksNobody) {
+TEST_F(Apply, InvalidFileSendsNoRequest) {
   const auto bad = folder.write("bad.toml", "[fleet]\ndiscovery = \"127.0.0.1:8500\"\nmax = 1\n");
   const auto r = run_tool(words({"apply", bad}));
   EXPECT_EQ(r.exit, 1);
@@ -125,7 +125,7 @@
   EXPECT_EQ(agent.requests("POST /v1/operations").size(), 1u);
 }
 
-TEST_F(Apply, RollbackNamesItsGeneration) {
+TEST_F(Apply, RollbackSendsTheGivenGeneration) {
   agent.on("POST /v1/operations", Reply::json(operation_json(7, "rollback", "done", steps), 202));
   const auto r = run_tool(words({"rollback", "11"}));
   EXPECT_EQ(r.exit, 0) << r.err;
@@ -135,7 +135,7 @@
       << posts[1].body;
 }
 
-TEST_F(Apply, RollbackWithoutAGenerationGoesBeforeTheLastApply) {
+TEST_F(Apply, RollbackDefaultsToTheGenerationBeforeTheLastApply) {
   agent.on(
       "GET /v1/operations?limit=50",
       R"({"operations":[{"id":9,"kind":"drain","state":"done","generation":12},)"
--- a/tests/cli/client_test.cpp
+++ b/tests/cli/client_test.cpp
@@ -1,4 +1,4 @@
-// HTTP over scripted bytes.
+// The HTTP client over scripted streams.
 #include "cli/client.hpp"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 
 using Why = TransportError::Why;
 
-// Streams that give what the script has, one piece a read; "" is the end.
+// Streams that return one piece of the script per read; "" is the end of the stream.
 class Scripted : public Dialer {
  public:
   struct Connection {
@@ -68,7 +68,7 @@
   EXPECT_EQ(s.sent.substr(0, 24), "GET /v1/agent HTTP/1.1\r\n");
 }
 
-TEST(Client, KeepsItsConnectionForReadingOnly) {
+TEST(Client, ReusesItsConnectionForGetOnly) {
   Scripted s;
   s.connections.push_back({{ok("1"), ok("2")}});
   s.connections.push_back({{ok("3")}});
@@ -80,7 +80,7 @@
   EXPECT_EQ(s.dialled, 2);
 }
 
-TEST(Client, AsksAgainWhereAKeptConnectionHasEnded) {
+TEST(Client, RetriesIfAReusedConnectionWasClosed) {
   Scripted s;
   s.connections.push_back({{ok("1"), ""}});
   s.connections.push_back({{ok("2")}});
@@ -89,7 +89,7 @@
   EXPECT_EQ(client.get("/b", {}).body, "2");
 }
 
-TEST(Client, DoesNotAskAgainOnceAnAnswerBegan) {
+TEST(Client, DoesNotRetryAfterPartOfAnAnswer) {
   Scripted s;
   s.connections.push_back({{ok("1"), "HTTP/1.1 200 OK\r\n", ""}});
   s.connections.push_back({{ok("2")}});
@@ -107,7 +107,7 @@
   EXPECT_EQ(s.dialled, 1);
 }
 
-TEST(Client, RefusesWhatIsNoHttp) {
+TEST(Client, RefusesInvalidHttp) {
   Scripted s;
   s.connections.push_back({{"SSH-2.0-OpenSSH_9.2\r\n\r\n"}});
   EXPECT_THROW(Client(s).get("/a", {}), MalformedAnswer);
@@ -118,7 +118,7 @@
   s.connections.push_back(
       {{"HTTP/1.1 200 OK\r\nX-Heronvane-Api: 1\r\nContent-Length: 99999999999\r\n\r\nx"}});
   EXPECT_THROW(Client(s).get("/a", {}), MalformedAnswer);
-  // One that does not say its size beforehand.
+  // An answer without Content-Length.
   Scripted t;
   Scripted::Connection c{{kChunked}};
   for (int i = 0; i < 20; i++) c.pieces.push_back("100000\r\n" + std::string(0x100000, 'x') + "\r\n");
@@ -129,7 +129,7 @@
   EXPECT_THROW(Client(u).get("/a", {}), MalformedAnswer);
 }
 
-TEST(Client, HandsOnAFollowedBodyAsItComes) {
+TEST(Client, PassesOnAFollowedBodyAsItArrives) {
   Scripted s;
   s.connections.push_back({{kChunked, "3\r\nab\n\r\n", "3\r\ncd\n\r\n0\r\n\r\n"}});
   std::vector<std::string> got;
@@ -140,7 +140,7 @@
   EXPECT_EQ(got, (std::vector<std::string>{"ab\n", "cd\n"}));
 }
 
-TEST(Client, AFollowedBodyThatBreaksOffIsToldAfterWhatCame) {
+TEST(Client, ATruncatedFollowedBodyFailsAfterItsBytesWerePassedOn) {
   Scripted s;
   s.connections.push_back({{kChunked, "3\r\nab\n\r\n", ""}});
   std::string got;
@@ -153,7 +153,7 @@
   EXPECT_EQ(got, "ab\n");
 }
 
-TEST(Client, AnErrorInPlaceOfAStreamIsReturnedWhole) {
+TEST(Client, AnErrorAnswerToFollowIsReturnedWhole) {
   Scripted s;
   s.connections.push_back({{"HTTP/1.1 404 X\r\nX-Heronvane-Api: 1\r\nContent-Length: 2\r\n\r\n", "{}"}});
   const auto a =
@@ -176,7 +176,8 @@
   EXPECT_THROW(read_agent("[]"), MalformedAnswer);
   EXPECT_THROW(read_operation("{}"), MalformedAnswer);
   EXPECT_THROW(read_agent("{"), MalformedAnswer);
-  EXPECT_THROW(check_json(std::string(100'000, '[')), MalformedAnswer);  // deep, and no stack is used up
+  EXPECT_THROW(check_json(std::string(100'000, '[')),
+               MalformedAnswer);  // deep nesting must not overflow the stack
 }
 
 }  // namespace
--- a/tests/cli/command_test.cpp
+++ b/tests/cli/command_test.cpp
@@ -1,4 +1,4 @@
-// The built program against a scripted agent: exit status, standard output, standard error.
+// Runs the built program against a scripted agent and checks exit status, standard output and standard error.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -30,7 +30,7 @@
     words.insert(words.begin(), {"--agent", socket});
     return run_tool(words);
   }
-  // Of a POST that is answered with an operation that ended.
+  // Runs a command whose POST is answered with an ended operation, and returns the body of that POST.
   std::string posted(const std::vector<std::string>& words, const std::string& kind) {
     script_fleet(agent);
     agent.on("POST /v1/operations",
@@ -44,7 +44,7 @@
   }
 };
 
-TEST_F(Commands, ChangesNameTheGenerationThatWasSeenAndWhoAsked) {
+TEST_F(Commands, ChangesCarryTheSeenGenerationAndTheRequester) {
   const auto body = posted({"up", "n0", "n1"}, "up");
   EXPECT_TRUE(has(body, R"("kind":"up","names":["n0","n1"],"generation":12,"by":")")) << body;
   EXPECT_TRUE(has(body, " pid ")) << body;
@@ -62,7 +62,7 @@
   EXPECT_TRUE(has(posted({"restart", "--all", "--rolling"}, "restart"), R"("kind":"restart","names":"all")"));
 }
 
-TEST_F(Commands, Reading) {
+TEST_F(Commands, ReadingCommands) {
   script_fleet(agent);
   agent.on("GET /v1/messages/a%2Fb",
            R"({"found":[{"instance":"n0","id":"a/b","class":"load","tenant":3,"state":"held",)"
@@ -95,7 +95,7 @@
   EXPECT_TRUE(has(version.out, "heronvanectl ") && has(version.out, "heronvane-agent 0.2.0 (API 1) on web1"));
 }
 
-TEST_F(Commands, JsonIsTheAgentsOwn) {
+TEST_F(Commands, JsonIsPassedThroughFromTheAgent) {
   script_fleet(agent);
   const auto r = run({"-o", "json", "show", "n2"});
   EXPECT_EQ(r.exit, 0);
@@ -107,7 +107,7 @@
   EXPECT_TRUE(has(missing.err, "nothing is scripted"));
 }
 
-TEST_F(Commands, ALogThatIsNoUtf8IsJsonAllTheSame) {
+TEST_F(Commands, ALogWithInvalidUtf8IsValidJson) {
   agent.on("GET /v1/instances/n0/log?lines=100", Reply::text("a\xff\xc3\n"));
   EXPECT_EQ(run({"-o", "json", "logs", "n0"}).out, "{\"instance\":\"n0\",\"log\":\"a??\\n\"}\n");
 }
@@ -133,7 +133,7 @@
   EXPECT_TRUE(agent.requests("GET /v1/operations/7?follow=1").empty());
 }
 
-TEST_F(Commands, WrongUsageAsksNobody) {
+TEST_F(Commands, WrongUsageSendsNoRequest) {
   for (const std::vector<std::string>& words :
        std::vector<std::vector<std::string>>{{},
                                              {"fly"},
@@ -142,7 +142,7 @@
                                              {"show"},
                                              {"show", "a/b"},
                                              {"cancel", "x"},
-                                             {"logs", "n0", "-n", "10001"},  // more than the agent gives
+                                             {"logs", "n0", "-n", "10001"},  // above the limit of 10000
                                              {"list", "-o", "xml"},
                                              {"up", "--max-unavailable", "0"},
                                              {"completion", "tcsh"},
@@ -171,7 +171,7 @@
   const auto v = run_tool({"--version"}, {"HERONVANE_AGENT=" + folder.file("none.sock")});
   EXPECT_EQ(v.exit, 0);
   EXPECT_TRUE(has(v.out, "heronvanectl ") && has(v.out, "no agent at ")) << v.out;
-  // Of an agent that is named more is asked, but the tool's own version is told.
+  // With a named agent that fails, the command fails but still prints the tool's own version.
   for (const auto& words : {std::vector<std::string>{"--agent", folder.file("none.sock"), "--version"},
                             {"--version", "--agent", folder.file("none.sock")}}) {
     const auto named = run_tool(words);
@@ -180,7 +180,7 @@
   }
 }
 
-TEST_F(Commands, ATakeOverTellsWhoDoesIt) {
+TEST_F(Commands, TakeoverPrintsTheNewOwner) {
   script_fleet(agent);
   agent.on("POST /v1/takeover/n9", R"({"relay":"n9","by":"n1"})");
   const auto r = run_tool({"--agent", socket, "takeover", "n9", "--yes"});
@@ -188,7 +188,7 @@
   EXPECT_TRUE(has(r.out, "n1 takes over what n9 owes")) << r.out;
 }
 
-TEST_F(Commands, FindsItsAgentInTheEnvironment) {
+TEST_F(Commands, FindsTheAgentFromTheEnvironment) {
   script_fleet(agent);
   EXPECT_EQ(run_tool({"list"}, {"HERONVANE_AGENT=" + socket}).exit, 0);
   EXPECT_EQ(run_tool({"list"}, {"XDG_RUNTIME_DIR=/run/none", "HERONVANE_AGENT=" + socket}).exit, 0);
@@ -197,13 +197,13 @@
   EXPECT_TRUE(has(r.err, folder.file("run") + "/heronvane/agent.sock")) << r.err;
 }
 
-TEST_F(Commands, AFolderIsNoFleetFile) {
+TEST_F(Commands, ADirectoryIsRefusedAsFleetFile) {
   const auto r = run_tool({"apply", "/"}, {"HERONVANE_AGENT=" + socket});
   EXPECT_EQ(r.exit, 1);
   EXPECT_TRUE(has(r.err, "heronvanectl: /: Is a directory\n")) << r.err;
 }
 
-TEST_F(Commands, NoAgentSaysHowToStartOne) {
+TEST_F(Commands, MissingAgentSuggestsHowToStartOne) {
   const auto r = run_tool({"--agent", folder.file("none.sock"), "status"});
   EXPECT_EQ(r.exit, 5);
   EXPECT_TRUE(has(r.err, "no agent at " + folder.file("none.sock") + ": No such file or directory")) << r.err;
@@ -211,7 +211,7 @@
   EXPECT_TRUE(r.out.empty());
 }
 
-TEST_F(Commands, ConflictSaysWithWhomAndSinceWhen) {
+TEST_F(Commands, ConflictNamesTheOperationAndItsStart) {
   script_fleet(agent);
   agent.on(
       "POST /v1/operations",
@@ -225,7 +225,7 @@
   EXPECT_TRUE(has(r.err, "--supersede")) << r.err;
 }
 
-TEST_F(Commands, ConflictIsReadBesideTheErrorToo) {
+TEST_F(Commands, ConflictIsAlsoReadFromBesideTheError) {
   script_fleet(agent);
   agent.on(
       "POST /v1/operations",
@@ -251,7 +251,7 @@
   EXPECT_FALSE(has(r.err, "old")) << r.err;
 }
 
-TEST_F(Commands, RefusalsCarryTheAgentsHint) {
+TEST_F(Commands, RefusalsPrintTheAgentsHint) {
   script_fleet(agent);
   agent.on("POST /v1/operations", Reply::error(422, "refused", "n0 has no drain", "set admin.drain"));
   const auto r = run({"drain", "n0"});
@@ -259,7 +259,7 @@
   EXPECT_TRUE(has(r.err, "n0 has no drain") && has(r.err, "next: set admin.drain")) << r.err;
 }
 
-TEST_F(Commands, ANameAloneIsNoReason) {
+TEST_F(Commands, AnUnknownNameIsReportedAsMissing) {
   script_fleet(agent);
   agent.on("POST /v1/operations", Reply::error(404, "unknown", "n7"));
   const auto r = run({"up", "n7"});
@@ -267,7 +267,7 @@
   EXPECT_TRUE(has(r.err, "there is no n7") && has(r.err, " list")) << r.err;
 }
 
-TEST_F(Commands, AnswersThatMakeNoSense) {
+TEST_F(Commands, MalformedAnswers) {
   agent.on("GET /v1/instances", "{\"generation\":12,\"instances\":[7]}");
   const auto odd = run({"list"});
   EXPECT_EQ(odd.exit, 5);
@@ -293,14 +293,14 @@
   EXPECT_TRUE(has(broken.err, "the connection ended within an answer")) << broken.err;
 }
 
-TEST_F(Commands, AnAgentThatDoesNotAnswerIsGivenUpOn) {
+TEST_F(Commands, AnAgentThatDoesNotAnswerTimesOut) {
   agent.on("GET /v1/instances", Reply::raw("HTTP/1.1 200 X\r\n").then_hold());
   const auto r = run({"--timeout", "0.3", "list"});
   EXPECT_EQ(r.exit, 5);
   EXPECT_TRUE(has(r.err, "no answer within 300ms")) << r.err;
 }
 
-TEST_F(Commands, AChangeThatBreaksIsNotSentAgainAndItsDoubtIsTold) {
+TEST_F(Commands, ABrokenChangeIsNotRetriedAndReportedAsUncertain) {
   script_fleet(agent);
   agent.on("POST /v1/operations", Reply::raw("").then_close());
   const auto r = run({"up"});
@@ -323,12 +323,12 @@
   EXPECT_TRUE(agent.requests("POST /v1/operations").empty());
 }
 
-TEST_F(Commands, TextOfAgentsMovesNoTerminal) {
+TEST_F(Commands, ControlCharactersFromAgentsAreReplaced) {
   agent.on("GET /v1/instances", R"({"generation":1,"instances":[{"name":"n0","phase":"\u001b[2Jx\u009b"}]})");
   const auto r = run({"list"});
   EXPECT_TRUE(has(r.out, "?[2Jx?")) << r.out;
   EXPECT_FALSE(has(r.out, "\x1b"));
-  // Nor does its version, where it speaks another one.
+  // The same for the version string of an agent of another API version.
   agent.on("GET /v1/agent", Reply::json(R"({"name":"web1","version":"9\u001b[2J","api":2})").api("2"));
   agent.on("GET /v1/instances", Reply::json(R"({"generation":1,"instances":[]})").api("2"));
   const auto other = run({"list"});
@@ -345,7 +345,7 @@
   }
 };
 
-TEST_F(Several, TablesAreMergedUnderTheAgentsNames) {
+TEST_F(Several, TablesShowTheAgentsNames) {
   script_fleet(agent, "web1");
   script_fleet(other, "web2");
   const auto r = both({"list"});
@@ -356,7 +356,7 @@
   EXPECT_EQ(json.out.substr(0, 2) + json.out.substr(json.out.size() - 2), "[\n]\n");
 }
 
-TEST_F(Several, OneThatIsOutOfReachMakesItPartial) {
+TEST_F(Several, OneUnreachableAgentIsPartial) {
   script_fleet(agent, "web1");
   const auto r = run({"--agent", folder.file("none.sock"), "list"});
   EXPECT_EQ(r.exit, 4);
@@ -367,7 +367,7 @@
   EXPECT_TRUE(has(json.out, "\"error\":{\"code\":\"unreachable\"")) << json.out;
 }
 
-TEST_F(Several, EachGetsTheNamesThatItHas) {
+TEST_F(Several, EachAgentGetsItsOwnInstances) {
   script_fleet(agent, "web1");
   script_fleet(other, "web2");
   other.on("GET /v1/instances", "{}");
@@ -380,14 +380,14 @@
   EXPECT_EQ(r.exit, 0) << r.err;
   EXPECT_TRUE(has(agent.requests("POST /v1/operations").at(0).body, R"("names":["n1"],"generation":12)"));
   EXPECT_TRUE(has(third.requests("POST /v1/operations").at(0).body, R"("names":["m0"],"generation":4)"));
-  // A name that none has: nothing begins anywhere.
+  // A name that no agent has: no operation is started on any agent.
   const auto slip = run({"--agent", folder.file("third.sock"), "up", "n1", "m9"});
   EXPECT_EQ(slip.exit, 2);
   EXPECT_TRUE(has(slip.err, "no agent that answers has an instance m9")) << slip.err;
   EXPECT_EQ(agent.requests("POST /v1/operations").size(), 1u);
 }
 
-TEST_F(Several, AConflictAtOneIsPartial) {
+TEST_F(Several, AConflictAtOneAgentIsPartial) {
   script_fleet(agent, "web1");
   script_fleet(other, "web2");
   agent.on("POST /v1/operations", Reply::json(operation_json(7, "up", "done", ""), 202));
@@ -395,7 +395,7 @@
   EXPECT_EQ(both({"up"}).exit, 4);
 }
 
-TEST_F(Several, WhatOneHasIsFound) {
+TEST_F(Several, AnInstanceOfOneAgentIsFound) {
   script_fleet(agent, "web1");
   other.on("GET /v1/agent", R"({"name":"web2"})");
   const auto r = both({"show", "n0"});
--- a/tests/cli/completion_test.cpp
+++ b/tests/cli/completion_test.cpp
@@ -10,7 +10,7 @@
 
 class Completion : public ::testing::TestWithParam<const char*> {};
 
-TEST_P(Completion, ScriptsParseAndKnowEachCommand) {
+TEST_P(Completion, ScriptsParseAndContainEachCommand) {
   const std::string shell_name = GetParam();
   const auto r = run_tool({"completion", shell_name});
   EXPECT_EQ(r.exit, 0);
@@ -38,7 +38,7 @@
   const std::string tool = HERONVANECTL;
   EXPECT_EQ(complete(tool + " dr", 1), "drain\n");
   EXPECT_EQ(complete(tool + " apply --dr", 2), "--dry-run\n");
-  // The script gives the tool one second, which a machine under load may not keep: then nothing is completed.
+  // The script gives the tool one second; on a loaded machine that may not suffice, and nothing is completed.
   std::string names;
   for (int i = 0; i < 20 && names.size() < 2; i++)
     names = complete(tool + " --agent " + folder.file("agent.sock") + " drain n", 4);
--- a/tests/cli/fleet_file_test.cpp
+++ b/tests/cli/fleet_file_test.cpp
@@ -25,7 +25,7 @@
 
 const std::string kFleet = "[fleet]\ndiscovery = \"127.0.0.1:8500\"\n";
 
-TEST(FleetFile, BecomesTheObjectOfThePage) {
+TEST(FleetFile, ConvertsToTheDocumentedObject) {
   EXPECT_EQ(
       parse(R"([fleet]
 max_unavailable = 2
@@ -48,7 +48,7 @@
       R"("partners":[{"id":"s-1"}]},"instances":[{"name":"n0","listen":"127.0.0.1:8081"}]})");
 }
 
-TEST(FleetFile, TakesPartnersAsDiscoveryListsThemOrOnTheAgentsMachine) {
+TEST(FleetFile, AcceptsPartnersInDiscoveryFormatOrOnTheAgentsMachine) {
   const std::string head = "[platform]\nlisten = \"127.0.0.1:1\"\n";
   EXPECT_NE(parse(head + "partners = \"p\"\n", {{"etc/p", "{\"index\":3,\"endpoints\":[{}]}"}})
                 .find("\"partners\":[{}]"),
@@ -62,7 +62,7 @@
             "machine) must be given");
 }
 
-TEST(FleetFile, FaultsNameFileLineAndKey) {
+TEST(FleetFile, ErrorsNameFileLineAndKey) {
   EXPECT_EQ(
       fault("[fleet]\nmax = 1\n" + std::string("discovery = \"h:1\"\n")),
       "etc/fleet.toml:2: fleet.max: is not known; known here: max_unavailable, program, discovery, settings, "
@@ -93,7 +93,7 @@
   EXPECT_EQ(fault("[fleet\n").substr(0, 17), "etc/fleet.toml:1:");
 }
 
-TEST(FleetFile, FaultsOfFilesThatItNames) {
+TEST(FleetFile, ErrorsInReferencedFiles) {
   const auto text = kFleet + "settings = \"s.json\"\n";
   EXPECT_EQ(fault(text), "etc/fleet.toml:3: fleet.settings: etc/s.json: No such file or directory");
   EXPECT_EQ(fault(text, {{"etc/s.json", "{\n\"a\":\n}"}}), "etc/s.json:3: Invalid value.");
--- a/tests/cli/follow_test.cpp
+++ b/tests/cli/follow_test.cpp
@@ -1,4 +1,4 @@
-// Waiting for operations and following logs, where streams break too.
+// Waiting for operations and following logs, also across broken streams.
 #include <gtest/gtest.h>
 #include <signal.h>
 
@@ -38,7 +38,7 @@
   }
 };
 
-TEST_F(Follow, ALineForEachStepOffATerminal) {
+TEST_F(Follow, OneLinePerStepWithoutATerminal) {
   const auto last = restart("done", "done", "done");
   agent.on(kFollow, Reply::chunked({restart("running", "acting", "waiting") + "\n",
                                     restart("running", "done", "acting") + "\n" + last.substr(0, 30),
@@ -50,7 +50,7 @@
   EXPECT_TRUE(has(r.out, "operation 7, restart: done, 2 of 2 steps done in 12s")) << r.out;
 }
 
-TEST_F(Follow, ReconnectsWhereTheStreamBreaks) {
+TEST_F(Follow, ReconnectsAfterABrokenStream) {
   agent.on(kFollow,
            Reply::chunked({restart("running", "done", "waiting") + "\n", "{\"id\":7,"}, false).then_close());
   agent.on(kFollow, Reply::raw("").then_close());
@@ -63,13 +63,13 @@
   EXPECT_EQ(agent.requests(kFollow).size(), 3u);
 }
 
-TEST_F(Follow, AnAgentThatOnlyAnswersIsAskedAgain) {
+TEST_F(Follow, PollsAnAgentThatDoesNotStream) {
   agent.on(kFollow, restart("running", "done", "acting"));
   agent.on(kFollow, restart("done", "done", "done"));
   EXPECT_EQ(run_tool(words({"restart", "--all"})).exit, 0);
 }
 
-TEST_F(Follow, StepsThatFailedMakeItPartial) {
+TEST_F(Follow, FailedStepsArePartial) {
   agent.on(kFollow, Reply::chunked({restart("failed", "failed", "skipped") + "\n"}, true));
   const auto r = run_tool(words({"restart", "--all"}));
   EXPECT_EQ(r.exit, 4);
@@ -81,23 +81,23 @@
   EXPECT_EQ(run_tool(words({"restart", "--all"})).exit, 3);
 }
 
-TEST_F(Follow, JsonIsTheLastState) {
+TEST_F(Follow, JsonPrintsTheLastState) {
   const auto last = restart("done", "done", "done");
   agent.on(kFollow, Reply::chunked({restart("running", "done", "acting") + "\n", last + "\n"}, true));
   EXPECT_EQ(run_tool(words({"-o", "json", "restart", "--all"})).out, last + "\n");
 }
 
-TEST_F(Follow, MalformedLinesEndIt) {
+TEST_F(Follow, MalformedLinesEndTheWait) {
   agent.on(kFollow, Reply::chunked({"nonsense\n"}, true));
   const auto r = run_tool(words({"restart", "--all"}));
   EXPECT_EQ(r.exit, 5);
   EXPECT_TRUE(has(r.err, "is no JSON") && has(r.err, "operation 7 was under way")) << r.err;
 }
 
-TEST_F(Follow, CtrlCStopsWaitingAndSaysHowToCancel) {
+TEST_F(Follow, CtrlCStopsWaitingAndSuggestsCancel) {
   agent.on(kFollow, Reply::chunked({restart("running", "done", "acting") + "\n"}, false).then_hold());
   Tool tool(words({"restart", "--all"}));
-  ASSERT_TRUE(tool.complained("n0 done"));
+  ASSERT_TRUE(tool.wrote_error("n0 done"));
   tool.signal(SIGINT);
   const auto r = tool.finish();
   EXPECT_EQ(r.exit, 130);
@@ -106,14 +106,14 @@
   for (const auto& q : agent.requests()) EXPECT_NE(q.method, "DELETE");
 }
 
-TEST_F(Follow, TimeoutEndsTheWaitNotTheOperation) {
+TEST_F(Follow, TimeoutEndsTheWaitButNotTheOperation) {
   agent.on(kFollow, Reply::chunked({restart("running", "done", "acting") + "\n"}, false).then_hold());
   const auto r = run_tool(words({"--timeout", "4", "restart", "--all"}));
   EXPECT_EQ(r.exit, 4);
   EXPECT_TRUE(has(r.err, "Not done within 4.0s; operation 7 goes on.")) << r.err;
 }
 
-TEST_F(Follow, TheBarOfATerminalIsDrawnOver) {
+TEST_F(Follow, ProgressOnATerminalIsRedrawnInPlace) {
   agent.on(kFollow, Reply::chunked({restart("running", "done", "acting") + "\n"}, false).then_hold());
   Tool tool(words({"restart", "--all"}), true);
   ASSERT_TRUE(tool.wrote("restart 7 [##########..........] 1/2"));
@@ -125,7 +125,7 @@
   EXPECT_FALSE(has(r.out, "restart 7: n0 done")) << r.out;
 }
 
-TEST_F(Follow, AnOperationIsWaitedForLater) {
+TEST_F(Follow, WaitsForAnOperationStartedBefore) {
   agent.on("GET /v1/operations/7", restart("running", "done", "acting"));
   agent.on(kFollow, Reply::chunked({restart("done", "done", "done") + "\n"}, true));
   const auto r = run_tool(words({"operation", "7"}));
@@ -135,25 +135,25 @@
   EXPECT_TRUE(has(now.out, "restart: running")) << now.out;
 }
 
-TEST_F(Follow, TwoAgentsAreFollowedSideBySide) {
+TEST_F(Follow, TwoAgentsAreFollowedInParallel) {
   StandIn other(folder.file("other.sock"));
   script_fleet(other, "web2");
   other.on("POST /v1/operations",
            Reply::json(operation_json(3, "restart", "running", step("n0", "waiting", "")), 202));
-  // The first waits until the second is followed: one after the other would never end.
+  // The first agent replies only once the second is followed, so sequential following would never end.
   agent.on(kFollow, Reply::chunked({restart("running", "done", "acting") + "\n"}, false).then_hold());
   other.on("GET /v1/operations/3?follow=1",
            Reply::chunked({operation_json(3, "restart", "done", step("n0", "done", "ready")) + "\n"}, true));
   Tool tool(words({"--agent", folder.file("other.sock"), "restart", "--all"}));
-  ASSERT_TRUE(tool.complained("web1: restart 7: n0 done: ready\n"));
-  ASSERT_TRUE(tool.complained("web2: restart 3: n0 done: ready\n"));
+  ASSERT_TRUE(tool.wrote_error("web1: restart 7: n0 done: ready\n"));
+  ASSERT_TRUE(tool.wrote_error("web2: restart 3: n0 done: ready\n"));
   tool.signal(SIGTERM);
   const auto r = tool.finish();
   EXPECT_EQ(r.exit, 130);
   EXPECT_TRUE(has(r.err, "cancel 7") && !has(r.err, "cancel 3")) << r.err;
 }
 
-TEST_F(Follow, ALogGoesOnAfterABreakWithoutLinesTwice) {
+TEST_F(Follow, ALogContinuesAfterABreakWithoutRepeatedLines) {
   const std::string target = "GET /v1/instances/n0/log?lines=";
   agent.on(target + "100&follow=1",
            Reply::chunked({"one\ntwo\n", "three\n"}, false, "text/plain").then_close());
@@ -168,7 +168,7 @@
   EXPECT_EQ(r.exit, 1000 + SIGINT);
 }
 
-TEST_F(Follow, ALogOfAnInstanceThatIsNotThere) {
+TEST_F(Follow, LogOfAnUnknownInstance) {
   const auto r = run_tool(words({"logs", "n9", "-f"}));
   EXPECT_EQ(r.exit, 2);
   EXPECT_TRUE(has(r.err, "nothing is scripted")) << r.err;
--- a/tests/cli/overlap_test.cpp
+++ b/tests/cli/overlap_test.cpp
@@ -5,7 +5,7 @@
 namespace heronvane::cli {
 namespace {
 
-TEST(Overlap, GivesWholeLines) {
+TEST(Overlap, ReturnsWholeLines) {
   Overlap o(10);
   EXPECT_EQ(o.add("one\ntw"), "one\n");
   EXPECT_EQ(o.add("o\n"), "two\n");
@@ -19,16 +19,16 @@
   EXPECT_EQ(o.remembered(), 3u);
 }
 
-TEST(Overlap, TheNextStreamIsSkippedAsFarAsItIsKnown) {
+TEST(Overlap, SkipsRememberedLinesOfTheNextStream) {
   Overlap o(10);
   o.add("one\ntwo\n");
   o.catch_up("one\ntwo\n");
   EXPECT_EQ(o.add("on"), "");
   EXPECT_EQ(o.add("e\ntwo\nthree\n"), "three\n");
-  EXPECT_EQ(o.add("one\n"), "one\n");  // only once is it skipped
+  EXPECT_EQ(o.add("one\n"), "one\n");  // skipped only once
 }
 
-TEST(Overlap, LinesThatCameBetweenBothAreShown) {
+TEST(Overlap, ShowsLinesLoggedBetweenCatchUpAndTheNextStream) {
   Overlap o(10);
   o.add("one\ntwo\n");
   o.catch_up("one\ntwo\n");
@@ -39,19 +39,19 @@
   EXPECT_EQ(p.add("three\nfour\n"), "three\nfour\n");
 }
 
-TEST(Overlap, ShowsAllOfALogThatGoesOnElsewhere) {
+TEST(Overlap, ShowsAllOfALogWithoutOverlap) {
   Overlap o(2);
   o.add("one\ntwo\nthree\n");
   EXPECT_EQ(o.catch_up("seven\neight\n"), "seven\neight\n");
 }
 
-TEST(Overlap, LinesThatAreAlikeAreShownTwiceRatherThanNever) {
+TEST(Overlap, RepeatsEqualLinesRatherThanOmitThem) {
   Overlap o(10);
   o.add("a\na\n");
   EXPECT_EQ(o.catch_up("a\na\na\nb\n"), "a\nb\n");
 }
 
-TEST(Overlap, ALineWithoutAnEndIsNotHeldForEver) {
+TEST(Overlap, ALongLineWithoutAnEndIsShown) {
   Overlap o(10);
   EXPECT_GT(o.add(std::string(70'000, 'x')).size(), 65'000u);
 }
--- a/tests/cli/render_test.cpp
+++ b/tests/cli/render_test.cpp
@@ -1,4 +1,4 @@
-// What is drawn, to the letter, at 80 columns.
+// The exact output at 80 columns.
 #include "cli/render.hpp"
 
 #include <gtest/gtest.h>
@@ -109,7 +109,7 @@
 )");
 }
 
-TEST(Render, StatusOfAFleetThatIsWell) {
+TEST(Render, StatusOfAHealthyFleet) {
   StatusView v;
   v.agent.name = "web1", v.agent.generation = 12, v.agent.started_ms = kNow - 61'000;
   v.instances = {instance("n0", "ready", 1'000)};
@@ -120,7 +120,7 @@
 )");
 }
 
-TEST(Render, AFailedApplyNamesWhereToLookAndTheWayBack) {
+TEST(Render, AFailedApplySuggestsStatusAndRollback) {
   Operation o = restart("failed");
   o.kind = "apply";
   const auto text = render_operation({"", kTool, o}, k80, kNow);
@@ -130,7 +130,7 @@
       << text;
 }
 
-TEST(Render, OfAFirstApplyEachPartIsALineAndLaterChangesAreToldOneByOne) {
+TEST(Render, AFirstApplyIsSummarizedAndLaterChangesAreListed) {
   Operation o;
   o.diff = {"+ n0",
             "~ limits.disk_mb none -> 100",
@@ -151,7 +151,7 @@
             std::string::npos);
 }
 
-TEST(Render, StatusTellsWhatHindersThePlatform) {
+TEST(Render, StatusShowsTheProblemOfThePlatform) {
   StatusView v;
   v.agent = read_agent(
       R"({"name":"web1","platform":{"listen":"127.0.0.1:8500","endpoints":3,"trouble":"partners: p.json: broken"}})");
@@ -169,7 +169,7 @@
 )");
 }
 
-TEST(Render, EachPhaseThatNeedsIt) {
+TEST(Render, AttentionForEachPhase) {
   const auto next = [](Instance i) {
     StatusView v;
     v.instances = {i};
@@ -191,7 +191,7 @@
   auto moved = instance("n", "ready", 1);
   moved.wanted_generation = 13;
   EXPECT_EQ(next(moved), "heronvanectl restart n; or take the change back: heronvanectl rollback");
-  moved.operation = 7;  // which is about to
+  moved.operation = 7;  // operation 7 is about to move it
   EXPECT_EQ(next(moved), "");
 }
 
@@ -203,7 +203,7 @@
   s.held = 3, s.given_up = 1, s.oldest_ms = 812, s.by_class = {{"load-status", 2}, {"billing", 1}};
   s.by_age = {{"1000", 2}, {"5000", 1}, {"more", 0}};
   s.calls = 2, s.slots = 8, s.clients = 3, s.store_bytes = 120'000, s.store_limit = 3'000'000, s.segments = 2;
-  s.memory_kb = 5120, s.descriptors = 31, s.list_told = true, s.list_index = 41, s.list_endpoints = 12;
+  s.memory_kb = 5120, s.descriptors = 31, s.list_received = true, s.list_index = 41, s.list_endpoints = 12;
   Target t;
   t.endpoint = "s-1", t.destination = 7, t.listing = "ready", t.health = "out", t.wait_ms = 1500,
   t.delay_ms = 40;
@@ -300,7 +300,7 @@
   EXPECT_EQ(duration(1'047'600'000), "12d3h");
 }
 
-TEST(Text, WordsAreWrappedNotCut) {
+TEST(Text, WrapsBetweenWords) {
   EXPECT_EQ(wrapped("one two three", 2, 9), "  one two\n  three\n");
   EXPECT_EQ(wrapped("a-long-word b", 0, 4), "a-long-word\nb\n");
   EXPECT_EQ(wrapped("one two", 0, 0), "one two\n");
--- a/tests/cli/stand_in.cpp
+++ b/tests/cli/stand_in.cpp
@@ -27,7 +27,8 @@
 namespace {
 
 using Clock = std::chrono::steady_clock;
-constexpr auto kPatience = std::chrono::seconds(60);  // for what must come: no verdict hangs on it
+constexpr auto kEventTimeout =
+    std::chrono::seconds(60);  // limit of waits for expected events; only reached in failing tests
 
 void check(bool right, const char* what) {
   if (!right) throw std::runtime_error(std::string(what) + ": " + std::strerror(errno));
@@ -149,16 +150,16 @@
   return all;
 }
 
-bool StandIn::saw(const std::string& method_and_target, std::size_t n) {
+bool StandIn::wait_for_requests(const std::string& method_and_target, std::size_t n) {
   std::unique_lock lock(mutex_);
-  return changed_.wait_for(lock, kPatience, [&] { return told_[method_and_target] >= n; });
+  return changed_.wait_for(lock, kEventTimeout, [&] { return reply_counts_[method_and_target] >= n; });
 }
 
 Reply StandIn::reply(const Request& request) {
   const std::lock_guard lock(mutex_);
   const auto key = request.method + " " + request.target;
   requests_.push_back(request);
-  const auto nth = told_[key]++;
+  const auto nth = reply_counts_[key]++;
   changed_.notify_all();
   const auto found = script_.find(key);
   if (found == script_.end()) return Reply::error(404, "unknown", "nothing is scripted for " + key);
@@ -175,18 +176,18 @@
   }
 }
 
-// A connection's bytes, plain or over TLS.
-struct StandIn::Line {
-  Line(int f, int s, SSL_CTX* context)
+// A connection, plain or over TLS.
+struct StandIn::Connection {
+  Connection(int f, int s, SSL_CTX* context)
       : fd(f), stop(s), tls(context != nullptr ? SSL_new(context) : nullptr) {
     if (tls != nullptr) SSL_set_fd(tls, fd);
   }
-  ~Line() {
+  ~Connection() {
     if (tls != nullptr) SSL_shutdown(tls), SSL_free(tls);
     ::close(fd);
   }
-  Line(const Line&) = delete;
-  Line& operator=(const Line&) = delete;
+  Connection(const Connection&) = delete;
+  Connection& operator=(const Connection&) = delete;
   bool readable() const {
     if (tls != nullptr && SSL_pending(tls) > 0) return true;
     pollfd p[2] = {{fd, POLLIN, 0}, {stop, POLLIN, 0}};
@@ -196,10 +197,10 @@
   }
   bool read(std::string& to) const {
     if (!readable()) return false;
-    char room[4096];
-    const auto n =
-        tls != nullptr ? SSL_read(tls, room, sizeof room) : static_cast<int>(::read(fd, room, sizeof room));
-    if (n > 0) to.append(room, static_cast<std::size_t>(n));
+    char buffer[4096];
+    const auto n = tls != nullptr ? SSL_read(tls, buffer, sizeof buffer)
+                                  : static_cast<int>(::read(fd, buffer, sizeof buffer));
+    if (n > 0) to.append(buffer, static_cast<std::size_t>(n));
     return n > 0;
   }
   bool write(const std::string& bytes) const {
@@ -218,14 +219,15 @@
 };
 
 void StandIn::serve(int fd) {
-  const Line line(fd, stop_, tls_);
+  const Connection line(fd, stop_, tls_);
   std::string in;
   if (line.tls != nullptr && (!line.readable() || SSL_accept(line.tls) != 1)) {
-    // Closed with bytes unread, the connection would be reset, and the alert lost on its way.
+    // Closing with unread bytes would reset the connection and lose the TLS alert; so read until the end
+    // first.
     ::shutdown(fd, SHUT_WR);
-    char room[4096];
+    char buffer[4096];
     for (pollfd p[2] = {{fd, POLLIN, 0}, {stop_, POLLIN, 0}}; ::poll(p, 2, -1) > 0 && p[1].revents == 0;)
-      if (::read(fd, room, sizeof room) <= 0) return;
+      if (::read(fd, buffer, sizeof buffer) <= 0) return;
     return;
   }
   for (;;) {
@@ -310,17 +312,17 @@
   if (::poll(p, 2, timeout_ms) <= 0) return;
   const auto take = [](pollfd& f, int& fd, std::string& to) {
     if (f.revents == 0) return;
-    char room[4096];
-    const auto n = ::read(fd, room, sizeof room);
-    if (n > 0) return void(to.append(room, static_cast<std::size_t>(n)));
-    ::close(std::exchange(fd, -1));  // a terminal whose process ended gives an error
+    char buffer[4096];
+    const auto n = ::read(fd, buffer, sizeof buffer);
+    if (n > 0) return void(to.append(buffer, static_cast<std::size_t>(n)));
+    ::close(std::exchange(fd, -1));  // reading a terminal whose process has ended fails
   };
   take(p[0], out_, result_.out);
   take(p[1], err_, result_.err);
 }
 
 bool Tool::wrote(const std::string& text) {
-  const auto until = Clock::now() + kPatience;
+  const auto until = Clock::now() + kEventTimeout;
   while (result_.out.find(text) == std::string::npos) {
     if (Clock::now() > until || out_ < 0) return false;
     read_some(100);
@@ -328,8 +330,8 @@
   return true;
 }
 
-bool Tool::complained(const std::string& text) {
-  const auto until = Clock::now() + kPatience;
+bool Tool::wrote_error(const std::string& text) {
+  const auto until = Clock::now() + kEventTimeout;
   while (result_.err.find(text) == std::string::npos) {
     if (Clock::now() > until || err_ < 0) return false;
     read_some(100);
@@ -338,7 +340,7 @@
 }
 
 Result Tool::finish() {
-  const auto until = Clock::now() + kPatience;
+  const auto until = Clock::now() + kEventTimeout;
   while ((out_ >= 0 || err_ >= 0) && Clock::now() < until) read_some(100);
   if (out_ >= 0 || err_ >= 0) ::kill(pid_, SIGKILL);
   int status = 0;
@@ -354,9 +356,9 @@
 int shell(const std::string& command, std::string* text) {
   std::FILE* const f = ::popen((command + " 2>&1").c_str(), "r");
   if (f == nullptr) return -1;
-  std::array<char, 4096> room;
-  for (std::size_t n; (n = std::fread(room.data(), 1, room.size(), f)) > 0;)
-    if (text != nullptr) text->append(room.data(), n);
+  std::array<char, 4096> buffer;
+  for (std::size_t n; (n = std::fread(buffer.data(), 1, buffer.size(), f)) > 0;)
+    if (text != nullptr) text->append(buffer.data(), n);
   const int status = ::pclose(f);
   return WIFEXITED(status) ? WEXITSTATUS(status) : -1;
 }
--- a/tests/cli/terminal_test.cpp
+++ b/tests/cli/terminal_test.cpp
@@ -1,4 +1,4 @@
-// What a terminal gets: watch, colours.
+// Output on a terminal: --watch and colours.
 #include "cli/terminal.hpp"
 
 #include <gtest/gtest.h>
@@ -11,13 +11,13 @@
 
 bool has(const std::string& text, const std::string& part) { return text.find(part) != std::string::npos; }
 
-TEST(Frame, EndsEachLineAndLeavesOutWhatHasNoRoom) {
+TEST(Frame, EndsEachLineAndOmitsLinesThatDoNotFit) {
   EXPECT_EQ(frame("a\nb\n", 3), "\x1b[Ha\x1b[0m\x1b[K\r\nb\x1b[0m\x1b[K\r\n\x1b[J");
   EXPECT_EQ(frame("a\nb\n", 2), "\x1b[Ha\x1b[0m\x1b[K\r\nb\x1b[0m\x1b[K\x1b[J");
   EXPECT_EQ(frame("a\nb\nc\n", 2), "\x1b[Ha\x1b[0m\x1b[K\r\n2 more lines\x1b[K\x1b[J");
 }
 
-TEST(Watch, RedrawsAndPutsTheTerminalBack) {
+TEST(Watch, RedrawsAndRestoresTheTerminal) {
   Folder folder;
   StandIn agent(folder.file("agent.sock"));
   script_fleet(agent);
@@ -34,10 +34,10 @@
     const std::string restored = "\x1b[?25h\x1b[?1049l";
     EXPECT_EQ(r.out.substr(r.out.size() - std::min(r.out.size(), restored.size())), restored);
   }
-  EXPECT_TRUE(agent.saw("GET /v1/instances", 2));
+  EXPECT_TRUE(agent.wait_for_requests("GET /v1/instances", 2));
 }
 
-TEST(Watch, GoesOnWhileTheAgentIsAway) {
+TEST(Watch, ContinuesWhileTheAgentIsUnreachable) {
   Folder folder;
   const auto socket = folder.file("agent.sock");
   Tool tool({"--agent", socket, "status", "--watch"}, true);
@@ -49,12 +49,12 @@
   EXPECT_EQ(tool.finish().exit, 0);
 }
 
-TEST(Watch, EndsAtOnceWhereTheAgentDoesNotAnswer) {
+TEST(Watch, CtrlCEndsAtOnceIfTheAgentDoesNotAnswer) {
   Folder folder;
   StandIn agent(folder.file("agent.sock"));
   agent.on("GET /v1/agent", Reply::raw("HTTP/1.1 200 X\r\n").then_hold());
   Tool tool({"--agent", folder.file("agent.sock"), "--timeout", "600", "status", "--watch"}, true);
-  ASSERT_TRUE(agent.saw("GET /v1/agent"));
+  ASSERT_TRUE(agent.wait_for_requests("GET /v1/agent"));
   tool.type("\x03");
   EXPECT_EQ(tool.finish().exit, 0);
 }
--- a/tests/cli/tls_test.cpp
+++ b/tests/cli/tls_test.cpp
@@ -1,4 +1,4 @@
-// Agents over TLS, with the right and with wrong certificates, all made here.
+// Agents over TLS with valid and invalid certificates, which the test generates.
 #include <gtest/gtest.h>
 
 #include "stand_in.hpp"
@@ -44,7 +44,7 @@
   Folder folder;
 };
 
-TEST_F(Tls, TheRightCertificatesAreAccepted) {
+TEST_F(Tls, ValidCertificatesAreAccepted) {
   StandIn agent(folder.file("agent.pem"), folder.file("agent.key"), folder.file("ca.pem"));
   script_fleet(agent);
   agent.on("POST /v1/operations", Reply::json(operation_json(7, "up", "running", ""), 202));
@@ -57,7 +57,7 @@
   EXPECT_EQ(up.exit, 0) << up.err;
 }
 
-TEST_F(Tls, AClientThatTheAgentDoesNotKnowIsTold) {
+TEST_F(Tls, AnUnknownClientCertificateIsReported) {
   StandIn agent(folder.file("agent.pem"), folder.file("agent.key"), folder.file("ca.pem"));
   script_fleet(agent);
   const auto r = run(agent, "intruder", "ca", {"list"});
@@ -66,7 +66,7 @@
   EXPECT_TRUE(agent.requests().empty());
 }
 
-TEST_F(Tls, AnAgentThatAnotherAuthoritySignedIsNotSpokenTo) {
+TEST_F(Tls, AnAgentOfAnotherAuthorityIsRefused) {
   StandIn agent(folder.file("agent.pem"), folder.file("agent.key"), folder.file("ca.pem"));
   script_fleet(agent);
   const auto r = run(agent, "client", "stranger", {"list"});
@@ -75,14 +75,14 @@
   EXPECT_TRUE(agent.requests().empty());
 }
 
-TEST_F(Tls, AnAgentOfAnotherNameIsNotSpokenTo) {
+TEST_F(Tls, AnAgentWithAnotherHostNameIsRefused) {
   StandIn agent(folder.file("misnamed.pem"), folder.file("misnamed.key"), folder.file("ca.pem"));
   script_fleet(agent);
   EXPECT_EQ(run(agent, "client", "ca", {"list"}).exit, 5);
   EXPECT_TRUE(agent.requests().empty());
 }
 
-TEST_F(Tls, FilesThatAreNoCertificatesAreNamed) {
+TEST_F(Tls, InvalidCertificateFilesAreNamed) {
   const auto none = folder.write("none.pem", "nothing");
   const auto r = run_tool({"--agent", "https://127.0.0.1:9", "--cert", none, "--key", none, "list"});
   EXPECT_EQ(r.exit, 1);
