--- a/cli/client.hpp
+++ b/cli/client.hpp
@@ -38,9 +38,10 @@
 
   // Passes the bytes of the body to `on_bytes` as they arrive, preceded by one empty call when the 200 header
   // has arrived. Returns at the end of the body, or when `on_bytes` returns false. An answer with another
-  // status is returned with its body, without a call of `on_bytes`. `header_timeout` limits the time to the
-  // header, `idle_timeout` the time between two reads of the body. Throws TransportError if the body is cut
-  // off, MalformedAnswer.
+  // status is returned with its body, without a call of `on_bytes`. `header_timeout` limits connecting,
+  // sending and waiting for the header, each on its own, and each read of the body of an error answer;
+  // `idle_timeout` limits each read of a followed body. Throws TransportError if the body is cut off,
+  // MalformedAnswer.
   Answer follow(const std::string& target, std::chrono::milliseconds header_timeout,
                 std::chrono::milliseconds idle_timeout,
                 const std::function<bool(std::string_view)>& on_bytes);
--- a/cli/demo.cpp
+++ b/cli/demo.cpp
@@ -33,14 +33,16 @@
 
 constexpr std::size_t kRelays = 3;
 constexpr auto kTick = milliseconds(250);
-constexpr auto kTickEnding = milliseconds(20);
-constexpr auto kStartWithin = std::chrono::seconds(30);
-// From Ctrl-C on: relays have drained; the agent has ended; all of it is over, which ends what is left.
-constexpr auto kDrainWithin = milliseconds(3'600), kEndWithin = milliseconds(4'600);
-constexpr std::size_t kMostHappened = 40;
+constexpr auto kEndingTick = milliseconds(20);
+constexpr auto kStartLimit = std::chrono::seconds(30);
+// Limits measured from Ctrl-C: until relays are told to stop although not drained, and until the agent is
+// killed.
+constexpr auto kDrainLimit = milliseconds(3'600), kShutdownLimit = milliseconds(4'600);
+constexpr std::size_t kMaxEvents = 40;
 constexpr std::uint64_t kSeed = 20;
 
-// As short as it can be called from here: found in PATH, or below the current folder.
+// The shortest form that works in this shell: the name if PATH finds it, else the path relative to the
+// current folder if the program is below it.
 std::string short_name(const std::string& program) {
   namespace fs = std::filesystem;
   std::error_code bad;
@@ -63,24 +65,24 @@
   enum class Stage { starting, running, draining, stopping, over };
   void tick();
   void step();
-  void seen(FleetWatch::Seen s);
-  void begin_end(const std::string& why);
+  void on_agent_state(FleetWatch::State s);
+  void start_shutdown(const std::string& reason);
   void stop_agent();
-  void watch_agent();
-  void happened(const std::string& what);
-  void say(const std::string& text);
-  void note_phases(const std::vector<Instance>& now);
+  void restart_agent_if_ended();
+  void record_event(const std::string& what);
+  void print(const std::string& text);
+  void record_phase_changes(const std::vector<Instance>& now);
   void show();
   DemoView view();
   bool drained() const;
-  int sum_up();
+  int print_summary();
   std::string fleet() const;
   std::int64_t elapsed_s() const {
     return std::chrono::duration_cast<std::chrono::seconds>(Clock::now() - started_).count();
   }
 
   const Demo& options_;
-  const bool drawn_;
+  const bool uses_screen_;
   TemporaryFolder folder_;
   net::io_context io_{1};
   net::signal_set ends_{io_}, resized_{io_};
@@ -92,22 +94,22 @@
   const std::string tool_ = short_name(own_program());
   std::optional<FleetWatch> watch_;
   std::optional<Screen> screen_;
-  FleetWatch::Seen last_;
+  FleetWatch::State last_;
   std::map<std::string, Instance> phases_;
   Stage stage_ = Stage::starting;
-  Clock::time_point running_since_{}, end_since_{}, shown_{}, agent_again_{};
-  std::deque<DemoView::Happened> happened_;
+  Clock::time_point running_since_{}, end_since_{}, last_drawn_{}, agent_restart_at_{};
+  std::deque<DemoView::Event> events_;
   std::string failure_, headline_ = "starting";
-  bool all_drained_ = false, killed_ = false, hints_told_ = false, deaf_ = false;
+  bool all_drained_ = false, killed_ = false, hints_shown_ = false, output_failed_ = false;
   std::size_t leftovers_ = 0;
 };
 
 Demonstration::Demonstration(const Demo& options)
     : options_(options),
-      drawn_(!options.plain && is_terminal(1)),
+      uses_screen_(!options.plain && is_terminal(1)),
       ports_(free_ports(kRelays + 1)),
       world_(
-          io_, folder_.path() + "/partners.json", [this](const std::string& what) { happened(what); },
+          io_, folder_.path() + "/partners.json", [this](const std::string& what) { record_event(what); },
           kSeed) {}
 
 std::string Demonstration::fleet() const {
@@ -131,13 +133,13 @@
   const std::function<void()> wait_end = [&] {
     ends_.async_wait([&](error_code bad, int) {
       if (bad) return;
-      // Asked twice, it waits for nothing.
+      // Further signals first end the drain, then kill the agent.
       if (stage_ == Stage::draining) {
         stop_agent();
       } else if (stage_ == Stage::stopping) {
         killed_ = true;
       } else {
-        begin_end("asked to end");
+        start_shutdown("asked to end");
       }
       wait_end();
     });
@@ -152,12 +154,13 @@
   wait_end();
   wait_resized();
   agent_.start();
-  watch_.emplace(io_, agent_.socket(), fleet(), [this](FleetWatch::Seen s) { seen(std::move(s)); });
-  if (drawn_) screen_.emplace(1);
+  watch_.emplace(io_, agent_.socket(), fleet(),
+                 [this](FleetWatch::State s) { on_agent_state(std::move(s)); });
+  if (uses_screen_) screen_.emplace(1);
   tick();
   io_.run();
   screen_.reset();
-  const int exit = sum_up();
+  const int exit = print_summary();
   ::sigaction(SIGPIPE, &before, nullptr);
   return exit;
 }
@@ -165,7 +168,7 @@
 void Demonstration::tick() {
   step();
   if (stage_ == Stage::over) return io_.stop();
-  timer_.expires_after(stage_ == Stage::running ? kTick : kTickEnding);
+  timer_.expires_after(stage_ == Stage::running ? kTick : kEndingTick);
   timer_.async_wait([this](error_code bad) {
     if (!bad) tick();
   });
@@ -173,21 +176,21 @@
 
 void Demonstration::step() {
   const auto now = Clock::now();
-  if (deaf_ && (stage_ == Stage::starting || stage_ == Stage::running)) begin_end("");
+  if (output_failed_ && (stage_ == Stage::starting || stage_ == Stage::running)) start_shutdown("");
   switch (stage_) {
     case Stage::starting:
       if (!last_.refused.empty()) {
         failure_ = last_.refused;
-        begin_end("");
+        start_shutdown("");
         break;
       }
-      if (now - started_ > kStartWithin) {
+      if (now - started_ > kStartLimit) {
         failure_ =
             "the relays were not ready within 30 s" + (last_.trouble.empty() ? "" : ": " + last_.trouble);
-        begin_end("");
+        start_shutdown("");
         break;
       }
-      watch_agent();
+      restart_agent_if_ended();
       if (stage_ != Stage::starting || !last_.applied || last_.instances.size() != kRelays) break;
       if (std::all_of(last_.instances.begin(), last_.instances.end(),
                       [](const auto& i) { return i.ready; })) {
@@ -195,25 +198,25 @@
         for (std::size_t i = 0; i < kRelays; i++)
           relays.push_back({"n" + std::to_string(i), {net::ip::address_v4::loopback(), ports_[i]}});
         world_.start_clients(std::move(relays));
-        happened("all relays are ready: clients begin");
+        record_event("all relays are ready: clients begin");
         headline_ = "Ctrl-C ends it";
         stage_ = Stage::running;
         running_since_ = now;
       }
       break;
     case Stage::running:
-      watch_agent();
+      restart_agent_if_ended();
       world_.tick(standins::steady_time());
       if (options_.seconds && now - running_since_ >= std::chrono::duration<double>(*options_.seconds))
-        begin_end("its time is over");
+        start_shutdown("its time is over");
       break;
     case Stage::draining:
       all_drained_ = !world_.clients_out() && drained();
-      if (all_drained_ || now - end_since_ > kDrainWithin) stop_agent();
+      if (all_drained_ || now - end_since_ > kDrainLimit) stop_agent();
       break;
     case Stage::stopping: {
       std::string how;
-      const bool late = killed_ || now - end_since_ > kEndWithin;
+      const bool late = killed_ || now - end_since_ > kShutdownLimit;
       if (late) agent_.signal(SIGKILL);
       if (agent_.ended(how)) stage_ = Stage::over;
       break;
@@ -221,46 +224,46 @@
     case Stage::over:
       break;
   }
-  if (now - shown_ >= (drawn_ ? milliseconds(500) : milliseconds(1'000))) show();
+  if (now - last_drawn_ >= (uses_screen_ ? milliseconds(500) : milliseconds(1'000))) show();
 }
 
-void Demonstration::watch_agent() {
+void Demonstration::restart_agent_if_ended() {
   const auto now = Clock::now();
   if (agent_.pid() > 0) {
     std::string how;
     if (!agent_.ended(how)) return;
     if (stage_ == Stage::starting) {
       failure_ = "heronvane-agent ended (" + how + ")";
-      return begin_end("");
+      return start_shutdown("");
     }
-    happened("the agent ended (" + how + "): relays run on, it is started again");
-    agent_again_ = now + milliseconds(500);
-  } else if (now >= agent_again_) {
+    record_event("the agent ended (" + how + "): relays run on, it is started again");
+    agent_restart_at_ = now + milliseconds(500);
+  } else if (now >= agent_restart_at_) {
     agent_.start();
   }
 }
 
-void Demonstration::seen(FleetWatch::Seen s) {
+void Demonstration::on_agent_state(FleetWatch::State s) {
   if (s.trouble.empty() && s.refused.empty()) {
-    note_phases(s.instances);
+    record_phase_changes(s.instances);
     last_ = std::move(s);
   } else {
-    // What was last known stays on the screen.
+    // Keeps the last known instances on the screen.
     last_.trouble = s.trouble, last_.refused = s.refused, last_.applied = s.applied;
   }
 }
 
-void Demonstration::note_phases(const std::vector<Instance>& instances) {
+void Demonstration::record_phase_changes(const std::vector<Instance>& instances) {
   for (const auto& i : instances) {
     const auto it = phases_.find(i.name);
     if (it != phases_.end() && stage_ == Stage::running) {
       const auto& was = it->second;
       if (was.phase != i.phase)
-        happened(i.name + ": " + was.phase + " -> " + i.phase +
-                 (i.phase == "backoff" || i.phase == "looping" ? " (" + i.last_exit + ")" : ""));
+        record_event(i.name + ": " + was.phase + " -> " + i.phase +
+                     (i.phase == "backoff" || i.phase == "looping" ? " (" + i.last_exit + ")" : ""));
       else if (was.pid != i.pid && i.pid > 0)
-        happened(i.name + ": runs anew, pid " + std::to_string(i.pid) +
-                 (i.last_exit.empty() ? "" : ", after " + i.last_exit));
+        record_event(i.name + ": runs anew, pid " + std::to_string(i.pid) +
+                     (i.last_exit.empty() ? "" : ", after " + i.last_exit));
     }
     phases_[i.name] = i;
   }
@@ -272,8 +275,8 @@
                      [](const auto& i) { return i.phase == "drained" && i.pid == 0; });
 }
 
-void Demonstration::begin_end(const std::string& why) {
-  if (!why.empty()) happened(why + ": relays drain");
+void Demonstration::start_shutdown(const std::string& reason) {
+  if (!reason.empty()) record_event(reason + ": relays drain");
   headline_ = "ending: relays drain";
   end_since_ = Clock::now();
   const bool begun = stage_ == Stage::running;
@@ -289,18 +292,18 @@
   agent_.signal(SIGTERM);
 }
 
-void Demonstration::happened(const std::string& what) {
-  happened_.push_front({elapsed_s(), what});
-  if (happened_.size() > kMostHappened) happened_.pop_back();
-  if (!drawn_) say(clock_time(elapsed_s()) + "  " + safe(what) + "\n");
+void Demonstration::record_event(const std::string& what) {
+  events_.push_front({elapsed_s(), what});
+  if (events_.size() > kMaxEvents) events_.pop_back();
+  if (!uses_screen_) print(clock_time(elapsed_s()) + "  " + safe(what) + "\n");
 }
 
-// Where nobody reads any more, it ends.
-void Demonstration::say(const std::string& text) {
+// Writes to standard output; after a failed write the demonstration ends.
+void Demonstration::print(const std::string& text) {
   try {
-    if (!deaf_) put(1, text);
+    if (!output_failed_) put(1, text);
   } catch (const std::system_error&) {
-    deaf_ = true;
+    output_failed_ = true;
   }
 }
 
@@ -321,34 +324,36 @@
   }
   world_.fill(v, last_.instances, standins::steady_time());
   if (last_.agent.platform) v.totals.ended = static_cast<std::uint64_t>(last_.agent.platform->finals);
-  v.happened.assign(happened_.begin(), happened_.end());
-  v.tries = {{"export HERONVANE_AGENT=" + agent_.socket(), "in another terminal"},
-             {tool_ + " status", "or: show n0, drain n1, restart --rolling"}};
+  v.events.assign(events_.begin(), events_.end());
+  v.suggestions = {{"export HERONVANE_AGENT=" + agent_.socket(), "in another terminal"},
+                   {tool_ + " status", "or: show n0, drain n1, restart --rolling"}};
   const auto& last = v.relays.back();
   if (last.pid > 0)
-    v.tries.push_back({"kill -9 " + std::to_string(last.pid), last.name + " comes back, nothing is lost"});
+    v.suggestions.push_back(
+        {"kill -9 " + std::to_string(last.pid), last.name + " comes back, nothing is lost"});
   return v;
 }
 
 void Demonstration::show() {
-  shown_ = Clock::now();
+  last_drawn_ = Clock::now();
   const auto v = view();
-  if (drawn_) {
+  if (uses_screen_) {
     try {
       screen_->draw(render_demo(v, style_of(1), terminal_size(1).rows));
     } catch (const std::system_error&) {
-      deaf_ = true;
+      output_failed_ = true;
     }
     return;
   }
-  if (stage_ != Stage::starting) say(plain_demo(v));
-  if (stage_ == Stage::running && !hints_told_) {
-    hints_told_ = true;
-    for (const auto& t : v.tries) say("  try: " + t.command + (t.why.empty() ? "" : "   # " + t.why) + "\n");
+  if (stage_ != Stage::starting) print(plain_demo(v));
+  if (stage_ == Stage::running && !hints_shown_) {
+    hints_shown_ = true;
+    for (const auto& t : v.suggestions)
+      print("  try: " + t.command + (t.reason.empty() ? "" : "   # " + t.reason) + "\n");
   }
 }
 
-int Demonstration::sum_up() {
+int Demonstration::print_summary() {
   leftovers_ = end_leftovers(folder_.path());
   const auto problem = settle_by_notices(agent_.data(), world_.ledger());
   const auto n = world_.counts();
@@ -365,7 +370,7 @@
     return kRefused;
   }
   if (n.handed == 0) {
-    say("demo: ended before clients began\n");
+    print("demo: ended before clients began\n");
     return kDone;
   }
   const std::uint64_t unanswered = n.silence + n.out, refused = n.refused + n.failed;
@@ -394,7 +399,7 @@
   if (leftovers_ > 0)
     text +=
         "  ended by force: " + count(static_cast<std::int64_t>(leftovers_), "process", "processes") + "\n";
-  say(text);
+  print(text);
   return adds_up && !lost && l.twice == 0 && problem.empty() ? kDone : kPartial;
 }
 
--- a/cli/demo.hpp
+++ b/cli/demo.hpp
@@ -1,13 +1,13 @@
-// heronvanectl demo: a fleet of three relays under an agent of its own, with clients and partners that
-// misbehave in this process. All of it stands in a temporary folder and is gone at the end.
+// heronvanectl demo: runs an agent with three relays, and in this process the clients and the misbehaving
+// partners. All files are in a temporary folder that is removed at the end.
 #pragma once
 
 #include "commands.hpp"
 
 namespace heronvane::cli {
 
-// Until Ctrl-C or its seconds are over. kDone: every message is accounted for, none took effect twice;
-// kPartial: not so; kRefused: it could not be set up.
+// Runs until Ctrl-C or the end of options.seconds. Returns kDone if every message is accounted for and none
+// that must not took effect twice, kPartial if not, kRefused if the demonstration could not be set up.
 int demo(const Demo& options);
 
 }  // namespace heronvane::cli
--- a/cli/demo_agent.cpp
+++ b/cli/demo_agent.cpp
@@ -25,14 +25,15 @@
 
 namespace {
 
-constexpr std::size_t kMostFolder = 50;  // sockets lie deep in it, and their paths may have 107 bytes
+constexpr std::size_t kMaxFolderLength =
+    50;  // leaves room for the paths of sockets in it, limited to 107 bytes
 constexpr int kFirstPort = 20'000, kLastPort = 31'999;
 
 [[noreturn]] void fail(const std::string& what) {
   throw std::system_error(errno, std::generic_category(), what);
 }
 
-bool takes(std::uint16_t port) {
+bool is_free(std::uint16_t port) {
   const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   if (fd < 0) fail("socket");
   sockaddr_in at{};
@@ -47,7 +48,7 @@
 TemporaryFolder::TemporaryFolder() {
   const char* const told = std::getenv("TMPDIR");
   std::string base = told == nullptr ? "" : told;
-  if (base.empty() || base.front() != '/' || base.size() > kMostFolder) base = "/tmp";
+  if (base.empty() || base.front() != '/' || base.size() > kMaxFolderLength) base = "/tmp";
   path_ = base + "/heronvane-demo-XXXXXX";
   if (::mkdtemp(path_.data()) == nullptr) fail(base);
 }
@@ -63,7 +64,7 @@
   for (int tries = 0; tries < 5'000 && ports.size() < n; tries++) {
     const auto port =
         static_cast<std::uint16_t>(kFirstPort + static_cast<int>(random() % (kLastPort - kFirstPort + 1)));
-    if (std::find(ports.begin(), ports.end(), port) == ports.end() && takes(port)) ports.push_back(port);
+    if (std::find(ports.begin(), ports.end(), port) == ports.end() && is_free(port)) ports.push_back(port);
   }
   if (ports.size() < n) throw std::runtime_error("no free ports on 127.0.0.1 from 20000 to 31999");
   return ports;
@@ -91,14 +92,14 @@
 void AgentProcess::start() {
   if (::symlink("a/agent.sock", socket().c_str()) != 0 && errno != EEXIST) fail(socket());
   const std::string program = beside("heronvane-agent"), folder = data(), out = log();
-  const char* const words[] = {program.c_str(), "--data",        folder.c_str(),
-                               "--foreground",  "--stop-relays", nullptr};
+  const char* const arguments[] = {program.c_str(), "--data",        folder.c_str(),
+                                   "--foreground",  "--stop-relays", nullptr};
   int told[2];
   if (::pipe2(told, O_CLOEXEC) != 0) fail("pipe");
   const pid_t parent = ::getpid(), child = ::fork();
   if (child < 0) fail("fork");
   if (child == 0) {
-    // Other threads may hold locks: nothing here may need one.
+    // Only async-signal-safe calls: another thread may have held a lock at the fork.
     ::setsid();
     ::prctl(PR_SET_PDEATHSIG, SIGTERM);
     ::signal(SIGPIPE, SIG_DFL);
@@ -106,11 +107,11 @@
               to = ::open(out.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
     if (::getppid() == parent && null >= 0 && to >= 0) {
       ::dup2(null, STDIN_FILENO), ::dup2(to, STDOUT_FILENO), ::dup2(to, STDERR_FILENO);
-      // Sockets of this process must not live on in others.
+      // The child must not inherit the sockets of this process.
       ::dup3(told[1], 3, O_CLOEXEC);
       ::close_range(4, ~0u, 0);
       told[1] = 3;
-      ::execvp(words[0], const_cast<char**>(words));
+      ::execvp(arguments[0], const_cast<char**>(arguments));
     }
     const int why = errno;
     [[maybe_unused]] const auto n = ::write(told[1], &why, sizeof why);
@@ -150,14 +151,14 @@
       if (!std::all_of(name.begin(), name.end(), [](unsigned char c) { return std::isdigit(c) != 0; }))
         continue;
       std::ifstream in(entry.path() / "cmdline", std::ios::binary);
-      std::ostringstream all;  // a process that ends meanwhile is none; a stream's iterators would throw
+      std::ostringstream all;  // a process may end while it is read; stream iterators would throw then
       all << in.rdbuf();
-      const std::string words = all.str();
+      const std::string arguments = all.str();
       const auto pid = static_cast<pid_t>(std::atol(name.c_str()));
-      // Only what the agent started, not an operator's own tool or editor.
-      const auto program = std::filesystem::path(words.c_str()).filename();
+      // Only relays and agents, not an operator's tool or editor that has the folder in its arguments.
+      const auto program = std::filesystem::path(arguments.c_str()).filename();
       if ((program == "heronvane" || program == "heronvane-agent") &&
-          words.find(folder + "/") != std::string::npos)
+          arguments.find(folder + "/") != std::string::npos)
         pids.push_back(pid);
     }
     return pids;
@@ -173,10 +174,12 @@
 }
 
 FleetWatch::FleetWatch(boost::asio::io_context& io, std::string socket, std::string fleet,
-                       std::function<void(Seen)> take)
-    : io_(io), socket_(std::move(socket)), fleet_(std::move(fleet)), take_(std::move(take)), thread_([this] {
-        run();
-      }) {}
+                       std::function<void(State)> on_state)
+    : io_(io),
+      socket_(std::move(socket)),
+      fleet_(std::move(fleet)),
+      on_state_(std::move(on_state)),
+      thread_([this] { run(); }) {}
 
 FleetWatch::~FleetWatch() {
   *alive_ = false;
@@ -197,8 +200,8 @@
   wake_.notify_all();
 }
 
-FleetWatch::Seen FleetWatch::look(AgentConnection& port) {
-  Seen s;
+FleetWatch::State FleetWatch::read_state(AgentConnection& port) {
+  State s;
   s.applied = applied_;
   s.agent = port.as(port.get("/v1/agent"), read_agent);
   std::int64_t generation = 0;
@@ -209,7 +212,7 @@
     try {
       i.status = port.as(port.get("/v1/instances/" + i.name), read_instance).status;
     } catch (const Failure& f) {
-      if (!f.not_found) throw;  // gone since
+      if (!f.not_found) throw;  // removed since the list was read
     }
   }
   return s;
@@ -228,7 +231,7 @@
   while (!ending_) {
     const bool drain = drain_ && !drain_asked_;
     lock.unlock();
-    Seen seen;
+    State state;
     try {
       if (!applied_) {
         port.get("/v1/agent");
@@ -239,18 +242,18 @@
         drain_asked_ = true;
         post(port, "{\"kind\":\"drain\",\"names\":\"all\",\"supersede\":true" + by + "}");
       }
-      seen = look(port);
+      state = read_state(port);
     } catch (const Failure& f) {
-      (f.exit == kUnreachable ? seen.trouble : seen.refused) =
+      (f.exit == kUnreachable ? state.trouble : state.refused) =
           f.message + (f.hint.empty() ? "" : " (" + f.hint + ")");
-      seen.applied = applied_;
+      state.applied = applied_;
     } catch (const std::exception& e) {
-      seen.trouble = e.what();
-      seen.applied = applied_;
+      state.trouble = e.what();
+      state.applied = applied_;
     }
     const bool starting = !applied_;
-    boost::asio::post(io_, [alive = alive_, take = take_, seen = std::move(seen)] {
-      if (*alive) take(seen);
+    boost::asio::post(io_, [alive = alive_, on_state = on_state_, state = std::move(state)] {
+      if (*alive) on_state(state);
     });
     lock.lock();
     wake_.wait_for(lock, std::chrono::milliseconds(starting || drain_ ? 50 : 400),
--- a/cli/demo_agent.hpp
+++ b/cli/demo_agent.hpp
@@ -1,4 +1,4 @@
-// The demonstration's agent: its process, and what it tells, asked on a thread of its own.
+// The demonstration's agent: its process, and a thread that polls its state.
 #pragma once
 
 #include <sys/types.h>
@@ -20,7 +20,7 @@
 
 class AgentConnection;
 
-// A folder of mode 0700 in $TMPDIR or /tmp that is removed with all that is in it.
+// Creates a folder with mode 0700 in $TMPDIR or /tmp; the destructor removes it with its content.
 class TemporaryFolder {
  public:
   TemporaryFolder();
@@ -33,28 +33,32 @@
   std::string path_;
 };
 
-// So many ports of 127.0.0.1 that nobody has now, below those that connections are given.
+// `n` ports of 127.0.0.1 that are free now, below the ephemeral port range. std::runtime_error if there are
+// not enough.
 std::vector<std::uint16_t> free_ports(std::size_t n);
-// Where this program is; a program beside it, or its bare name, which is looked for in PATH.
+// The path of the running program.
 std::string own_program();
+// The path of `program` in the folder of this one, or its bare name, to be found through PATH.
 std::string beside(const std::string& program);
 
-// heronvane-agent as a child, in a session of its own so that Ctrl-C does not reach it, told to end its
-// relays with it. It ends (SIGTERM) when the thread that started it does.
+// Runs heronvane-agent as a child process with --stop-relays, in its own session so that Ctrl-C does not
+// reach it. The child gets SIGTERM when the thread that called start() ends.
 class AgentProcess {
  public:
   explicit AgentProcess(std::string folder) : folder_(std::move(folder)) {}
-  ~AgentProcess();  // ends it, and its relays, within some seconds
+  ~AgentProcess();  // ends the agent (SIGKILL after 4 s) and its relays
   AgentProcess(const AgentProcess&) = delete;
   AgentProcess& operator=(const AgentProcess&) = delete;
 
   void start();  // std::system_error
   std::string data() const { return folder_ + "/a"; }
-  std::string socket() const { return folder_ + "/agent.sock"; }  // a short way to the one in its data
+  std::string socket() const {
+    return folder_ + "/agent.sock";
+  }  // a symbolic link to the socket in data(), for a shorter path
   std::string log() const { return folder_ + "/agent.out"; }
-  pid_t pid() const { return pid_; }  // 0: it does not run
+  pid_t pid() const { return pid_; }  // 0: not running
   void signal(int number) const;
-  // True once it has ended; `how` tells how.
+  // Whether the process has ended; `how` then gets its exit status or signal.
   bool ended(std::string& how);
 
  private:
@@ -62,36 +66,38 @@
   pid_t pid_ = 0;
 };
 
-// Ends processes that name this folder in their command line, which are what the agent left, and waits until
-// they are gone. How many there were.
+// Kills relays and agents whose command line names this folder, which are left over from the agent, and waits
+// up to about 1 s until they have ended. Returns how many there were at first.
 std::size_t end_leftovers(const std::string& folder);
 
+// Applies the fleet and polls the agent on its own thread.
 class FleetWatch {
  public:
-  struct Seen {
-    bool applied = false;  // the agent has the fleet
-    std::string refused;   // why it does not take it
-    std::string trouble;   // why nothing could be learned
+  struct State {
+    bool applied = false;  // the agent has accepted the fleet
+    std::string refused;   // why the agent refused a request, "" if it did not
+    std::string trouble;   // why the state could not be read, "" if it was
     AgentInfo agent;
     std::vector<Instance> instances;
   };
-  // Has the agent take the fleet once it answers, and hands on what it tells, in the thread of `io`.
+  // Applies the fleet once the agent answers, then polls its state and passes it to `on_state` on the thread
+  // of `io`.
   FleetWatch(boost::asio::io_context& io, std::string socket, std::string fleet,
-             std::function<void(Seen)> take);
+             std::function<void(State)> on_state);
   ~FleetWatch();
   FleetWatch(const FleetWatch&) = delete;
   FleetWatch& operator=(const FleetWatch&) = delete;
 
-  void drain();  // all instances
+  void drain();  // starts draining all instances
 
  private:
   void run();
-  Seen look(AgentConnection& port);
+  State read_state(AgentConnection& port);
   void post(AgentConnection& port, const std::string& body);
 
   boost::asio::io_context& io_;
   std::string socket_, fleet_;
-  std::function<void(Seen)> take_;
+  std::function<void(State)> on_state_;
   Stop stop_;
   std::mutex mutex_;
   std::condition_variable wake_;
--- a/cli/demo_ledger.cpp
+++ b/cli/demo_ledger.cpp
@@ -15,7 +15,7 @@
   Entry& e = it->second;
   switch (heard) {
     case Heard::taken:
-      e.said = Said::taken;
+      e.client_result = ClientResult::taken;
       totals_.taken++;
       if (e.delivered)
         totals_.delivered++;
@@ -25,11 +25,11 @@
     case Heard::refused:
     case Heard::failed:
     case Heard::no_relay:
-      e.said = Said::refused;
-      look_for_breach(e);
+      e.client_result = ClientResult::refused;
+      check_violation(e);
       break;
     case Heard::silence:
-      e.said = Said::silence;
+      e.client_result = ClientResult::silence;
       if (e.delivered) totals_.delivered_unanswered++;
       break;
   }
@@ -41,13 +41,13 @@
   Entry& e = it->second;
   e.ran++;
   if (!e.unsafe && e.ran > 1) totals_.repeated++;
-  look_for_breach(e);
+  check_violation(e);
 }
 
-void Ledger::look_for_breach(Entry& e) {
-  const bool breach = (e.unsafe && e.ran > 1) || (e.said == Said::refused && e.ran > 0);
-  if (!breach || e.breach) return;
-  e.breach = true;
+void Ledger::check_violation(Entry& e) {
+  const bool violation = (e.unsafe && e.ran > 1) || (e.client_result == ClientResult::refused && e.ran > 0);
+  if (!violation || e.violation) return;
+  e.violation = true;
   totals_.twice++;
 }
 
@@ -57,8 +57,8 @@
   Entry& e = it->second;
   e.delivered = true;
   latencies_.add(now, now - e.sent);
-  if (e.said == Said::silence) totals_.delivered_unanswered++;
-  if (e.said != Said::taken) return;
+  if (e.client_result == ClientResult::silence) totals_.delivered_unanswered++;
+  if (e.client_result != ClientResult::taken) return;
   totals_.delivered++;
   if (e.ended)
     e.ended = false, totals_.ended--;
@@ -69,14 +69,15 @@
 void Ledger::forget(Microseconds before) {
   for (auto it = entries_.begin(); it != entries_.end();) {
     const Entry& e = it->second;
-    const bool settled = e.said == Said::taken ? e.delivered || e.ended : e.said != Said::nothing;
+    const bool settled = e.client_result == ClientResult::taken ? e.delivered || e.ended
+                                                                : e.client_result != ClientResult::nothing;
     it = settled && e.sent < before ? entries_.erase(it) : std::next(it);
   }
 }
 
 void Ledger::settle(const std::function<bool(const std::string& id)>& noticed) {
   for (auto& [id, e] : entries_) {
-    if (e.said != Said::taken || e.delivered || e.ended || !noticed(id)) continue;
+    if (e.client_result != ClientResult::taken || e.delivered || e.ended || !noticed(id)) continue;
     e.ended = true;
     totals_.ended++, totals_.open--;
   }
--- a/cli/demo_ledger.hpp
+++ b/cli/demo_ledger.hpp
@@ -1,5 +1,5 @@
-// The demonstration's books: what became of each message that clients handed in, as seen from outside the
-// relays. Pure: no I/O, no clock.
+// Tracks the outcome of each message that the demonstration's clients send, as observed by clients, endpoints
+// and platform. No I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -17,36 +17,38 @@
   using Microseconds = standins::Microseconds;
   struct Totals {
     std::uint64_t taken = 0, delivered = 0;
-    std::uint64_t ended = 0;     // of those taken and not delivered: by a notice, once told by ended()
-    std::uint64_t open = 0;      // taken, and neither
-    std::uint64_t twice = 0;     // must not run twice and did, or was refused and ran
-    std::uint64_t repeated = 0;  // effects of others beyond the first, which do no harm
-    std::uint64_t delivered_unanswered = 0;  // delivered, though its client heard nothing
+    std::uint64_t ended = 0;     // accepted, not delivered, and ended by a notice; counted by settle()
+    std::uint64_t open = 0;      // accepted, neither delivered nor ended
+    std::uint64_t twice = 0;     // unsafe messages that ran twice, and refused ones that ran
+    std::uint64_t repeated = 0;  // repeated runs of other messages, which are allowed
+    std::uint64_t delivered_unanswered = 0;  // delivered although the client got no answer
   };
 
-  // One try to hand in, under its id, before its first byte; `unsafe`: it must not take effect twice.
+  // Call before the first byte of an attempt to send the message `id`. `unsafe`: it must not take effect
+  // twice.
   void sent(Microseconds now, const std::string& id, bool unsafe);
   void heard(const std::string& id, standins::Heard heard);
-  void ran(const std::string& id);                          // it took effect at an endpoint
-  void delivered(Microseconds now, const std::string& id);  // a 200 was written
-  // Drops what can change no more: of ids sent before `before`, those delivered or never taken.
+  void ran(const std::string& id);                          // the message took effect at an endpoint
+  void delivered(Microseconds now, const std::string& id);  // the endpoint wrote its 200
+  // Removes settled messages sent before `before`: accepted ones that were delivered or ended by a notice,
+  // and those that were not accepted.
   void forget(Microseconds before);
-  // Asks of each message that is open whether a notice ended it.
+  // Marks each open message for which `noticed` returns true as ended by a notice.
   void settle(const std::function<bool(const std::string& id)>& noticed);
 
   const Totals& totals() const { return totals_; }
-  const standins::Latencies& latencies() const { return latencies_; }  // from the try's start to its 200
-  std::size_t kept() const { return entries_.size(); }
+  const standins::Latencies& latencies() const { return latencies_; }  // from sent() to delivered()
+  std::size_t size() const { return entries_.size(); }
 
  private:
-  enum class Said { nothing, taken, refused, silence };
+  enum class ClientResult { nothing, taken, refused, silence };
   struct Entry {
     Microseconds sent = 0;
-    bool unsafe = false, delivered = false, ended = false, breach = false;
-    Said said = Said::nothing;
+    bool unsafe = false, delivered = false, ended = false, violation = false;
+    ClientResult client_result = ClientResult::nothing;
     unsigned ran = 0;
   };
-  void look_for_breach(Entry& e);
+  void check_violation(Entry& e);
 
   std::unordered_map<std::string, Entry> entries_;
   Totals totals_;
--- a/cli/demo_notices.hpp
+++ b/cli/demo_notices.hpp
@@ -1,4 +1,4 @@
-// The notices that the agent's platform kept, once the agent has ended and left its files to nobody.
+// Reads the notices that the agent's platform stored. Only call this after the agent has ended.
 #pragma once
 
 #include <string>
@@ -7,8 +7,9 @@
 
 namespace heronvane::cli {
 
-// Marks each open message of the books that a notice ended. `data`: the agent's folder. Why it could not be
-// done, or "".
+// Marks each open message of `ledger` that a notice ended. `data` is the agent's data folder. Returns the
+// error,
+// "" on success.
 std::string settle_by_notices(const std::string& data, Ledger& ledger);
 
 }  // namespace heronvane::cli
--- a/cli/demo_view.cpp
+++ b/cli/demo_view.cpp
@@ -13,7 +13,7 @@
   return v < 0.05 ? "-" : text;
 }
 
-std::string span(std::int64_t us) {
+std::string latency_text(std::int64_t us) {
   if (us < 0) return "-";
   char text[32];
   if (us < 9'950)
@@ -46,8 +46,8 @@
            r.pid > 0 ? std::to_string(r.pid) : "-",
            std::to_string(r.held),
            rate(r.per_s),
-           span(r.p50_us),
-           span(r.p99_us),
+           latency_text(r.p50_us),
+           latency_text(r.p99_us),
            std::to_string(r.restarts)});
   return t.text(style);
 }
@@ -68,7 +68,7 @@
              rate(e.served_s),
              rate(e.refused_s),
              rate(e.failed_s),
-             e.ways});
+             e.behaviour});
   return t.text(style);
 }
 
@@ -79,23 +79,23 @@
   text += "outside  delivered " + grouped(n.delivered) + "  by notice " + grouped(n.ended) + "  held " +
           grouped(n.held) + "  " +
           toned("twice " + grouped(n.twice), n.twice == 0 ? Tone::good : Tone::bad, style) + "  p50 " +
-          span(n.p50_us) + " p99 " + span(n.p99_us) + "\n";
+          latency_text(n.p50_us) + " p99 " + latency_text(n.p99_us) + "\n";
   return text;
 }
 
-std::string tries(const DemoView& v, const Style& style) {
+std::string suggestions(const DemoView& v, const Style& style) {
   std::string text;
-  for (const auto& t : v.tries) {
+  for (const auto& t : v.suggestions) {
     const std::string line = (text.empty() ? "try  " : "     ") + t.command;
-    const std::string why = t.why.empty() ? "" : "   # " + t.why;
-    // A command is never cut, so that it can be copied: the terminal folds one that is too long.
-    const bool fits = style.width == 0 || columns(line) + columns(why) <= style.width;
-    text += line + (fits ? toned(why, Tone::dim, style) : "") + "\n";
+    const std::string reason = t.reason.empty() ? "" : "   # " + t.reason;
+    // Commands are never cut, so that they can be copied; the terminal wraps one that is too long.
+    const bool fits = style.width == 0 || columns(line) + columns(reason) <= style.width;
+    text += line + (fits ? toned(reason, Tone::dim, style) : "") + "\n";
   }
   return text;
 }
 
-// Rows that the text takes on a terminal that folds lines.
+// The number of rows that the text occupies on a terminal that wraps lines.
 std::size_t rows_of(const std::string& text, std::size_t width) {
   std::size_t rows = 0, at = 0;
   while (at < text.size()) {
@@ -130,24 +130,24 @@
 }
 
 std::string render_demo(const DemoView& v, const Style& style, std::size_t rows) {
-  const bool roomy = rows >= 30;
-  const std::string gap = roomy ? "\n" : "";
+  const bool is_large = rows >= 30;
+  const std::string gap = is_large ? "\n" : "";
   std::string text = toned("heronvane demo", Tone::bold, style) + "  " + clock_time(v.elapsed_s) + "  " +
                      count(static_cast<std::int64_t>(v.relays.size()), "relay", "relays") + ", " +
                      count(static_cast<std::int64_t>(v.partners), "partner", "partners") + ", " +
                      count(static_cast<std::int64_t>(v.endpoints.size()), "endpoint", "endpoints") + "   " +
                      toned(v.headline, Tone::dim, style) + "\n" + gap;
-  text += relays(v, style) + gap + endpoints(v, style, roomy) + gap + totals(v, style) + gap;
-  const std::string bottom = gap + tries(v, style);
-  const std::size_t folded = rows_of(text + bottom, style.width);
-  const auto whole = static_cast<std::size_t>(std::count(text.begin(), text.end(), '\n') +
-                                              std::count(bottom.begin(), bottom.end(), '\n'));
-  // Where lines are folded the last one ends with a line feed: it needs a row to go to.
-  const std::size_t used = folded + (folded > whole ? 1 : 0);
+  text += relays(v, style) + gap + endpoints(v, style, is_large) + gap + totals(v, style) + gap;
+  const std::string bottom = gap + suggestions(v, style);
+  const std::size_t wrapped_rows = rows_of(text + bottom, style.width);
+  const auto line_count = static_cast<std::size_t>(std::count(text.begin(), text.end(), '\n') +
+                                                   std::count(bottom.begin(), bottom.end(), '\n'));
+  // If lines wrap, one row is reserved for the line feed that ends the last line.
+  const std::size_t used = wrapped_rows + (wrapped_rows > line_count ? 1 : 0);
   const std::size_t left = rows > used ? std::min<std::size_t>(rows - used, 12) : 0;
   for (std::size_t i = 0; i < left; i++) {
-    if (i < v.happened.size()) {
-      std::string line = clock_time(v.happened[i].at_s) + "  " + safe(v.happened[i].what);
+    if (i < v.events.size()) {
+      std::string line = clock_time(v.events[i].at_s) + "  " + safe(v.events[i].what);
       if (style.width > 0 && columns(line) > style.width) line = line.substr(0, style.width);
       text += i == 0 ? line : toned(line, Tone::dim, style);
     }
@@ -161,7 +161,7 @@
   std::string text = clock_time(v.elapsed_s) + "  handed in " + grouped(n.handed) + "  taken on " +
                      grouped(n.taken) + "  delivered " + grouped(n.delivered) + "  by notice " +
                      grouped(n.ended) + "  held " + grouped(n.held) + "  twice " + grouped(n.twice) +
-                     "  p50 " + span(n.p50_us) + " p99 " + span(n.p99_us);
+                     "  p50 " + latency_text(n.p50_us) + " p99 " + latency_text(n.p99_us);
   for (const auto& r : v.relays) text += "  " + safe(r.name) + " " + safe(r.phase);
   return text + "\n";
 }
--- a/cli/demo_world.cpp
+++ b/cli/demo_world.cpp
@@ -14,13 +14,13 @@
 namespace {
 
 constexpr DemoWorld::Microseconds kSecond = 1'000'000;
-constexpr DemoWorld::Microseconds kReplaceEach = 25 * kSecond;
-// Longer than a list may take to be known everywhere, and its calls to come to an end.
-constexpr DemoWorld::Microseconds kDrains = 6 * kSecond, kStands = 9 * kSecond;
-constexpr DemoWorld::Microseconds kRateOver = 3 * kSecond;
+constexpr DemoWorld::Microseconds kReplaceInterval = 25 * kSecond;
+// Long enough for every relay to receive the new list and for the running calls to end.
+constexpr DemoWorld::Microseconds kDrainTime = 6 * kSecond, kStopAfter = 9 * kSecond;
+constexpr DemoWorld::Microseconds kRateWindow = 3 * kSecond;
 constexpr DemoWorld::Microseconds kForgetAfter = 120 * kSecond;
-constexpr DemoWorld::Microseconds kTellResetsEach = 10 * kSecond;
-// Short enough that all that is held is over within the seconds that the end may take.
+constexpr DemoWorld::Microseconds kResetReportInterval = 10 * kSecond;
+// Short enough that all pending messages end within the time for the final drain.
 constexpr DemoWorld::Microseconds kDeadline = 1'500'000, kUnsafeDeadline = 2'500'000;
 constexpr const char* kSafe = "load-status";
 constexpr const char* kUnsafe = "pay-and-order";
@@ -71,10 +71,11 @@
   return {"open", Tone::good};
 }
 
-DemoWorld::DemoWorld(boost::asio::io_context& io, std::string partners_file, Tell tell, std::uint64_t seed)
+DemoWorld::DemoWorld(boost::asio::io_context& io, std::string partners_file, ReportEvent report_event,
+                     std::uint64_t seed)
     : io_(io),
       partners_file_(std::move(partners_file)),
-      tell_(std::move(tell)),
+      report_event_(std::move(report_event)),
       seed_(seed),
       partners_{{"harbor", "big", 1, 50},    {"quarry", "small", 2, 17},  {"meadow", "small", 3, 25},
                 {"orchard", "small", 4, 20}, {"foundry", "small", 5, 26}, {"lantern", "big", 6, 12}} {
@@ -99,23 +100,24 @@
 
 DemoWorld::~DemoWorld() = default;
 
-void DemoWorld::add(std::size_t partner, const Habits& habits, std::string ways, bool replaced) {
+void DemoWorld::add(std::size_t partner, const Habits& habits, std::string behaviour, bool replaced) {
   standins::EndpointOptions o;
-  o.name = "s-" + std::to_string(++named_);
+  o.name = "s-" + std::to_string(++last_endpoint_number_);
   o.habits = habits;
-  o.seed = seed_ + named_;
+  o.seed = seed_ + last_endpoint_number_;
   o.ran = [this](const std::string& id) { ledger_.ran(id); };
   o.answered = [this](const std::string& id) { ledger_.delivered(standins::steady_time(), id); };
-  Row row;
-  row.endpoint = std::make_unique<standins::Endpoint>(io_, std::move(o));
-  row.partner = partner, row.habits = habits, row.ways = std::move(ways), row.replaced_by_turns = replaced;
-  rows_.push_back(std::move(row));
+  EndpointState state;
+  state.endpoint = std::make_unique<standins::Endpoint>(io_, std::move(o));
+  state.partner = partner, state.habits = habits, state.behaviour = std::move(behaviour),
+  state.replaced_regularly = replaced;
+  endpoints_.push_back(std::move(state));
 }
 
 void DemoWorld::write_partners() const {
   std::string text = "{\"endpoints\":[";
   bool first = true;
-  for (const auto& r : rows_) {
+  for (const auto& r : endpoints_) {
     if (r.status == "gone") continue;
     const auto& p = partners_[r.partner];
     text += std::string(first ? "\n" : ",\n") + "  {\"name\":\"" + r.endpoint->name() + "\",\"address\":\"" +
@@ -162,64 +164,65 @@
 bool DemoWorld::clients_out() const { return counts().out > 0; }
 
 void DemoWorld::replace(std::size_t i, Microseconds now) {
-  const Row& old = rows_[i];
-  add(old.partner, old.habits, old.ways, true);
-  rows_[i].status = "draining";
-  rows_[i].replaced_by_turns = false;
-  rows_[i].gone_at = now + kDrains, rows_[i].ends_at = now + kStands;
+  const EndpointState& old = endpoints_[i];
+  add(old.partner, old.habits, old.behaviour, true);
+  endpoints_[i].status = "draining";
+  endpoints_[i].replaced_regularly = false;
+  endpoints_[i].gone_at = now + kDrainTime, endpoints_[i].ends_at = now + kStopAfter;
   write_partners();
-  tell_("drained: " + rows_[i].endpoint->name() + " -> " + rows_.back().endpoint->name());
+  report_event_("drained: " + endpoints_[i].endpoint->name() + " -> " + endpoints_.back().endpoint->name());
 }
 
 void DemoWorld::tick(Microseconds now) {
-  for (auto& r : rows_) {
+  for (auto& r : endpoints_) {
     const auto& name = r.endpoint->name();
     if (r.endpoint->silent() != r.silent) {
       r.silent = !r.silent;
-      tell_(r.silent ? "silent: " + name + " takes calls and answers none" : "answers again: " + name);
+      report_event_(r.silent ? "silent: " + name + " takes calls and answers none"
+                             : "answers again: " + name);
     }
     if (r.endpoint->waits() != r.waits) {
       r.waits = !r.waits;
-      if (r.waits) tell_("told to wait: " + name + " wants no calls for a second");
+      if (r.waits) report_event_("told to wait: " + name + " wants no calls for a second");
     }
     const auto resets = r.endpoint->counts().reset;
-    if (resets > r.resets_told && now - r.told_at >= kTellResetsEach) {
-      tell_("reset: " + name + " broke " +
-            count(static_cast<std::int64_t>(resets - r.resets_told), "call", "calls"));
-      r.resets_told = resets, r.told_at = now;
+    if (resets > r.resets_reported && now - r.reported_at >= kResetReportInterval) {
+      report_event_("reset: " + name + " broke " +
+                    count(static_cast<std::int64_t>(resets - r.resets_reported), "call", "calls"));
+      r.resets_reported = resets, r.reported_at = now;
     }
     if (r.status == "draining" && now >= r.gone_at) {
       r.status = "gone";
       write_partners();
-      tell_("gone: " + name);
+      report_event_("gone: " + name);
     }
   }
-  std::erase_if(rows_, [&](const Row& r) { return r.status == "gone" && now >= r.ends_at; });
-  if (replace_at_ == 0) replace_at_ = now + kReplaceEach / 2;
+  std::erase_if(endpoints_, [&](const EndpointState& r) { return r.status == "gone" && now >= r.ends_at; });
+  if (replace_at_ == 0) replace_at_ = now + kReplaceInterval / 2;
   if (now >= replace_at_) {
-    replace_at_ = now + kReplaceEach;
-    for (std::size_t i = 0; i < rows_.size(); i++)
-      if (rows_[i].replaced_by_turns) {
+    replace_at_ = now + kReplaceInterval;
+    for (std::size_t i = 0; i < endpoints_.size(); i++)
+      if (endpoints_[i].replaced_regularly) {
         replace(i, now);
         break;
       }
   }
   ledger_.forget(now - kForgetAfter);
-  mark(now);
+  take_sample(now);
 }
 
-void DemoWorld::mark(Microseconds now) {
-  Mark m;
+void DemoWorld::take_sample(Microseconds now) {
+  Sample m;
   m.at = now;
   for (std::size_t i = 0; i < relays_; i++) m.taken.push_back(clients_->relay(i).taken);
-  for (const auto& r : rows_) m.endpoints.emplace_back(r.endpoint->name(), r.endpoint->counts());
-  marks_.push_back(std::move(m));
-  while (marks_.size() > 1 && marks_[1].at <= now - kRateOver) marks_.pop_front();
+  for (const auto& r : endpoints_) m.endpoints.emplace_back(r.endpoint->name(), r.endpoint->counts());
+  samples_.push_back(std::move(m));
+  while (samples_.size() > 1 && samples_[1].at <= now - kRateWindow) samples_.pop_front();
 }
 
 void DemoWorld::fill(DemoView& view, const std::vector<Instance>& instances, Microseconds now) {
   view.partners = partners_.size();
-  const Mark* const before = marks_.empty() ? nullptr : &marks_.front();
+  const Sample* const before = samples_.empty() ? nullptr : &samples_.front();
   const Microseconds span = before == nullptr ? 0 : now - before->at;
   for (std::size_t i = 0; i < view.relays.size() && i < relays_; i++) {
     const auto& r = clients_->relay(i);
@@ -229,11 +232,11 @@
     view.relays[i].p99_us = r.latencies.quantile(now, 0.99);
   }
   view.endpoints.clear();
-  for (const auto& r : rows_) {
+  for (const auto& r : endpoints_) {
     DemoView::Endpoint e;
     e.name = r.endpoint->name();
     e.partner = partners_[r.partner].name;
-    e.ways = r.ways;
+    e.behaviour = r.behaviour;
     e.leaving = r.status != "ready";
     const auto seen = r.status == "gone" ? SeenState{"gone", Tone::dim} : seen_state(e.name, instances);
     e.seen = seen.text, e.tone = seen.tone;
--- a/cli/demo_world.hpp
+++ b/cli/demo_world.hpp
@@ -1,5 +1,5 @@
-// The demonstration's outside: partners with endpoints that misbehave in known ways, clients, and the books
-// on them.
+// The environment of the demonstration's relays: partners with endpoints that misbehave in defined ways,
+// clients, and the ledger of their messages.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -22,19 +22,21 @@
 class DemoWorld {
  public:
   using Microseconds = standins::Microseconds;
-  using Tell = std::function<void(const std::string& what)>;
-  // Endpoints serve at once. The list of partners is written to `partners_file`, whole or not at all.
-  DemoWorld(boost::asio::io_context& io, std::string partners_file, Tell tell, std::uint64_t seed);
+  using ReportEvent = std::function<void(const std::string& what)>;
+  // Starts the endpoints and writes the list of partners to `partners_file`, atomically. `report_event`
+  // receives a description of each event. std::runtime_error if the file can't be written.
+  DemoWorld(boost::asio::io_context& io, std::string partners_file, ReportEvent report_event,
+            std::uint64_t seed);
   ~DemoWorld();
   DemoWorld(const DemoWorld&) = delete;
   DemoWorld& operator=(const DemoWorld&) = delete;
 
   void start_clients(std::vector<standins::ClientsOptions::Relay> relays);
   void stop_clients();
-  bool clients_out() const;  // a message is handed in and not answered yet
-  // Each 250 ms or so: spells that began, endpoints due to be replaced.
+  bool clients_out() const;  // whether a client still waits for an answer
+  // Call about every 250 ms: reports changes of the endpoints' behaviour and replaces endpoints that are due.
   void tick(Microseconds now);
-  // Fills endpoints and totals; relays' rates and latencies of those that stand there already.
+  // Fills in endpoints and totals, and the rates and latencies of the relays that `view` already lists.
   void fill(DemoView& view, const std::vector<Instance>& instances, Microseconds now);
   std::size_t partners() const { return partners_.size(); }
   Ledger& ledger() { return ledger_; }
@@ -44,45 +46,46 @@
   struct Partner {
     std::string name, kind;
     std::int64_t group;
-    double per_s;  // of the clients' messages
+    double per_s;  // messages per second from the clients
   };
-  struct Row {
+  struct EndpointState {
     std::unique_ptr<standins::Endpoint> endpoint;
     std::size_t partner = 0;
     standins::Habits habits;
-    std::string ways;
-    bool silent = false, waits = false, replaced_by_turns = false;
-    std::string status = "ready";           // as the list tells it
-    Microseconds gone_at = 0, ends_at = 0;  // of one that drains
-    std::uint64_t resets_told = 0;
-    Microseconds told_at = 0;
+    std::string behaviour;
+    bool silent = false, waits = false, replaced_regularly = false;
+    std::string status = "ready";  // its status in the partner list
+    Microseconds gone_at = 0,
+                 ends_at = 0;  // of a draining endpoint: when it is listed as gone, and when it stops
+    std::uint64_t resets_reported = 0;
+    Microseconds reported_at = 0;
   };
-  // Counts of the past seconds, for rates.
-  struct Mark {
+  // A sample of the counters, to compute rates.
+  struct Sample {
     Microseconds at = 0;
-    std::vector<std::uint64_t> taken;  // by relay
+    std::vector<std::uint64_t> taken;  // per relay
     std::vector<std::pair<std::string, standins::Endpoint::Counts>> endpoints;
   };
-  void add(std::size_t partner, const standins::Habits& habits, std::string ways, bool replaced = false);
+  void add(std::size_t partner, const standins::Habits& habits, std::string behaviour, bool replaced = false);
   void write_partners() const;
-  void replace(std::size_t row, Microseconds now);
-  void mark(Microseconds now);
+  void replace(std::size_t index, Microseconds now);
+  void take_sample(Microseconds now);
 
   boost::asio::io_context& io_;
   std::string partners_file_;
-  Tell tell_;
+  ReportEvent report_event_;
   std::uint64_t seed_;
-  unsigned named_ = 0;
+  unsigned last_endpoint_number_ = 0;
   Microseconds replace_at_ = 0;
   std::vector<Partner> partners_;
-  std::vector<Row> rows_;
+  std::vector<EndpointState> endpoints_;
   Ledger ledger_;
   std::unique_ptr<standins::Clients> clients_;
   std::size_t relays_ = 0;
-  std::deque<Mark> marks_;
+  std::deque<Sample> samples_;
 };
 
-// How relays see one endpoint, from what each tells of it.
+// The state of one endpoint, combined from the status of all relays.
 struct SeenState {
   std::string text;
   Tone tone = Tone::plain;
--- a/cli/terminal.hpp
+++ b/cli/terminal.hpp
@@ -19,7 +19,8 @@
 Size terminal_size(int descriptor);
 // The style for output to `descriptor`; without colour and width limit if it is not a terminal.
 Style style_of(int descriptor);
-// Writes all of `text`. std::system_error on failure; a closed pipe ends the process through SIGPIPE.
+// Writes all of `text`. std::system_error on failure; a closed pipe ends the process through
+// SIGPIPE unless that is ignored.
 void put(int descriptor, std::string_view text);
 
 // During its lifetime, SIGINT, SIGTERM, SIGHUP and SIGWINCH are blocked and only reported by wait(). Create
--- a/tests/demo/demo_test.sh
+++ b/tests/demo/demo_test.sh
@@ -1,6 +1,7 @@
 #!/bin/bash
-# Usage: demo_test.sh HERONVANECTL seconds|interrupt|kill: the demonstration runs, ends in that way, leaves
-# nothing behind, and its summary adds up. It waits for what it sees, never for a time.
+# Usage: demo_test.sh HERONVANECTL seconds|interrupt|kill
+# Runs the demonstration, ends it in the given way, and checks that no file or process is left and that the
+# summary adds up. It waits for output, not for a time.
 set -euo pipefail
 tool=$1 way=$2
 folder=$(mktemp -d)
@@ -17,7 +18,7 @@
   cat "$out"
   exit 1
 }
-# Until a line of the output fits, for as long as the demonstration runs.
+# Waits until a line of the output matches; fails if the demonstration ends first.
 seen() {
   until grep -qE "$1" "$out"; do
     kill -0 "$demo" 2>/dev/null || fail "ended before it said: $1"
@@ -37,7 +38,7 @@
   interrupt) kill -INT "$demo" ;;
   kill)
     kill -KILL "$(sed -n 's/.*try: kill -9 \([0-9]*\).*/\1/p' "$out" | head -1)"
-    # It stands again, by whichever of its phases were seen.
+    # The relay runs again; which of its phases are printed depends on the polling.
     seen 'n2: (runs anew|.* -> ready)'
     kill -TERM "$demo"
     ;;
@@ -47,13 +48,13 @@
 demo=""
 [[ $status -eq 0 ]] || fail "exit status $status"
 
-# Nothing is left.
+# No file and no process is left.
 [[ -z $(ls -A "$folder") ]] || fail "left in its folder: $(ls -A "$folder")"
 for words in /proc/[0-9]*/cmdline; do
   if { tr '\0' ' ' <"$words" | grep -qF "$folder/"; } 2>/dev/null; then fail "a process is left: $words"; fi
 done
 
-# Each message handed in has one end.
+# Each message that was handed in has exactly one outcome.
 count() { sed -n "s/^ *\([0-9,]*\)  $1.*/\1/p" "$out" | tr -d ,; }
 handed=$(sed -n 's/^demo: .* \([0-9,]*\) messages handed in$/\1/p' "$out" | tr -d ,)
 [[ -n $handed && $handed -gt 0 ]] || fail "no summary"
--- a/tests/demo/examples_test.cpp
+++ b/tests/demo/examples_test.cpp
@@ -1,4 +1,4 @@
-// The examples that are installed are what the tool and the agent take.
+// Checks that the tool and the agent accept the installed examples.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -20,7 +20,7 @@
   return {std::istreambuf_iterator<char>(in), {}};
 }
 
-TEST(ExamplesTest, TheFleetFileIsTaken) {
+TEST(ExamplesTest, TheFleetFileIsAccepted) {
   const auto json =
       cli::fleet_json(read("fleet.example.toml"), "fleet.example.toml",
                       [](const std::string& path) { return read(path.substr(path.find_last_of('/') + 1)); });
@@ -31,14 +31,14 @@
   EXPECT_TRUE(fleet::read_partners(fleet.platform()->partners).ok());
 }
 
-TEST(ExamplesTest, TheConfigurationOfOneRelayIsTaken) {
+TEST(ExamplesTest, TheConfigurationOfOneRelayIsAccepted) {
   const Config c = read_config(read("relay.example.json"));
   EXPECT_EQ(c.name, "n0");
   ASSERT_EQ(c.known.endpoints.size(), 1u);
   EXPECT_EQ(c.settings.classes.size(), 2u);
 }
 
-TEST(ExamplesTest, TheSettingsAreTheDefault) {
+TEST(ExamplesTest, TheSettingsAreTheDefaults) {
   EXPECT_EQ(fleet::to_text(fleet::parse_json(read("settings.example.json"))),
             fleet::to_text(fleet::parse_json(fleet::kDefaultSettings)));
 }
--- a/tests/demo/install_test.sh
+++ b/tests/demo/install_test.sh
@@ -1,5 +1,6 @@
 #!/bin/sh
-# Usage: install_test.sh BUILD WORK: the programs, the unit and the examples are installed, and fit together.
+# Usage: install_test.sh BUILD WORK
+# Installs the programs, the systemd unit and the examples, and checks that they work together.
 set -e
 rm -rf "$2"
 cmake --install "$1" --prefix "$2" >/dev/null
@@ -8,7 +9,7 @@
 done
 test -x "$2/bin/heronvane-store"
 test -s "$2/share/man/man8/heronvane-store.8"
-# Texts that a program prints of itself fit a terminal of 80 columns.
+# The help texts fit a terminal of 80 columns.
 for program in heronvane heronvane-agent heronvanectl heronvane-store; do
   "$2/bin/$program" --help | awk 'length > 80 { print; wide = 1 } END { exit wide }'
 done
--- a/tests/demo/ledger_test.cpp
+++ b/tests/demo/ledger_test.cpp
@@ -7,7 +7,7 @@
 
 using standins::Heard;
 
-TEST(LedgerTest, TakenAndDeliveredInEitherOrder) {
+TEST(LedgerTest, AcceptedAndDeliveredInEitherOrder) {
   Ledger l;
   l.sent(0, "a", true), l.heard("a", Heard::taken);
   EXPECT_EQ(l.totals().open, 1u);
@@ -19,25 +19,25 @@
   EXPECT_EQ(l.latencies().quantile(5'000, 1), 5'000);
 }
 
-TEST(LedgerTest, TwiceIsWhatMustNotBe) {
+TEST(LedgerTest, CountsRepeatedRunsOfUnsafeMessages) {
   Ledger l;
   l.sent(0, "unsafe", true), l.heard("unsafe", Heard::taken), l.ran("unsafe");
   EXPECT_EQ(l.totals().twice, 0u);
   l.ran("unsafe"), l.ran("unsafe");
-  EXPECT_EQ(l.totals().twice, 1u);  // of messages
+  EXPECT_EQ(l.totals().twice, 1u);  // counts messages, not runs
   l.sent(0, "safe", false), l.heard("safe", Heard::taken), l.ran("safe"), l.ran("safe");
   EXPECT_EQ(l.totals().twice, 1u);
   EXPECT_EQ(l.totals().repeated, 1u);
 }
 
-TEST(LedgerTest, WhatWasRefusedMustNotRun) {
+TEST(LedgerTest, CountsRunsOfRefusedMessages) {
   Ledger l;
   l.sent(0, "a", false), l.heard("a", Heard::refused), l.ran("a");
   l.sent(0, "b", false), l.ran("b"), l.heard("b", Heard::refused);
   EXPECT_EQ(l.totals().twice, 2u);
 }
 
-TEST(LedgerTest, WithoutAnAnswerItMayRunOnce) {
+TEST(LedgerTest, MessagesWithoutAnAnswerMayRunOnce) {
   Ledger l;
   l.sent(0, "a", true), l.heard("a", Heard::silence), l.ran("a"), l.delivered(1, "a");
   l.sent(0, "b", true), l.ran("b"), l.delivered(1, "b"), l.heard("b", Heard::silence);
@@ -47,7 +47,7 @@
   EXPECT_EQ(l.totals().delivered, 0u);
 }
 
-TEST(LedgerTest, NoticesEndWhatIsOpen) {
+TEST(LedgerTest, NoticesEndOpenMessages) {
   Ledger l;
   for (const char* id : {"a", "b", "c"}) l.sent(0, id, true), l.heard(id, Heard::taken);
   l.delivered(1, "a");
@@ -55,14 +55,14 @@
   EXPECT_EQ(l.totals().delivered, 1u);
   EXPECT_EQ(l.totals().ended, 1u);
   EXPECT_EQ(l.totals().open, 1u);
-  // One that is delivered after all counts as such.
+  // A message that is delivered after its notice counts as delivered.
   l.delivered(2, "b");
   EXPECT_EQ(l.totals().delivered, 2u);
   EXPECT_EQ(l.totals().ended, 0u);
   EXPECT_EQ(l.totals().open, 1u);
 }
 
-TEST(LedgerTest, ForgetsOnlyWhatIsSettled) {
+TEST(LedgerTest, ForgetsOnlySettledMessages) {
   Ledger l;
   l.sent(0, "done", true), l.heard("done", Heard::taken), l.delivered(1, "done");
   l.sent(0, "open", true), l.heard("open", Heard::taken);
@@ -70,10 +70,10 @@
   l.sent(0, "refused", true), l.heard("refused", Heard::refused);
   l.sent(10, "late", true), l.heard("late", Heard::taken), l.delivered(11, "late");
   l.forget(10);
-  EXPECT_EQ(l.kept(), 3u);  // open, out, late
+  EXPECT_EQ(l.size(), 3u);  // open, out, late
   l.heard("out", Heard::taken);
   EXPECT_EQ(l.totals().open, 2u);
-  // What was forgotten changes nothing more.
+  // Events of a forgotten message are ignored.
   l.ran("done"), l.delivered(20, "done");
   EXPECT_EQ(l.totals().delivered, 2u);
 }
--- a/tests/demo/view_test.cpp
+++ b/tests/demo/view_test.cpp
@@ -21,15 +21,15 @@
   for (int i = 1; i <= 10; i++) {
     DemoView::Endpoint e;
     e.name = "s-" + std::to_string(100 + i), e.partner = "foundry", e.seen = "told to wait 0.9s";
-    e.ways = "goes silent", e.served_s = 29.2, e.refused_s = 11.5, e.failed_s = 1.7;
+    e.behaviour = "goes silent", e.served_s = 29.2, e.refused_s = 11.5, e.failed_s = 1.7;
     v.endpoints.push_back(e);
   }
   v.totals.handed = 1'234'567, v.totals.taken = 1'234'500, v.totals.delivered = 1'234'000;
   v.totals.ended = 493, v.totals.held = 7, v.totals.p50_us = 12'000, v.totals.p99_us = 1'400'000;
-  for (int i = 40; i > 0; i--) v.happened.push_back({i, "silent: s-4 takes calls and answers none"});
-  v.tries = {{"export HERONVANE_AGENT=/tmp/heronvane-demo-VDVk5a/agent.sock", "in another terminal"},
-             {"build/heronvanectl status", "or: show n0, drain n1, restart --rolling"},
-             {"kill -9 4194002", "n2 comes back, nothing is lost"}};
+  for (int i = 40; i > 0; i--) v.events.push_back({i, "silent: s-4 takes calls and answers none"});
+  v.suggestions = {{"export HERONVANE_AGENT=/tmp/heronvane-demo-VDVk5a/agent.sock", "in another terminal"},
+                   {"build/heronvanectl status", "or: show n0, drain n1, restart --rolling"},
+                   {"kill -9 4194002", "n2 comes back, nothing is lost"}};
   return v;
 }
 
@@ -40,7 +40,7 @@
   return all;
 }
 
-TEST(DemoViewTest, AllFitsATerminalOf80By24) {
+TEST(DemoViewTest, FitsATerminalOf80By24) {
   const auto all = lines(render_demo(view(), {80, false}, 24));
   EXPECT_EQ(all.size(), 24u);
   for (const auto& line : all) EXPECT_LE(columns(line), 80u) << line;
@@ -55,7 +55,7 @@
     EXPECT_TRUE(has(part)) << part;
 }
 
-TEST(DemoViewTest, MoreRowsTellMoreOfWhatHappened) {
+TEST(DemoViewTest, MoreRowsShowMoreEvents) {
   const auto small = lines(render_demo(view(), {80, false}, 24)),
              large = lines(render_demo(view(), {80, false}, 40));
   const auto told = [](const auto& all) {
@@ -65,15 +65,15 @@
   EXPECT_LE(large.size(), 40u);
 }
 
-TEST(DemoViewTest, ACommandThatIsTooLongCostsTheRowsThatItFoldsTo) {
+TEST(DemoViewTest, ACommandThatWrapsUsesItsRows) {
   auto v = view();
-  v.tries[0].command = "/" + std::string(100, 'x') + "/heronvanectl status";
+  v.suggestions[0].command = "/" + std::string(100, 'x') + "/heronvanectl status";
   const auto all = lines(render_demo(v, {80, false}, 24));
-  EXPECT_EQ(all.size(), 22u);  // one is folded, and a row is left below
-  EXPECT_NE(render_demo(v, {80, false}, 24).find(v.tries[0].command), std::string::npos);
+  EXPECT_EQ(all.size(), 22u);  // one command wraps, and one row stays free at the bottom
+  EXPECT_NE(render_demo(v, {80, false}, 24).find(v.suggestions[0].command), std::string::npos);
 }
 
-TEST(DemoViewTest, WhatLeavesIsShownWhereThereIsRoom) {
+TEST(DemoViewTest, LeavingEndpointsAreShownOnLargeScreens) {
   auto v = view();
   v.endpoints.back().leaving = true;
   EXPECT_EQ(render_demo(v, {80, false}, 24).find("s-110"), std::string::npos);
@@ -97,7 +97,7 @@
 
 std::vector<Instance> relays(std::vector<Target> targets) {
   std::vector<Instance> all(3);
-  all[0].status.emplace(), all[1].status.emplace();  // the third tells nothing
+  all[0].status.emplace(), all[1].status.emplace();  // the third has no status
   for (std::size_t i = 0; i < targets.size(); i++) all[i].status->targets.push_back(targets[i]);
   return all;
 }
@@ -107,7 +107,7 @@
   return t;
 }
 
-TEST(SeenStateTest, IsWhatMattersMostOfWhatRelaysTell) {
+TEST(SeenStateTest, ShowsTheMostImportantStateOfAllRelays) {
   EXPECT_EQ(seen_state("s-1", {}).text, "-");
   EXPECT_EQ(seen_state("s-1", relays({})).text, "open");
   EXPECT_EQ(seen_state("s-1", relays({target("closed"), target("open")})).text, "out at 1 of 2");
