--- a/tests/demo/demo_test.sh
+++ b/tests/demo/demo_test.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
 # Usage: demo_test.sh HERONVANECTL seconds|interrupt|kill
-# Runs the demonstration, ends it in the given way, and checks that it leaves no files or processes behind and that
-# its summary adds up. Waits for lines of the output, never for a fixed time.
+# Runs the demonstration, ends it in the given way, and checks that no file or process is left and that the
+# summary adds up. It waits for output, not for a time.
 set -euo pipefail
 tool=$1 way=$2
 folder=$(mktemp -d)
@@ -38,7 +38,7 @@
   interrupt) kill -INT "$demo" ;;
   kill)
     kill -KILL "$(sed -n 's/.*try: kill -9 \([0-9]*\).*/\1/p' "$out" | head -1)"
-    # The relay is restarted; the output may show either of these phases.
+    # The relay runs again; which of its phases are printed depends on the polling.
     seen 'n2: (runs anew|.* -> ready)'
     kill -TERM "$demo"
     ;;
@@ -48,13 +48,13 @@
 demo=""
 [[ $status -eq 0 ]] || fail "exit status $status"
 
-# No files or processes are left.
+# No file and no process is left.
 [[ -z $(ls -A "$folder") ]] || fail "left in its folder: $(ls -A "$folder")"
 for words in /proc/[0-9]*/cmdline; do
   if { tr '\0' ' ' <"$words" | grep -qF "$folder/"; } 2>/dev/null; then fail "a process is left: $words"; fi
 done
 
-# Each message handed in has exactly one result.
+# Each message that was handed in has exactly one outcome.
 count() { sed -n "s/^ *\([0-9,]*\)  $1.*/\1/p" "$out" | tr -d ,; }
 handed=$(sed -n 's/^demo: .* \([0-9,]*\) messages handed in$/\1/p' "$out" | tr -d ,)
 [[ -n $handed && $handed -gt 0 ]] || fail "no summary"
--- a/tests/demo/ledger_test.cpp
+++ b/tests/demo/ledger_test.cpp
@@ -7,7 +7,7 @@
 
 using standins::TryResult;
 
-TEST(LedgerTest, TakenAndDeliveredInEitherOrder) {
+TEST(LedgerTest, AcceptedAndDeliveredInEitherOrder) {
   Ledger l;
   l.sent(0, "a", true), l.heard("a", TryResult::taken);
   EXPECT_EQ(l.totals().open, 1u);
@@ -19,7 +19,7 @@
   EXPECT_EQ(l.latencies().quantile(5'000, 1), 5'000);
 }
 
-TEST(LedgerTest, TwiceIsWhatMustNotBe) {
+TEST(LedgerTest, CountsRepeatedRunsOfUnsafeMessages) {
   Ledger l;
   l.sent(0, "unsafe", true), l.heard("unsafe", TryResult::taken), l.ran("unsafe");
   EXPECT_EQ(l.totals().twice, 0u);
@@ -30,14 +30,14 @@
   EXPECT_EQ(l.totals().repeated, 1u);
 }
 
-TEST(LedgerTest, WhatWasRefusedMustNotRun) {
+TEST(LedgerTest, CountsRunsOfRefusedMessages) {
   Ledger l;
   l.sent(0, "a", false), l.heard("a", TryResult::refused), l.ran("a");
   l.sent(0, "b", false), l.ran("b"), l.heard("b", TryResult::refused);
   EXPECT_EQ(l.totals().twice, 2u);
 }
 
-TEST(LedgerTest, WithoutAnAnswerItMayRunOnce) {
+TEST(LedgerTest, MessagesWithoutAnAnswerMayRunOnce) {
   Ledger l;
   l.sent(0, "a", true), l.heard("a", TryResult::silence), l.ran("a"), l.delivered(1, "a");
   l.sent(0, "b", true), l.ran("b"), l.delivered(1, "b"), l.heard("b", TryResult::silence);
@@ -47,7 +47,7 @@
   EXPECT_EQ(l.totals().delivered, 0u);
 }
 
-TEST(LedgerTest, NoticesEndWhatIsOpen) {
+TEST(LedgerTest, NoticesEndOpenMessages) {
   Ledger l;
   for (const char* id : {"a", "b", "c"}) l.sent(0, id, true), l.heard(id, TryResult::taken);
   l.delivered(1, "a");
@@ -62,7 +62,7 @@
   EXPECT_EQ(l.totals().open, 1u);
 }
 
-TEST(LedgerTest, ForgetsOnlyWhatIsSettled) {
+TEST(LedgerTest, ForgetsOnlySettledMessages) {
   Ledger l;
   l.sent(0, "done", true), l.heard("done", TryResult::taken), l.delivered(1, "done");
   l.sent(0, "open", true), l.heard("open", TryResult::taken);
@@ -70,7 +70,7 @@
   l.sent(0, "refused", true), l.heard("refused", TryResult::refused);
   l.sent(10, "late", true), l.heard("late", TryResult::taken), l.delivered(11, "late");
   l.forget(10);
-  EXPECT_EQ(l.kept(), 3u);  // open, out, late
+  EXPECT_EQ(l.size(), 3u);  // open, out, late
   l.heard("out", TryResult::taken);
   EXPECT_EQ(l.totals().open, 2u);
   // What was forgotten changes nothing more.
