--- a/bench/scale/relay_bench.cpp
+++ b/bench/scale/relay_bench.cpp
@@ -121,7 +121,7 @@
   };
   ClientsOptions clients;
   clients.relays = {{"n0", {net::ip::make_address("127.0.0.1"), 18990}}};
-  clients.patience = 5'000'000;
+  clients.answer_timeout = 5'000'000;
   const auto run = [&](double for_seconds) {
     io.restart();
     net::steady_timer stop(io, std::chrono::microseconds(static_cast<Microseconds>(for_seconds * 1e6)));
--- a/standins/clients.cpp
+++ b/standins/clients.cpp
@@ -22,26 +22,27 @@
 
 namespace {
 
-constexpr Microseconds kMostComeBack = 5'000'000, kLeastPassedOver = 100'000, kMostPassedOver = 1'000'000;
+constexpr Microseconds kMaxRetryAfter = 5'000'000, kMinAvoidance = 100'000, kMaxAvoidance = 1'000'000;
 
-// "0.5" seconds; `absent` where it says nothing of use.
-Microseconds come_back(boost::beast::string_view text, Microseconds absent) {
+// Parses a Retry-After value in seconds, such as "0.5", and caps it at kMaxRetryAfter. Returns `fallback` if
+// the value is missing or malformed.
+Microseconds parse_retry_after(boost::beast::string_view text, Microseconds fallback) {
   double seconds = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seconds);
   if (text.empty() || error != std::errc() || end != text.data() + text.size() || !(seconds >= 0))
-    return absent;
-  return static_cast<Microseconds>(std::min(seconds * 1e6, static_cast<double>(kMostComeBack)));
+    return fallback;
+  return static_cast<Microseconds>(std::min(seconds * 1e6, static_cast<double>(kMaxRetryAfter)));
 }
 
 }  // namespace
 
 struct Job {
   Message message;
-  Microseconds until = 0;  // its deadline
+  Microseconds deadline = 0;  // absolute deadline on the clients' clock
   unsigned tries = 0;
-  bool again = false;    // handed in before, and refused
-  bool silent = false;   // handed in before, to a relay that did not answer
-  bool unheard = false;  // written under this id once, and never answered
+  bool refused_before = false;     // an earlier try was refused
+  bool unanswered_before = false;  // an earlier try was not answered, and this is a retry of it
+  bool maybe_delivered = false;    // sent before under the present id, and not answered
 };
 
 class Clients::Impl : public std::enable_shared_from_this<Impl> {
@@ -51,15 +52,16 @@
     relays_.resize(options_.relays.size());
   }
   Microseconds now() const { return options_.now ? options_.now() : steady_time(); }
-  void next();
+  void submit_due();
   void send(Job job);
-  void ended(Job job, std::size_t relay, TryResult heard, Microseconds latency, Microseconds told);
-  void over(TryResult heard);
-  std::size_t pick();
+  void on_try_end(Job job, std::size_t relay, TryResult result, Microseconds latency,
+                  Microseconds retry_after);
+  void finish_message(TryResult result);
+  std::size_t pick_relay();
 
   struct Relay {
-    OfRelay told;
-    Microseconds passed_over_until = 0;
+    RelayCounts counts;
+    Microseconds avoided_until = 0;
     std::vector<std::shared_ptr<Connection>> idle;
   };
   net::io_context& io_;
@@ -67,16 +69,16 @@
   Traffic traffic_;
   net::steady_timer timer_;
   std::vector<Relay> relays_;
-  std::list<std::weak_ptr<Connection>> all_;
-  std::list<std::shared_ptr<net::steady_timer>> waiting_;
+  std::list<std::weak_ptr<Connection>> connections_;
+  std::list<std::shared_ptr<net::steady_timer>> retry_timers_;
   Counts counts_;
-  std::size_t turn_ = 0;
-  Microseconds due_ = 0;
-  double pace_ = 1;
-  bool running_ = false, ended_ = false;
+  std::size_t last_used_ = 0;
+  Microseconds next_due_ = 0;
+  double rate_factor_ = 1;
+  bool running_ = false, destroyed_ = false;
 };
 
-// One connection to one relay; the operation that is under way keeps it.
+// One connection to one relay, kept alive by its pending asynchronous operation.
 class Clients::Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(std::shared_ptr<Impl> clients, std::size_t relay)
@@ -84,20 +86,20 @@
 
   void send(Job job) {
     job_ = std::move(job);
-    begun_ = clients_->now();
+    sent_at_ = clients_->now();
     answer_.reset();
-    timer_.expires_after(microseconds(clients_->options_.patience));
-    timer_.async_wait([self = shared_from_this()](error_code bad) {
-      // One that had come due as the answer before did is not this request's.
-      if (bad || !self->job_ || self->timer_.expiry() > std::chrono::steady_clock::now()) return;
-      self->end(TryResult::no_relay);
+    timer_.expires_after(microseconds(clients_->options_.answer_timeout));
+    timer_.async_wait([self = shared_from_this()](error_code failure) {
+      // Ignores an expiry that belongs to the previous request, whose answer came at the same moment.
+      if (failure || !self->job_ || self->timer_.expiry() > std::chrono::steady_clock::now()) return;
+      self->finish_try(TryResult::no_relay);
     });
-    sent_ = false;
-    if (used_) return write();
+    request_sent_ = false;
+    if (reused_) return write();
     socket_.async_connect(clients_->options_.relays[relay_].address,
-                          [self = shared_from_this()](error_code bad) {
+                          [self = shared_from_this()](error_code failure) {
                             if (!self->job_) return;
-                            if (bad) return self->end(TryResult::no_relay);
+                            if (failure) return self->finish_try(TryResult::no_relay);
                             error_code ignored;
                             self->socket_.set_option(tcp::no_delay(true), ignored);
                             self->write();
@@ -113,62 +115,65 @@
  private:
   void write() {
     const Message& m = job_->message;
-    out_ =
-        "POST /" + m.message_class + " HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: " + m.id +
-        "\r\nX-Class: " + m.message_class + (m.tenant.empty() ? "" : "\r\nX-Tenant: " + m.tenant) +
-        "\r\nX-Deadline: " + std::to_string(std::max<Microseconds>(0, job_->until - clients_->now()) / 1000) +
-        "m\r\nX-Consignee: dest=" + std::to_string(m.destination) +
-        (job_->silent  ? "\r\nX-Retry: again"
-         : job_->again ? "\r\nX-Retry: 1"
-                       : "") +
-        "\r\nContent-Length: " + std::to_string(m.body) + "\r\n\r\n" + std::string(m.body, 'x');
-    sent_ = true;
-    net::async_write(socket_, net::buffer(out_), [self = shared_from_this()](error_code bad, std::size_t) {
-      if (bad && self->job_) self->broke();
-    });
+    request_ = "POST /" + m.message_class + " HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: " + m.id +
+               "\r\nX-Class: " + m.message_class + (m.tenant.empty() ? "" : "\r\nX-Tenant: " + m.tenant) +
+               "\r\nX-Deadline: " +
+               std::to_string(std::max<Microseconds>(0, job_->deadline - clients_->now()) / 1000) +
+               "m\r\nX-Consignee: dest=" + std::to_string(m.destination) +
+               (job_->unanswered_before ? "\r\nX-Retry: again"
+                : job_->refused_before  ? "\r\nX-Retry: 1"
+                                        : "") +
+               "\r\nContent-Length: " + std::to_string(m.body) + "\r\n\r\n" + std::string(m.body, 'x');
+    request_sent_ = true;
+    net::async_write(socket_, net::buffer(request_),
+                     [self = shared_from_this()](error_code failure, std::size_t) {
+                       if (failure && self->job_) self->on_connection_error();
+                     });
     answer_.emplace();
-    http::async_read(socket_, buffer_, *answer_, [self = shared_from_this()](error_code bad, std::size_t) {
-      if (!self->job_) return;
-      if (bad) return self->broke();
-      self->answered();
-    });
+    http::async_read(socket_, buffer_, *answer_,
+                     [self = shared_from_this()](error_code failure, std::size_t) {
+                       if (!self->job_) return;
+                       if (failure) return self->on_connection_error();
+                       self->on_answer();
+                     });
   }
-  // A connection that was kept may have been closed before the relay read this request: it goes once more
-  // over a new one, under its id.
-  void broke() {
-    if (!used_ || answer_->is_header_done() || buffer_.size() > 0) return end(TryResult::silence);
+  // The relay may have closed a reused connection before it read this request, so the request is sent once
+  // more over a new connection, under the same id.
+  void on_connection_error() {
+    if (!reused_ || answer_->is_header_done() || buffer_.size() > 0) return finish_try(TryResult::silence);
     Job job = std::move(*job_);
-    job.unheard = true;
-    const auto fresh = std::make_shared<Connection>(clients_, relay_);
-    clients_->all_.push_back(fresh);
+    job.maybe_delivered = true;
+    const auto replacement = std::make_shared<Connection>(clients_, relay_);
+    clients_->connections_.push_back(replacement);
     close();
-    fresh->send(std::move(job));
+    replacement->send(std::move(job));
   }
-  void answered() {
+  void on_answer() {
     const auto& a = answer_->get();
     const unsigned status = a.result_int();
-    const Microseconds latency = clients_->now() - begun_;
-    const Microseconds told = come_back(a["Retry-After"], clients_->options_.come_back);
+    const Microseconds latency = clients_->now() - sent_at_;
+    const Microseconds retry_after =
+        parse_retry_after(a["Retry-After"], clients_->options_.default_retry_delay);
     Job job = std::move(*job_);
-    // A refusal of what may have been taken on before says nothing of that.
-    const TryResult heard = status == 200 || status == 202   ? TryResult::taken
-                            : job.unheard                    ? TryResult::silence
-                            : status == 429 || status == 503 ? TryResult::refused
-                                                             : TryResult::failed;
+    // If an earlier send under this id may have been taken, a refusal does not prove that it was not.
+    const TryResult result = status == 200 || status == 202   ? TryResult::taken
+                             : job.maybe_delivered            ? TryResult::silence
+                             : status == 429 || status == 503 ? TryResult::refused
+                                                              : TryResult::failed;
     job_.reset();
     timer_.cancel();
-    used_ = true;
-    if (a.keep_alive() && !clients_->ended_)
+    reused_ = true;
+    if (a.keep_alive() && !clients_->destroyed_)
       clients_->relays_[relay_].idle.push_back(shared_from_this());
     else
       close();
-    clients_->ended(std::move(job), relay_, heard, latency, told);
+    clients_->on_try_end(std::move(job), relay_, result, latency, retry_after);
   }
-  void end(TryResult heard) {
+  void finish_try(TryResult result) {
     Job job = std::move(*job_);
-    if (heard == TryResult::no_relay && (sent_ || job.unheard)) heard = TryResult::silence;
+    if (result == TryResult::no_relay && (request_sent_ || job.maybe_delivered)) result = TryResult::silence;
     close();
-    clients_->ended(std::move(job), relay_, heard, clients_->now() - begun_, 0);
+    clients_->on_try_end(std::move(job), relay_, result, clients_->now() - sent_at_, 0);
   }
 
   std::shared_ptr<Impl> clients_;
@@ -178,49 +183,50 @@
   boost::beast::flat_buffer buffer_;
   std::optional<http::response_parser<http::string_body>> answer_;
   std::optional<Job> job_;
-  std::string out_;
-  Microseconds begun_ = 0;
-  bool used_ = false, sent_ = false;
+  std::string request_;
+  Microseconds sent_at_ = 0;
+  bool reused_ = false, request_sent_ = false;
 };
 
-void Clients::Impl::next() {
+void Clients::Impl::submit_due() {
   if (!running_) return;
   const Microseconds at = now();
-  // Those that were due while the loop was late go now, up to a second of them.
-  due_ = std::max(due_, at - 1'000'000);
-  while (due_ <= at) {
+  // Messages that fell due while the event loop was late are sent now, up to one second's worth.
+  next_due_ = std::max(next_due_, at - 1'000'000);
+  while (next_due_ <= at) {
     Job job;
     job.message = traffic_.draw();
-    job.until = job.message.until = at + job.message.deadline;
+    job.deadline = job.message.until = at + job.message.deadline;
     counts_.handed++, counts_.out++;
     send(std::move(job));
-    due_ += std::max<Microseconds>(1, static_cast<Microseconds>(static_cast<double>(traffic_.gap()) / pace_));
+    next_due_ += std::max<Microseconds>(
+        1, static_cast<Microseconds>(static_cast<double>(traffic_.gap()) / rate_factor_));
   }
-  timer_.expires_after(microseconds(due_ - at));
-  timer_.async_wait([self = shared_from_this()](error_code bad) {
-    if (!bad) self->next();
+  timer_.expires_after(microseconds(next_due_ - at));
+  timer_.async_wait([self = shared_from_this()](error_code failure) {
+    if (!failure) self->submit_due();
   });
 }
 
-std::size_t Clients::Impl::pick() {
+std::size_t Clients::Impl::pick_relay() {
   const Microseconds at = now();
   if (options_.prefer_first) {
     for (std::size_t i = 0; i < relays_.size(); i++)
-      if (relays_[i].passed_over_until <= at) return i;
+      if (relays_[i].avoided_until <= at) return i;
     return 0;
   }
   for (std::size_t i = 0; i < relays_.size(); i++) {
-    turn_ = (turn_ + 1) % relays_.size();
-    if (relays_[turn_].passed_over_until <= at) return turn_;
+    last_used_ = (last_used_ + 1) % relays_.size();
+    if (relays_[last_used_].avoided_until <= at) return last_used_;
   }
-  turn_ = (turn_ + 1) % relays_.size();
-  return turn_;
+  last_used_ = (last_used_ + 1) % relays_.size();
+  return last_used_;
 }
 
 void Clients::Impl::send(Job job) {
   job.message.tries = ++job.tries;
   counts_.tries++;
-  const auto relay = pick();
+  const auto relay = pick_relay();
   if (options_.on_try) options_.on_try(job.message);
   auto& idle = relays_[relay].idle;
   std::shared_ptr<Connection> connection;
@@ -229,72 +235,73 @@
     idle.pop_back();
   } else {
     connection = std::make_shared<Connection>(shared_from_this(), relay);
-    all_.remove_if([](const auto& c) { return c.expired(); });
-    all_.push_back(connection);
+    connections_.remove_if([](const auto& c) { return c.expired(); });
+    connections_.push_back(connection);
   }
   connection->send(std::move(job));
 }
 
-void Clients::Impl::ended(Job job, std::size_t relay, TryResult heard, Microseconds latency,
-                          Microseconds told) {
-  if (ended_) return;
+void Clients::Impl::on_try_end(Job job, std::size_t relay, TryResult result, Microseconds latency,
+                               Microseconds retry_after) {
+  if (destroyed_) return;
   const Microseconds at = now();
   auto& r = relays_[relay];
-  if (options_.on_try_result) options_.on_try_result(job.message, relay, heard);
-  const auto pass_over = [&](Microseconds span) {
-    r.passed_over_until = at + std::clamp(span, kLeastPassedOver, kMostPassedOver);
+  if (options_.on_try_result) options_.on_try_result(job.message, relay, result);
+  const auto avoid = [&](Microseconds duration) {
+    r.avoided_until = at + std::clamp(duration, kMinAvoidance, kMaxAvoidance);
   };
   Microseconds wait = 0;
-  switch (heard) {
+  switch (result) {
     case TryResult::taken:
-      r.told.taken++;
-      r.told.latencies.add(at, latency);
-      return over(heard);
+      r.counts.taken++;
+      r.counts.latencies.add(at, latency);
+      return finish_message(result);
     case TryResult::failed:
-      r.told.failed++;
-      return over(heard);
+      r.counts.failed++;
+      return finish_message(result);
     case TryResult::silence:
-      r.told.silence++;
-      pass_over(kMostPassedOver);
+      r.counts.silence++;
+      avoid(kMaxAvoidance);
       if (std::count(options_.retry_after_silence.begin(), options_.retry_after_silence.end(),
                      job.message.message_class) == 0)
-        return over(heard);
-      job.unheard = false;
-      job.silent = true;
-      wait = options_.come_back;
+        return finish_message(result);
+      job.maybe_delivered = false;
+      job.unanswered_before = true;
+      wait = options_.default_retry_delay;
       break;
     case TryResult::refused:
-      r.told.refusals++;
+      r.counts.refusals++;
       counts_.refusals++;
-      pass_over(told);
-      job.again = true;
-      // Another relay may take it at once; where it is the only one, when it said.
-      wait = relays_.size() > 1 && job.tries < relays_.size() ? 0 : told;
+      avoid(retry_after);
+      job.refused_before = true;
+      // Another relay may take the message at once; a single relay is tried again after the time that it
+      // gave.
+      wait = relays_.size() > 1 && job.tries < relays_.size() ? 0 : retry_after;
       break;
     case TryResult::no_relay:
-      r.told.unreached++;
-      pass_over(kMostPassedOver);
-      wait = job.tries < relays_.size() ? 0 : options_.come_back;
+      r.counts.unreached++;
+      avoid(kMaxAvoidance);
+      wait = job.tries < relays_.size() ? 0 : options_.default_retry_delay;
       break;
   }
-  if (!running_ || job.tries >= options_.tries || at + wait >= job.until)
-    return over(heard == TryResult::silence ? heard : TryResult::refused);
+  if (!running_ || job.tries >= options_.tries || at + wait >= job.deadline)
+    return finish_message(result == TryResult::silence ? result : TryResult::refused);
   job.message.id = traffic_.new_id();
-  // Also where nothing is waited for: calls may not nest without end.
+  // A timer is used even for a delay of 0, so that calls do not nest without limit.
   const auto timer = std::make_shared<net::steady_timer>(io_, microseconds(wait));
-  waiting_.push_back(timer);
+  retry_timers_.push_back(timer);
   timer->async_wait([self = shared_from_this(), timer, job = std::move(job)](error_code) mutable {
-    self->waiting_.remove(timer);
-    if (self->ended_) return;
-    // Ended early by stop(), it is tried no more.
-    if (!self->running_) return self->over(TryResult::refused);
+    self->retry_timers_.remove(timer);
+    if (self->destroyed_) return;
+    // stop() cancelled the timer: the message is not tried again.
+    if (!self->running_) return self->finish_message(TryResult::refused);
     self->send(std::move(job));
   });
 }
 
-void Clients::Impl::over(TryResult heard) {
+void Clients::Impl::finish_message(TryResult result) {
   counts_.out--;
-  switch (heard) {
+  switch (result) {
     case TryResult::taken:
       counts_.taken++;
       break;
@@ -313,12 +320,12 @@
 
 Clients::Clients(net::io_context& io, ClientsOptions options)
     : impl_(std::make_shared<Impl>(io, std::move(options))) {
-  if (impl_->options_.relays.empty()) throw std::invalid_argument("clients: need a relay");
+  if (impl_->options_.relays.empty()) throw std::invalid_argument("clients: at least one relay is needed");
 }
 Clients::~Clients() {
   stop();
-  impl_->ended_ = true;
-  for (const auto& c : impl_->all_)
+  impl_->destroyed_ = true;
+  for (const auto& c : impl_->connections_)
     if (const auto connection = c.lock()) connection->close();
   for (auto& r : impl_->relays_) r.idle.clear();
   impl_->options_.on_try = nullptr;
@@ -326,19 +333,19 @@
 }
 void Clients::start() {
   impl_->running_ = true;
-  impl_->due_ = impl_->now();
-  impl_->next();
+  impl_->next_due_ = impl_->now();
+  impl_->submit_due();
 }
 void Clients::stop() {
   impl_->running_ = false;
   impl_->timer_.cancel();
-  for (const auto& t : impl_->waiting_) t->cancel();
+  for (const auto& t : impl_->retry_timers_) t->cancel();
 }
-void Clients::pace(double times) {
-  if (!(times > 0)) throw std::invalid_argument("clients: the pace must be above 0");
-  impl_->pace_ = times;
+void Clients::pace(double factor) {
+  if (!(factor > 0)) throw std::invalid_argument("clients: the pace factor must be above 0");
+  impl_->rate_factor_ = factor;
 }
 const Clients::Counts& Clients::counts() const { return impl_->counts_; }
-const Clients::OfRelay& Clients::relay(std::size_t i) const { return impl_->relays_.at(i).told; }
+const Clients::RelayCounts& Clients::relay(std::size_t i) const { return impl_->relays_.at(i).counts; }
 
 }  // namespace heronvane::standins
--- a/standins/clients.hpp
+++ b/standins/clients.hpp
@@ -1,5 +1,5 @@
-// Clients that hand in messages to several relays over kept connections on loopback. One thread: all calls
-// come from the one that runs `io`.
+// Clients that hand in messages to several relays over persistent loopback connections. Not thread-safe: all
+// calls must come from the thread that runs `io`, and callbacks run on it.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,13 +15,13 @@
 
 namespace heronvane::standins {
 
-// How one try to hand a message in ended.
+// The result of one try to hand in a message.
 enum class TryResult {
   taken,     // 202 or 200
-  refused,   // 429 or 503: it may be handed in again
-  failed,    // another answer
-  silence,   // no answer in time, or the connection ended: the relay may have it all the same
-  no_relay,  // no connection: it was never sent
+  refused,   // 429 or 503: the message may be handed in again
+  failed,    // any other answer
+  silence,   // no answer in time, or the connection ended: the relay may still have taken the message
+  no_relay,  // no connection: the message was never sent
 };
 
 struct ClientsOptions {
@@ -29,19 +29,20 @@
     std::string name;
     boost::asio::ip::tcp::endpoint address;
   };
-  std::vector<Relay>
-      relays;  // taken in turn; one that refuses or can't be reached is passed over for a while
+  // Used in turn. A relay that refuses, does not answer or can't be reached is avoided for 0.1 to 1 s.
+  std::vector<Relay> relays;
   TrafficPlan plan;
   std::uint64_t seed = 0;
-  std::function<Microseconds()> now;  // never goes back; empty: the steady clock
-  Microseconds patience = 400'000;    // for an answer; then the connection is closed
-  unsigned tries = 4;                 // of a message, the first among them; none after its deadline
-  Microseconds come_back = 200'000;   // after a refusal that names no time
-  // A relay is taken again while it serves, and the next one only while it is passed over; false: in turn.
+  std::function<Microseconds()> now;      // must not go backwards; empty: the steady clock
+  Microseconds answer_timeout = 400'000;  // wait for an answer; then the connection is closed
+  unsigned tries = 4;  // most tries of a message, the first included; none starts after its deadline
+  Microseconds default_retry_delay = 200'000;  // delay of a retry after a refusal without Retry-After
+  // true: use the first relay in the list that is not being avoided; false: use them in turn.
   bool prefer_first = false;
-  // A message of these classes is handed in again where no answer came. It may then be taken on twice.
+  // Classes whose messages are handed in again after a try without an answer. The relays may then take such a
+  // message twice.
   std::vector<std::string> retry_after_silence;
-  // Before a try's first byte; and when it has ended. May be empty.
+  // Called before a try sends its first byte, and when it has ended. May be empty.
   std::function<void(const Message&)> on_try;
   std::function<void(const Message&, std::size_t relay, TryResult)> on_try_result;
 };
@@ -49,27 +50,30 @@
 class Clients {
  public:
   struct Counts {
-    // Of messages, each counted once it is over: handed = taken + refused + failed + silence + out.
+    // Messages by final result; `out` are not finished: handed = taken + refused + failed + silence + out.
     std::uint64_t handed = 0, taken = 0, refused = 0, failed = 0, silence = 0, out = 0;
-    std::uint64_t tries = 0, refusals = 0;  // of tries
+    std::uint64_t tries = 0, refusals = 0;  // tries, and how many were refused
   };
-  struct OfRelay {
+  // Tries by result, for one relay.
+  struct RelayCounts {
     std::uint64_t taken = 0, refusals = 0, failed = 0, silence = 0, unreached = 0;
-    Latencies latencies;  // of answers that took a message on
+    Latencies latencies;  // of the tries that ended with `taken`
   };
 
+  // Throws std::invalid_argument if `options` names no relay. `io` must outlive the clients.
   Clients(boost::asio::io_context& io, ClientsOptions options);
-  ~Clients();  // closes all connections
+  ~Clients();  // closes all connections; no callback runs afterwards
   Clients(const Clients&) = delete;
   Clients& operator=(const Clients&) = delete;
 
-  void start();
-  // Nothing new is handed in; what is out is waited for, and tried no more.
+  void start();  // begins to hand in messages
+  // Hands in no new message. Tries that are in flight may still be answered; nothing is retried.
   void stop();
-  // So many times the plan's rate from now on; above 0.
-  void pace(double times);
+  // Sets the rate to `factor` times the plan's from now on. Throws std::invalid_argument unless `factor` is
+  // above 0.
+  void pace(double factor);
   const Counts& counts() const;
-  const OfRelay& relay(std::size_t i) const;
+  const RelayCounts& relay(std::size_t i) const;
 
  private:
   class Impl;
--- a/standins/endpoint.cpp
+++ b/standins/endpoint.cpp
@@ -25,10 +25,10 @@
 
 namespace {
 
-constexpr std::size_t kMostBody = 4 << 20;  // of a bundle
+constexpr std::size_t kMaxBodyBytes = 4 << 20;  // of a call's body
 
-// Ids of a bundle; nothing where it is none.
-std::optional<std::vector<std::string>> ids_of(const std::string& body) {
+// Returns the ids of a bundle's messages; std::nullopt if `body` is not a valid bundle.
+std::optional<std::vector<std::string>> parse_bundle_ids(const std::string& body) {
   rapidjson::Document v;
   v.Parse<rapidjson::kParseIterativeFlag>(body.data(), body.size());
   if (v.HasParseError() || !v.IsArray() || v.Empty()) return std::nullopt;
@@ -42,7 +42,7 @@
   return ids;
 }
 
-std::string quoted(const std::string& text) {
+std::string json_quoted(const std::string& text) {
   std::string out = "\"";
   for (const char c : text) {
     if (c == '"' || c == '\\') out += '\\';
@@ -62,12 +62,14 @@
         address_(acceptor_.local_endpoint()) {}
   void accept();
   void end_sessions(bool reset);
-  std::size_t open_sessions() {
-    auto& all = sessions_;
-    all.erase(std::remove_if(all.begin(), all.end(), [](const auto& s) { return s.expired(); }), all.end());
-    return all.size();
+  std::size_t remove_closed_sessions() {
+    auto& sessions = sessions_;
+    sessions.erase(
+        std::remove_if(sessions.begin(), sessions.end(), [](const auto& s) { return s.expired(); }),
+        sessions.end());
+    return sessions.size();
   }
-  void shut();
+  void shut_down();
   Microseconds now() const { return options_.now ? options_.now() : steady_time(); }
   void ran(const std::vector<std::string>& ids) {
     for (const auto& id : ids)
@@ -80,22 +82,23 @@
   tcp::acceptor acceptor_;
   tcp::endpoint address_;
   std::vector<std::weak_ptr<Session>> sessions_;
-  std::uint64_t last_call_ = 0;
-  bool shut_ = false;
+  std::uint64_t last_call_number_ = 0;
+  bool shut_down_ = false;
 };
 
-// One connection; the operation that is under way keeps it.
+// One connection, kept alive by its pending asynchronous operation.
 class Endpoint::Session : public std::enable_shared_from_this<Session> {
  public:
   Session(tcp::socket socket, std::shared_ptr<Impl> endpoint)
       : socket_(std::move(socket)), timer_(socket_.get_executor()), endpoint_(std::move(endpoint)) {}
 
-  void begin() {
+  void start() {
     error_code ignored;
     call_.from = socket_.remote_endpoint(ignored);
     const auto& e = *endpoint_;
-    crowded_ = e.options_.max_connections > 0 && e.sessions_.size() > e.options_.max_connections;
-    if (e.options_.connected) e.options_.connected(call_.from, crowded_);
+    over_connection_limit_ =
+        e.options_.max_connections > 0 && e.sessions_.size() > e.options_.max_connections;
+    if (e.options_.connected) e.options_.connected(call_.from, over_connection_limit_);
     read();
   }
   void reset() {
@@ -106,13 +109,13 @@
 
   void read() {
     if (endpoint_->options_.on_stage && buffer_.size() == 0) {
-      // When the first byte of a call comes.
+      // Waits for the first byte of a call, so that its time is recorded.
       timer_.expires_after(std::chrono::microseconds(endpoint_->options_.idle));
-      timer_.async_wait([self = shared_from_this()](error_code bad) {
-        if (!bad) self->close();
+      timer_.async_wait([self = shared_from_this()](error_code error) {
+        if (!error) self->close();
       });
-      return socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code bad) {
-        if (bad) return self->close();
+      return socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code error) {
+        if (error) return self->close();
         self->read_call();
       });
     }
@@ -121,93 +124,92 @@
   void read_call() {
     call_.first_byte = endpoint_->now();
     parser_.emplace();
-    parser_->body_limit(kMostBody);
+    parser_->body_limit(kMaxBodyBytes);
     timer_.expires_after(std::chrono::microseconds(endpoint_->options_.idle));
-    timer_.async_wait([self = shared_from_this()](error_code bad) {
-      if (!bad) self->close();
+    timer_.async_wait([self = shared_from_this()](error_code error) {
+      if (!error) self->close();
     });
-    http::async_read(socket_, buffer_, *parser_, [self = shared_from_this()](error_code bad, std::size_t) {
+    http::async_read(socket_, buffer_, *parser_, [self = shared_from_this()](error_code error, std::size_t) {
       self->timer_.cancel();
-      if (bad) return self->close();
-      self->call();
+      if (error) return self->close();
+      self->handle_call();
     });
   }
   void close() {
-    over();
+    finish_call();
     error_code ignored;
     timer_.cancel();
     socket_.close(ignored);
   }
 
  private:
-  // ---- For those who follow calls. ----
-  void tell(Stage stage, Microseconds until = 0) {
-    if (out_there_ && endpoint_->options_.on_stage) endpoint_->options_.on_stage(call_, stage, until);
+  void report_stage(Stage stage, Microseconds until = 0) {
+    if (call_open_ && endpoint_->options_.on_stage) endpoint_->options_.on_stage(call_, stage, until);
   }
-  // The call that is out has ended, one way or the other.
-  void over() {
-    tell(Stage::over);
-    out_there_ = false;
+  // Reports the end of the present call, unless it has been reported.
+  void finish_call() {
+    report_stage(Stage::over);
+    call_open_ = false;
   }
-  // Its relay gives a call up by ending its connection; what has begun goes on to its effect.
-  void watch_for_end() {
+  // A relay gives a call up by closing its connection. The call still takes effect.
+  void watch_for_disconnect() {
     if (!endpoint_->options_.on_stage) return;
-    socket_.async_wait(tcp::socket::wait_read,
-                       [self = shared_from_this(), number = call_.number](error_code bad) {
-                         if (!bad && self->out_there_ && self->call_.number == number && self->gone()) {
-                           self->given_up_ = true;
-                           self->tell(Stage::over);
-                         }
-                       });
+    socket_.async_wait(
+        tcp::socket::wait_read, [self = shared_from_this(), number = call_.number](error_code error) {
+          if (!error && self->call_open_ && self->call_.number == number && self->peer_closed()) {
+            self->relay_gave_up_ = true;
+            self->report_stage(Stage::over);
+          }
+        });
   }
-  template <class Then>
-  void after(Microseconds span, Then then) {
-    timer_.expires_after(std::chrono::microseconds(span));
-    // It goes on to its end though its caller gives up: what has begun takes effect.
-    timer_.async_wait([self = shared_from_this(), then = std::move(then)](error_code bad) {
-      if (!bad) then();
+  template <class Handler>
+  void run_after(Microseconds delay, Handler handler) {
+    timer_.expires_after(std::chrono::microseconds(delay));
+    // Not cancelled when the relay gives the call up, since a call that has begun takes effect.
+    timer_.async_wait([self = shared_from_this(), handler = std::move(handler)](error_code error) {
+      if (!error) handler();
     });
   }
-  void call() {
+  void handle_call() {
     auto& e = *endpoint_;
     e.counts_.calls++;
     const auto& request = parser_->get();
-    keep_ = request.keep_alive();
+    keep_alive_ = request.keep_alive();
     bundle_ = request.target() == "/events/bundle";
     ids_.clear();
     if (request.method() != http::verb::post || (!bundle_ && request.target() != "/events"))
-      return malformed(404);
+      return answer_malformed(404);
     if (bundle_) {
-      auto ids = ids_of(request.body());
-      if (!ids) return malformed(400);
-      if (ids->size() > e.options_.bundle_max) return malformed(413);
+      auto ids = parse_bundle_ids(request.body());
+      if (!ids) return answer_malformed(400);
+      if (ids->size() > e.options_.bundle_max) return answer_malformed(413);
       ids_ = std::move(*ids);
     } else {
       ids_ = {std::string(request["X-Request-Id"])};
-      if (ids_[0].empty() || request.count("X-Request-Id") != 1) return malformed(400);
+      if (ids_[0].empty() || request.count("X-Request-Id") != 1) return answer_malformed(400);
     }
     call_.ids = ids_;
-    call_.number = ++e.last_call_;
-    out_there_ = true, given_up_ = false;
-    tell(Stage::came);
-    const Fate fate = crowded_            ? Fate(fate::Refuse{})
-                      : e.options_.decide ? e.options_.decide(call_)
-                                          : e.behaviour_.decide(e.now(), ids_.size());
-    if (const auto& told = e.options_.arrived)
+    call_.number = ++e.last_call_number_;
+    call_open_ = true, relay_gave_up_ = false;
+    report_stage(Stage::came);
+    const Fate fate = over_connection_limit_ ? Fate(fate::Refuse{})
+                      : e.options_.decide    ? e.options_.decide(call_)
+                                             : e.behaviour_.decide(e.now(), ids_.size());
+    if (const auto& callback = e.options_.arrived)
       for (const auto& id : ids_)
-        told(id, std::holds_alternative<fate::Refuse>(fate) || std::holds_alternative<fate::Wait>(fate));
-    std::visit([this](const auto& f) { meet(f); }, fate);
+        callback(id, std::holds_alternative<fate::Refuse>(fate) || std::holds_alternative<fate::Wait>(fate));
+    std::visit([this](const auto& f) { apply(f); }, fate);
   }
-  void malformed(unsigned status) {
+  void answer_malformed(unsigned status) {
     endpoint_->counts_.malformed++;
     answer(status, "");
   }
-  void meet(const fate::Serve& f) {
-    watch_for_end();
-    after(f.latency, [this] {
+  void apply(const fate::Serve& f) {
+    watch_for_disconnect();
+    run_after(f.latency, [this] {
       auto& e = *endpoint_;
-      took_effect();
-      if (gone()) {
+      report_effect();
+      if (peer_closed()) {
         e.counts_.given_up += ids_.size();
         return close();
       }
@@ -215,94 +217,96 @@
       std::string body;
       if (bundle_) {
         for (const auto& id : ids_)
-          body += (body.empty() ? "[" : ",") + ("{\"id\":" + quoted(id)) + ",\"state\":\"done\"}";
+          body += (body.empty() ? "[" : ",") + ("{\"id\":" + json_quoted(id)) + ",\"state\":\"done\"}";
         body += "]";
       }
       answer(200, "", body, true);
     });
   }
-  void meet(const fate::Refuse&) {
+  void apply(const fate::Refuse&) {
     endpoint_->counts_.refused += ids_.size();
-    tell(Stage::turned_away);
-    if (crowded_) keep_ = false;
+    report_stage(Stage::turned_away);
+    if (over_connection_limit_) keep_alive_ = false;
     answer(503, "");
   }
-  void meet(const fate::Wait& f) {
+  void apply(const fate::Wait& f) {
     endpoint_->counts_.told_to_wait += ids_.size();
-    tell(Stage::turned_away);
-    tell(Stage::told_wait, endpoint_->now() + (f.remaining + 999) / 1000 * 1000);
+    report_stage(Stage::turned_away);
+    report_stage(Stage::told_wait, endpoint_->now() + (f.remaining + 999) / 1000 * 1000);
     answer(429, "X-Come-Back-Ms: " + std::to_string((f.remaining + 999) / 1000) + "\r\n");
   }
-  void meet(const fate::Fail& f) {
-    watch_for_end();
-    after(f.latency, [this, ran = f.took_effect] {
-      if (ran) took_effect();
+  void apply(const fate::Fail& f) {
+    watch_for_disconnect();
+    run_after(f.latency, [this, has_effect = f.took_effect] {
+      if (has_effect) report_effect();
       endpoint_->counts_.failed += ids_.size();
       answer(500, "");
     });
   }
-  void meet(const fate::Reset& f) {
-    watch_for_end();
-    after(f.latency, [this, ran = f.took_effect] {
-      if (ran) took_effect();
+  void apply(const fate::Reset& f) {
+    watch_for_disconnect();
+    run_after(f.latency, [this, has_effect = f.took_effect] {
+      if (has_effect) report_effect();
       endpoint_->counts_.reset += ids_.size();
       reset();
     });
   }
-  void meet(const fate::Silent& f) {
+  void apply(const fate::Silent& f) {
     endpoint_->counts_.silent += ids_.size();
-    if (f.took_effect) after(f.latency, [this] { took_effect(); });
-    // Until the relay gives it up.
+    if (f.took_effect) run_after(f.latency, [this] { report_effect(); });
+    // Keeps the connection open until the relay closes it.
     socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code) {
-      self->tell(Stage::over);
-      self->given_up_ = true;
+      self->report_stage(Stage::over);
+      self->relay_gave_up_ = true;
       error_code ignored;
       self->socket_.close(ignored);
     });
   }
-  void took_effect() {
+  void report_effect() {
     endpoint_->ran(ids_);
-    if (out_there_ && endpoint_->options_.on_stage) endpoint_->options_.on_stage(call_, Stage::ran, 0);
+    if (call_open_ && endpoint_->options_.on_stage) endpoint_->options_.on_stage(call_, Stage::ran, 0);
   }
-  // The relay closed its connection, or ended its sending.
-  bool gone() {
+  // Returns whether the relay has closed the connection or shut down its sending side.
+  bool peer_closed() {
     char byte;
     const auto n = ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     return n == 0 || (n < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
   }
   void answer(unsigned status, const std::string& fields, const std::string& body = "",
               bool delivers = false) {
-    out_ = "HTTP/1.1 " + std::to_string(status) + " " +
-           std::string(http::obsolete_reason(http::int_to_status(status))) + "\r\n" + fields +
-           (keep_ ? "" : "Connection: close\r\n") + "Content-Length: " + std::to_string(body.size()) +
-           "\r\n\r\n" + body;
-    // What fits goes at once, so that no outage begins between its write and the note of it.
-    error_code bad;
-    socket_.non_blocking(true, bad);
-    const std::size_t written = socket_.write_some(net::buffer(out_), bad);
-    if (bad && bad != net::error::would_block && bad != net::error::try_again) return close();
-    if (delivers && written >= delivering_bytes()) note_delivered();
-    if (written == out_.size()) return finish_answer();
-    net::async_write(socket_, net::buffer(out_) + written,
+    response_ = "HTTP/1.1 " + std::to_string(status) + " " +
+                std::string(http::obsolete_reason(http::int_to_status(status))) + "\r\n" + fields +
+                (keep_alive_ ? "" : "Connection: close\r\n") +
+                "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
+    // Writes what fits into the socket buffer synchronously, so that go_down() can't run between the write of
+    // an answer and the report of its delivery.
+    error_code error;
+    socket_.non_blocking(true, error);
+    const std::size_t written = socket_.write_some(net::buffer(response_), error);
+    if (error && error != net::error::would_block && error != net::error::try_again) return close();
+    if (delivers && written >= delivering_bytes()) report_delivered();
+    if (written == response_.size()) return finish_answer();
+    net::async_write(socket_, net::buffer(response_) + written,
                      [self = shared_from_this(), delivers](error_code failure, std::size_t) {
                        if (failure) return self->close();
-                       if (delivers && self->out_there_) self->note_delivered();
+                       if (delivers && self->call_open_) self->report_delivered();
                        self->finish_answer();
                      });
   }
-  // Bytes of an answer from which on its messages are delivered: the first line, of a bundle the whole.
+  // Number of bytes after which the answer delivers its messages: the status line for a single message, the
+  // whole answer for a bundle.
   std::size_t delivering_bytes() const {
-    return bundle_ ? out_.size() : out_.find("\r\n") + std::string_view("\r\n").size();
+    return bundle_ ? response_.size() : response_.find("\r\n") + std::string_view("\r\n").size();
   }
-  void note_delivered() {
-    if (const auto& told = endpoint_->options_.answered)
-      for (const auto& id : ids_) told(id);
-    if (!given_up_) tell(Stage::answered);
-    out_there_ = false;
+  void report_delivered() {
+    if (const auto& callback = endpoint_->options_.answered)
+      for (const auto& id : ids_) callback(id);
+    if (!relay_gave_up_) report_stage(Stage::answered);
+    call_open_ = false;
   }
   void finish_answer() {
-    over();
-    if (!keep_) return close();
+    finish_call();
+    if (!keep_alive_) return close();
     read();
   }
 
@@ -312,24 +316,24 @@
   boost::beast::flat_buffer buffer_;
   std::optional<http::request_parser<http::string_body>> parser_;
   std::vector<std::string> ids_;
-  std::string out_;
+  std::string response_;
   Call call_;
-  bool bundle_ = false, keep_ = true, crowded_ = false;
-  bool out_there_ = false;  // a call has come, and its end has not been told
-  bool given_up_ = false;   // its relay has ended the connection
+  bool bundle_ = false, keep_alive_ = true, over_connection_limit_ = false;
+  bool call_open_ = false;      // a call has been read, and its end has not been reported
+  bool relay_gave_up_ = false;  // the relay has closed the connection
 };
 
 void Endpoint::Impl::accept() {
-  acceptor_.async_accept([self = shared_from_this()](error_code bad, tcp::socket socket) {
-    if (self->shut_ || !self->acceptor_.is_open()) return;
-    if (!bad) {
+  acceptor_.async_accept([self = shared_from_this()](error_code error, tcp::socket socket) {
+    if (self->shut_down_ || !self->acceptor_.is_open()) return;
+    if (!error) {
       error_code ignored;
       socket.set_option(tcp::no_delay(true), ignored);
       self->counts_.connections++;
       const auto session = std::make_shared<Session>(std::move(socket), self);
-      self->open_sessions();
+      self->remove_closed_sessions();
       self->sessions_.push_back(session);
-      session->begin();
+      session->start();
     }
     self->accept();
   });
@@ -340,8 +344,8 @@
     if (const auto session = s.lock()) reset ? session->reset() : session->close();
 }
 
-void Endpoint::Impl::shut() {
-  shut_ = true;
+void Endpoint::Impl::shut_down() {
+  shut_down_ = true;
   error_code ignored;
   acceptor_.close(ignored);
   options_.decide = nullptr;
@@ -356,7 +360,7 @@
     : impl_(std::make_shared<Impl>(io, std::move(options))) {
   impl_->accept();
 }
-Endpoint::~Endpoint() { impl_->shut(); }
+Endpoint::~Endpoint() { impl_->shut_down(); }
 void Endpoint::go_down() {
   error_code ignored;
   impl_->acceptor_.close(ignored);
--- a/tests/standins/world.hpp
+++ b/tests/standins/loopback.hpp
@@ -1,4 +1,4 @@
-// Helpers for tests over loopback: one event loop, turned until something holds.
+// Helpers for tests over loopback with one event loop.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -17,17 +17,18 @@
 using boost::system::error_code;
 using tcp = net::ip::tcp;
 
+// Runs `io` until `holds` returns true; fails the test after 30 s. `what` names the condition in the failure.
 template <class Condition>
-void turn_until(net::io_context& io, Condition holds, const char* what) {
-  const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(30);
+void run_until(net::io_context& io, Condition holds, const char* what) {
+  const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(30);
   while (!holds()) {
-    ASSERT_LT(std::chrono::steady_clock::now(), until) << "waited in vain until " << what;
+    ASSERT_LT(std::chrono::steady_clock::now(), deadline) << "timed out waiting until " << what;
     io.restart();
     io.run_one_for(std::chrono::milliseconds(5));
   }
 }
 
-// One connection of a caller.
+// A connection that sends calls to an endpoint and keeps the last answer.
 struct Caller : std::enable_shared_from_this<Caller> {
   Caller(net::io_context& io, const std::string& address) : socket(io) {
     const auto colon = address.find(':');
@@ -37,13 +38,14 @@
   void call(const std::string& target, const std::string& fields, const std::string& body = "") {
     net::write(socket, net::buffer("POST " + target + " HTTP/1.1\r\n" + fields +
                                    "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body));
-    auto got = std::make_shared<http::response<http::string_body>>();
-    http::async_read(socket, buffer, *got, [self = shared_from_this(), got](error_code bad, std::size_t) {
-      self->broken = bad;
-      if (!bad) self->answer = got;
-    });
+    auto response = std::make_shared<http::response<http::string_body>>();
+    http::async_read(socket, buffer, *response,
+                     [self = shared_from_this(), response](error_code error, std::size_t) {
+                       self->broken = error;
+                       if (!error) self->answer = response;
+                     });
   }
-  bool over() const { return answer != nullptr || broken; }
+  bool finished() const { return answer != nullptr || broken; }
   tcp::socket socket;
   boost::beast::flat_buffer buffer;
   std::shared_ptr<http::response<http::string_body>> answer;
