--- a/bench/memory.cpp
+++ b/bench/memory.cpp
@@ -1,4 +1,4 @@
-// What the store takes of the heap.
+// Measures the heap memory that the store uses.
 #include <malloc.h>
 
 #include "store_side.hpp"
--- a/bench/recovery.cpp
+++ b/bench/recovery.cpp
@@ -1,4 +1,4 @@
-// The start over 100,000 messages held.
+// Measures the time to start on files that hold 100,000 messages.
 #include <boost/crc.hpp>
 
 #include "sqlite_side.hpp"
@@ -19,14 +19,15 @@
 }
 std::uint32_t stores(std::string_view bytes) { return store::sum_of(0, bytes); }
 
-// All bytes of the folder's files, read and summed up.
+// Reads all files of the folder and computes `sum` of each piece. Returns the seconds taken; sets `bytes` to
+// the bytes read.
 double read_and_sum(store::Disk& disk, Sum sum, std::uint64_t& bytes) {
   const auto begun = Clock::now();
   std::vector<store::Disk::Entry> entries;
   disk.list(entries);
   std::string piece(1 << 20, '\0');
   bytes = 0;
-  volatile std::uint32_t sums = 0;  // so that they are made
+  volatile std::uint32_t sums = 0;  // volatile, so that the compiler keeps the sums
   for (const auto& e : entries) {
     store::FileId file = -1;
     if (e.folder || disk.open(e.name, store::Disk::Access::read, file)) continue;
@@ -54,7 +55,7 @@
   {
     StoreSide store(store_folder, options, rounds);
     SqliteSide sqlite(sqlite_folder, Synchronous::normal, Attempts::table, rounds);
-    // Some more than are held: some are over, with their ids remembered.
+    // 200 rounds more than are held, so that some messages have ended and their ids are remembered.
     for (std::size_t i = 0; i < rounds.lag + 200; i++) store.round(kEach), sqlite.round(kEach);
   }
   Samples start, baseline, own, sqlite_start;
--- a/bench/scale/relay_bench.cpp
+++ b/bench/scale/relay_bench.cpp
@@ -1,10 +1,10 @@
-// One relay under steady traffic from stand-in clients to stand-in endpoints, each side a process of its own:
-// what a message costs it, and how long one takes from the client's first byte to the endpoint's last.
+// Measures one relay under steady traffic from stand-in clients to stand-in endpoints, each side in its own
+// process: the relay's cost per message, and the time from the client's first byte to the endpoint's last.
 //
 //   relay_bench PROGRAM SETTINGS RATE SECONDS DESTINATIONS SILENT_HELD TICK_MS
 //
-// SETTINGS: the operator's file, or "" for none. SILENT_HELD: messages held for one destination that answers
-// nothing. Figures of the relay alone, from /proc; half a second at the begin is left out.
+// SETTINGS: the operator's file, or "" for none. SILENT_HELD: messages held for one destination that never
+// answers. The figures are of the relay alone, from /proc; the first half second is left out.
 #include <signal.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -136,7 +136,7 @@
     run(static_cast<double>(silent) / 1'500);
   }
   clients.plan = plan_to(0, destinations, rate);
-  clients.seed = 2;  // other ids
+  clients.seed = 2;  // a seed other than the first clients', so that ids differ
   clients.on_try = [&](const Message& m) { sent.emplace(m.id, steady_time()); };
   Clients good(io, clients);
   good.start();
--- a/bench/sqlite_side.cpp
+++ b/bench/sqlite_side.cpp
@@ -6,10 +6,11 @@
 namespace heronvane::bench {
 namespace {
 
-constexpr std::uint64_t kForgetEach = 1'000;  // messages: ids are forgotten in bulk, which is cheaper
+// Messages between deletions of expired ids, which are cheaper in bulk.
+constexpr std::uint64_t kForgetEach = 1'000;
 
 void bind(sqlite3_stmt* s, int at, std::int64_t v) { sqlite3_bind_int64(s, at, v); }
-// `v` must outlive the step.
+// Binds without a copy: `v` must outlive the step.
 void bind(sqlite3_stmt* s, int at, const std::string& v) {
   sqlite3_bind_text(s, at, v.data(), static_cast<int>(v.size()), SQLITE_STATIC);
 }
@@ -35,8 +36,8 @@
   const int opened = sqlite3_open((folder / "relay.db").c_str(), &db);
   db_.reset(db);
   require(opened, SQLITE_OK);
-  execute("PRAGMA locking_mode=EXCLUSIVE");  // one owner, as the store: no shared index of the WAL
-  execute("PRAGMA journal_mode=WAL");        // wal_autocheckpoint stays at its 1000 pages
+  execute("PRAGMA locking_mode=EXCLUSIVE");  // one owner, like the store: the WAL needs no shared index
+  execute("PRAGMA journal_mode=WAL");        // wal_autocheckpoint keeps its default of 1000 pages
   execute(("PRAGMA synchronous=" + to_string(synchronous)).c_str());
   execute("PRAGMA cache_size=-65536");
   execute("PRAGMA temp_store=MEMORY");
--- a/bench/throughput.cpp
+++ b/bench/throughput.cpp
@@ -1,4 +1,5 @@
-// Rounds of 1, 10 and 100 messages: how many a second, bytes written for each, time until durable.
+// Measures rounds of 1, 10 and 100 messages: messages per second, bytes written per message, time until
+// durable.
 #include <functional>
 
 #include "sqlite_side.hpp"
@@ -8,8 +9,9 @@
 namespace {
 
 constexpr std::uint64_t kLimit = 64 << 20;
-constexpr std::uint64_t kRecords = 4;                          // taken, sent, outcome, over
-constexpr std::size_t kWarmRounds = 600, kWarmMessages = 100;  // until as many ids are remembered as will be
+constexpr std::uint64_t kRecords = 4;  // per message: taken, sent, outcome, over
+// Warm-up, until the number of remembered ids is at its steady level.
+constexpr std::size_t kWarmRounds = 600, kWarmMessages = 100;
 
 struct Side {
   std::string name;
