--- a/tests/lab/destination_test.cpp
+++ b/tests/lab/destination_test.cpp
@@ -138,7 +138,7 @@
     const auto x = a.call(i * 40'000, 0, 0, 1), y = b.call(i * 40'000, 0, 0, 1);
     ASSERT_EQ(x.index(), y.index());
     if (const auto* const s = std::get_if<standins::fate::Serve>(&x)) {
-      EXPECT_EQ(s->after, std::get<standins::fate::Serve>(y).after);
+      EXPECT_EQ(s->latency, std::get<standins::fate::Serve>(y).latency);
     }
   }
 }
