--- a/cli/client.hpp
+++ b/cli/client.hpp
@@ -11,8 +11,8 @@
 namespace heronvane::cli {
 
 inline constexpr int kApi = 1;  // the version of the agent API that this client speaks
-inline constexpr std::size_t kMaxAnswerBytes =
-    16 * 1024 * 1024;  // limit of an answer's body, except of a followed one
+// The limit of an answer's body, except of a followed one.
+inline constexpr std::size_t kMaxAnswerBytes = 16 * 1024 * 1024;
 inline constexpr std::size_t kMaxLineBytes = 4 * 1024 * 1024;  // limit of a line of a followed operation
 
 // The answer is not valid HTTP, is too large or is not the JSON that the agent API defines.
--- a/cli/demo.hpp
+++ b/cli/demo.hpp
@@ -6,8 +6,8 @@
 
 namespace heronvane::cli {
 
-// Runs until Ctrl-C or the end of options.seconds. Returns kDone if every message is accounted for and none
-// that must not took effect twice, kPartial if not, kRefused if the demonstration could not be set up.
+// Runs until Ctrl-C or the end of options.seconds. Returns kDone if every message is accounted for and no
+// unsafe one took effect twice, kPartial if not, kRefused if the demonstration could not be set up.
 int demo(const Demo& options);
 
 }  // namespace heronvane::cli
--- a/cli/demo_agent.cpp
+++ b/cli/demo_agent.cpp
@@ -25,8 +25,8 @@
 
 namespace {
 
-constexpr std::size_t kMaxFolderLength =
-    50;  // leaves room for the paths of sockets in it, limited to 107 bytes
+// Leaves room for the paths of sockets in the folder, which are limited to 107 bytes.
+constexpr std::size_t kMaxFolderLength = 50;
 constexpr int kFirstPort = 20'000, kLastPort = 31'999;
 
 [[noreturn]] void fail(const std::string& what) {
@@ -99,7 +99,7 @@
   const pid_t parent = ::getpid(), child = ::fork();
   if (child < 0) fail("fork");
   if (child == 0) {
-    // Only async-signal-safe calls: another thread may have held a lock at the fork.
+    // No call here may need a lock, since another thread may have held it at the fork.
     ::setsid();
     ::prctl(PR_SET_PDEATHSIG, SIGTERM);
     ::signal(SIGPIPE, SIG_DFL);
--- a/cli/demo_notices.hpp
+++ b/cli/demo_notices.hpp
@@ -8,8 +8,7 @@
 namespace heronvane::cli {
 
 // Marks each open message of `ledger` that a notice ended. `data` is the agent's data folder. Returns the
-// error,
-// "" on success.
+// error, "" on success.
 std::string settle_by_notices(const std::string& data, Ledger& ledger);
 
 }  // namespace heronvane::cli
--- a/cli/demo_view.hpp
+++ b/cli/demo_view.hpp
@@ -18,8 +18,8 @@
     std::int64_t p50_us = -1, p99_us = -1;  // latency until 202; -1: no recent samples
   };
   struct Endpoint {
-    std::string name, partner, seen,
-        behaviour;            // seen: its state according to the relays; behaviour: how it misbehaves
+    // seen: its state according to the relays; behaviour: how it misbehaves.
+    std::string name, partner, seen, behaviour;
     Tone tone = Tone::plain;  // of `seen`
     double served_s = 0, refused_s = 0, failed_s = 0;
     bool leaving = false;  // is drained or gone; omitted on small screens
--- a/cli/demo_world.hpp
+++ b/cli/demo_world.hpp
@@ -55,8 +55,8 @@
     std::string behaviour;
     bool silent = false, waits = false, replaced_regularly = false;
     std::string status = "ready";  // its status in the partner list
-    Microseconds gone_at = 0,
-                 ends_at = 0;  // of a draining endpoint: when it is listed as gone, and when it stops
+    // Of a draining endpoint: when it is listed as gone, and when it stops.
+    Microseconds gone_at = 0, ends_at = 0;
     std::uint64_t resets_reported = 0;
     Microseconds reported_at = 0;
   };
--- a/cli/overlap.hpp
+++ b/cli/overlap.hpp
@@ -29,7 +29,7 @@
   std::deque<std::string> shown_;   // the last lines shown, at most capacity_
   std::string partial_line_;        // the line that has no end yet
   std::deque<std::string> resent_;  // lines of the new stream that match shown lines so far
-  std::size_t confirmed_ = 0;       // so many of them were shown for certain: they match the end of shown_
+  std::size_t confirmed_ = 0;       // how many of resent_ were certainly shown: they match the end of shown_
   bool matching_ = false;           // the new stream is still being compared with shown_
 };
 
--- a/cli/session.cpp
+++ b/cli/session.cpp
@@ -179,7 +179,7 @@
   try {
     return checked(client_.request(method, target, body, deadline()), true);
   } catch (const TransportError& e) {
-    // With the other errors the request never reached the agent, so nothing changed.
+    // The other errors occur before the request reaches the agent, so it is unchanged.
     throw transport(e, e.why == Why::broken || e.why == Why::late);
   } catch (const MalformedAnswer& e) {
     throw malformed(e.what());
--- a/cli/waiting.cpp
+++ b/cli/waiting.cpp
@@ -12,8 +12,8 @@
 
 struct Update {
   std::size_t connection = 0;
-  std::variant<std::monostate, std::pair<Operation, std::string>, Failure>
-      what;  // monostate: the stream ended
+  // monostate: the stream ended.
+  std::variant<std::monostate, std::pair<Operation, std::string>, Failure> what;
 };
 
 // Progress on standard error: on a terminal, one line per operation that is redrawn in place; otherwise one
