--- a/cli/demo_world.cpp
+++ b/cli/demo_world.cpp
@@ -1,11 +1,11 @@
+#include "demo_world.hpp"
+
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
 #include <fstream>
 #include <stdexcept>
 
-#include "demo_world.hpp"
-
 namespace heronvane::cli {
 
 using standins::Habits;
--- a/fleet/api.cpp
+++ b/fleet/api.cpp
@@ -1,8 +1,9 @@
+#include "api.hpp"
+
 #include <algorithm>
 #include <charconv>
 #include <map>
 
-#include "api.hpp"
 #include "fields.hpp"
 #include "json.hpp"
 
--- a/fleet/fleet_file.cpp
+++ b/fleet/fleet_file.cpp
@@ -1,3 +1,5 @@
+#include "fleet_file.hpp"
+
 #include <algorithm>
 #include <initializer_list>
 #include <stdexcept>
@@ -6,7 +8,6 @@
 #include "default_settings.hpp"
 #include "endpoint_list.hpp"
 #include "fields.hpp"
-#include "fleet_file.hpp"
 #include "json.hpp"
 #include "operator_settings.hpp"
 #include "partners.hpp"
--- a/fleet/platform_host.cpp
+++ b/fleet/platform_host.cpp
@@ -1,10 +1,11 @@
+#include "platform_host.hpp"
+
 #include <chrono>
 #include <stdexcept>
 
 #include "endpoint_list.hpp"
 #include "log.hpp"
 #include "partners.hpp"
-#include "platform_host.hpp"
 
 namespace heronvane::fleet {
 
--- a/relay/endpoint_view.cpp
+++ b/relay/endpoint_view.cpp
@@ -1,8 +1,9 @@
+#include "endpoint_view.hpp"
+
 #include <algorithm>
 #include <cstddef>
 #include <utility>
 
-#include "endpoint_view.hpp"
 #include "fail_points.hpp"
 
 namespace heronvane {
--- a/relay/frontends/admin_request.cpp
+++ b/relay/frontends/admin_request.cpp
@@ -1,11 +1,11 @@
+#include "frontends/admin_request.hpp"
+
 #include <rapidjson/document.h>
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
 
 #include <optional>
 
-#include "frontends/admin_request.hpp"
-
 namespace heronvane {
 namespace {
 
--- a/relay/intake.cpp
+++ b/relay/intake.cpp
@@ -1,3 +1,5 @@
+#include "intake.hpp"
+
 #include <algorithm>
 #include <boost/beast/core/flat_buffer.hpp>
 #include <boost/beast/http.hpp>
@@ -11,7 +13,6 @@
 #include "core/retry_read.hpp"
 #include "core/stream_writer.hpp"
 #include "framing.hpp"
-#include "intake.hpp"
 #include "request.hpp"
 
 namespace heronvane {
--- a/relay/log_copies_port.cpp
+++ b/relay/log_copies_port.cpp
@@ -1,8 +1,9 @@
+#include "log_copies_port.hpp"
+
 #include <utility>
 
 #include "copies/log_replicator.hpp"
 #include "log.hpp"
-#include "log_copies_port.hpp"
 #include "standalone_log.hpp"
 
 namespace heronvane {
--- a/tests/committer_test.cpp
+++ b/tests/committer_test.cpp
@@ -1,11 +1,12 @@
 // Write-ahead execution, with a disk in memory.
+#include "committer.hpp"
+
 #include <gtest/gtest.h>
 
 #include <boost/asio/io_context.hpp>
 #include <string>
 #include <vector>
 
-#include "committer.hpp"
 #include "store/memory_disk.hpp"
 
 namespace heronvane {
--- a/tests/fleet/api_server_test.cpp
+++ b/tests/fleet/api_server_test.cpp
@@ -1,4 +1,6 @@
 // The API server: each request is answered or its connection closed, and no client affects others.
+#include "api_server.hpp"
+
 #include <gtest/gtest.h>
 #include <openssl/pem.h>
 #include <openssl/x509v3.h>
@@ -11,7 +13,6 @@
 #include <thread>
 
 #include "agent_harness.hpp"
-#include "api_server.hpp"
 #include "fake_backend.hpp"
 
 namespace heronvane::fleet::testing {
--- a/tests/fleet/fleet_file_test.cpp
+++ b/tests/fleet/fleet_file_test.cpp
@@ -1,11 +1,12 @@
 // The fleet file: errors name the field, and relays can read the configuration made from it.
+#include "fleet_file.hpp"
+
 #include <gtest/gtest.h>
 #include <unistd.h>
 
 #include <filesystem>
 
 #include "config.hpp"
-#include "fleet_file.hpp"
 #include "instance_folder.hpp"
 #include "json.hpp"
 #include "operator_settings.hpp"
