--- a/relay/log_copies_disabled.cpp
+++ b/relay/log_copies_disabled.cpp
@@ -10,8 +10,7 @@
 std::unique_ptr<LogReplication> open_log_copies(boost::asio::io_context& /*io*/, store::Store& store,
                                                 const Config& config, bool force_own, LogCopiesHooks hooks) {
   if (config.own.copies.on)
-    throw std::runtime_error(
-        "settings: [copies]: this build has no log replication: build with -DHERONVANE_COPIES=ON");
+    throw std::runtime_error("settings: [copies]: not in this build: build with -DHERONVANE_COPIES=ON");
   return std::make_unique<StandaloneLog>(store, force_own, std::move(hooks.ready));
 }
 
