--- a/tests/fleet/process_test.cpp
+++ b/tests/fleet/process_test.cpp
@@ -5,6 +5,7 @@
 #include <gtest/gtest.h>
 #include <signal.h>
 #include <sys/prctl.h>
+#include <sys/stat.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
@@ -176,16 +177,20 @@
 }
 
 TEST_F(ProcessTest, ProcessesAreFoundByTheirArguments) {
+  // The shell blocks while it opens the FIFO. A command that forks would be found twice until its child's
+  // exec.
+  ASSERT_EQ(::mkfifo((folder + "/fifo").c_str(), 0600), 0);
   pid_t pid = 0;
-  Command c{"/bin/sh", {"-c", "sleep 1000; true", "--run", "0123456789abcdef"}, folder, folder + "/log", {}};
+  Command c{"/bin/sh", {"-c", "read line <fifo", "--run", "0123456789abcdef"}, folder, folder + "/log", {}};
   ASSERT_FALSE(start_detached(c, pid));
   const auto found = find_by_option("--run");
+  const auto started = identify(pid);
+  ::kill(-pid, SIGKILL);
+  ::waitpid(pid, nullptr, 0);
   const auto [from, to] = found.equal_range("0123456789abcdef");
   ASSERT_EQ(std::distance(from, to), 1);
-  EXPECT_EQ(from->second, identify(pid));
+  EXPECT_EQ(from->second, started);
   EXPECT_EQ(found.count("0123456789abcde"), 0u);
-  ::kill(-pid, SIGKILL);
-  ::waitpid(pid, nullptr, 0);
   EXPECT_EQ(find_by_option("--run").count("0123456789abcdef"), 0u);
 }
 
